--- a/sloeferry/cli.py
+++ b/sloeferry/cli.py
@@ -7,7 +7,7 @@
 
 import click
 
-from sloeferry.faults import Unusable
+from sloeferry.errors import UsageError
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -30,23 +30,24 @@
 @click.argument("file", type=click.Path(path_type=pathlib.Path))
 def check_config(file):
     """Reads and checks a configuration as the daemon would; exit 2 and one line where it can't be used."""
-    from sloeferry import terms
+    from sloeferry.config.errors import ConfigError
+    from sloeferry.config.instance import read_instance_config
 
     try:
-        berth = terms.read({"BALANCER_CONFIG": str(file)})
-    except terms.Fault as fault:
+        berth = read_instance_config({"BALANCER_CONFIG": str(file)})
+    except ConfigError as fault:
         click.echo(f"sloeferry: {fault}", err=True)
         sys.exit(2)
-    schemes = ", ".join(berth.named("schemes"))
+    schemes = ", ".join(berth.settings.class_indexes())
     click.echo(f"{file}: {berth.name or 'unnamed'} on {berth.listen[0]}:{berth.listen[1]}, schemes {schemes}: good")
 
 
 # Verbs of subsystems: the module that has them, the extra it needs, and what they are for.
 VERBS = {
     "fleet": ("sloeferry.fleet.cli", "cli", "Asks a whole fleet who acts on which version"),
-    "load": ("sloeferry.load.cli", "load", "Open-loop load on loopback"),
-    "ops": ("sloeferry.ops.cli", "cli", "Asks a proxy at its operators' address"),
-    "rig": ("sloeferry.rig.cli", "rehearsal", "Plays plans with real processes and faults between them"),
+    "load": ("sloeferry.load_testing.cli", "load", "Open-loop load on loopback"),
+    "ops": ("sloeferry.fleet.admin_cli", "cli", "Asks a proxy at its operators' address"),
+    "rig": ("sloeferry.fault_testing.cli", "rehearsal", "Plays plans with real processes and faults between them"),
     "rehearse": ("sloeferry.rehearsal.cli", "rehearsal", "Plays days with a whole bank, in virtual time or live"),
 }
 
@@ -64,7 +65,7 @@
             sys.exit(2)
     try:
         main()
-    except Unusable as fault:
+    except UsageError as fault:
         click.echo(f"sloeferry: {fault}", err=True)
         sys.exit(2)
 
--- /dev/null
+++ b/sloeferry/config/__init__.py
@@ -0,0 +1,1 @@
+"""What an instance is told: settings, addresses, limits and the operators' feature switches."""
--- /dev/null
+++ b/sloeferry/dispatch/__init__.py
@@ -0,0 +1,1 @@
+"""What joins the decisions to the network: requests in, commands out, ends of attempts in."""
--- /dev/null
+++ b/sloeferry/dispatch/dispatcher.py
@@ -0,0 +1,285 @@
+"""Joins the policy to the network: requests in, commands out, ends of attempts in.  No decisions here.
+
+Whoever carries a request awaits the commands of its `RequestContext` and reports how each attempt ended; health checks and
+polls have a queue each that stands for as long as the program runs.
+"""
+
+from collections.abc import Callable, Hashable, Sequence
+from heapq import heappop, heappush
+from math import inf
+from typing import Any
+
+from sloeferry import environment
+from sloeferry.config.instance import InstanceConfig
+from sloeferry.config.settings import Settings
+from sloeferry.dispatch.attempt_end import AttemptEnd, AttemptProgress, attempt_outcome
+from sloeferry.dispatch.endpoint_events import EndpointEvents
+from sloeferry.dispatch.limits import SOCKET_SLACK_MS
+from sloeferry.dispatch.loop_monitor import LoopMonitor
+from sloeferry.dispatch.request_context import CommandQueue, RequestContext
+from sloeferry.dispatch.send_guard import Refusal, SendGuard
+from sloeferry.policy.endpoint_staleness import ON_SOCKETS
+from sloeferry.policy.interface import (
+    Abandon,
+    CancelAttempt,
+    Complete,
+    EndpointId,
+    Fail,
+    PollEndpoints,
+    Reject,
+    RequestCommand,
+    SendAttempt,
+    SendHealthCheck,
+)
+from sloeferry.policy.overload_control import OverloadController
+from sloeferry.policy.policy import Policy
+
+
+class Dispatcher:
+    """One instance of the policy, and its host (`PolicyHost`)."""
+
+    def __init__(self, seed: int, settings: Settings, request_wakeup: Callable[[float], None]):
+        """`request_wakeup` is called with the time (ms) by which `run_due_timers` has to be called."""
+        self._request_wakeup = request_wakeup
+        self._timers: list[tuple[float, int]] = []  # (due, token), a heap
+        self.next_timer_at: float | None = None
+        self.requests: dict[int, RequestContext] = {}
+        self._last_request_id = 0
+        self.health_check_commands = CommandQueue()
+        self.poll_commands = CommandQueue()
+        self.policy = Policy(self, environment.monotonic_ms(), seed, settings, ON_SOCKETS)
+        self.overload = OverloadController(self.policy)
+        self.policy.extensions.install(self.overload)
+        self._is_beating = False
+        self.on_send_attempt: Callable[[RequestContext], None] | None = None  # told before each attempt, where set
+        self.loop_monitor = LoopMonitor(settings)
+        self.guard = SendGuard(self.policy, SOCKET_SLACK_MS)
+        self.endpoint_events = EndpointEvents(self.policy, self.guard, self.loop_monitor)
+
+    def update_config(self, config: InstanceConfig) -> None:
+        """Other settings, between two events: what is taken on from now on is under these."""
+        self.policy.update_settings(config.settings)
+        self.overload.update()
+        self.loop_monitor.update(config.settings)
+
+    def set_process_count(self, count: int) -> None:
+        """So many processes are this one proxy for now: each keeps to its part of what the rules allow it."""
+        self.policy.fleet.process_count = count
+
+    # Requests
+
+    def rejection_delay_ms(self, class_index: int, tenant_index: int, is_retry: bool, has_waited: bool = False) -> float | None:
+        """Asked before anything else is done for a request: the Retry-After if it is rejected, else None.
+
+        `has_waited`: it has waited to be admitted for as long as it may.
+        """
+        now = environment.monotonic_ms()
+        return self.policy.rejection_delay_ms(now, class_index, tenant_index, is_retry, has_waited)
+
+    def accept_request(
+        self, class_index: int, tenant_index: int, time_left_ms: float, is_retry: bool, affinity_key: Hashable = 0
+    ) -> RequestContext:
+        """A request has come.  What the loop is late comes off its time, or answers would be late, too."""
+        now = environment.monotonic_ms()
+        time_left_ms -= min(self.policy.timers.lateness_ms, time_left_ms / 2)
+        self._last_request_id += 1
+        if not self._is_beating:
+            self._schedule_beat(now)
+        context = RequestContext(self._last_request_id, now + time_left_ms, now)
+        self.requests[context.request_id] = context
+        try:
+            self.policy.request_arrived(
+                now, context.request_id, class_index, tenant_index, affinity_key, time_left_ms, None, is_retry
+            )
+        except Exception:
+            del self.requests[context.request_id]  # nobody will answer it
+            raise
+        return context
+
+    def body_outgrew_buffer(self, context: RequestContext, attempt_number: int) -> None:
+        """More of its body has gone out with this attempt than is held; its time runs from its last byte on."""
+        self.policy.body_outgrew_buffer(environment.monotonic_ms(), context.request_id, attempt_number)
+        context.deadline = inf
+
+    def body_received(self, context: RequestContext, time_left_ms: float) -> None:
+        """The last byte of such a body has come: so much time is left."""
+        context.deadline = environment.monotonic_ms() + time_left_ms
+
+    def client_left(self, context: RequestContext) -> None:
+        """The client has gone."""
+        if not context.is_answered:
+            self._finish(context, Abandon())
+            self.policy.client_left(environment.monotonic_ms(), context.request_id)
+
+    def abandon(self, context: RequestContext) -> list[Any]:
+        """Nobody carries out its commands any more: its client's connection ends from this side.
+
+        An attempt that was commanded and not begun would count as in flight for ever.  Returns the responses that nobody
+        passes on.
+        """
+        context.is_abandoned = True
+        self.client_left(context)
+        commands, responses = list(context.commands), []
+        context.commands.clear()
+        for command in commands:
+            if isinstance(command, SendAttempt):
+                number = command.attempt_number
+                self.attempt_ended(context, number, AttemptProgress.NOTHING_WRITTEN, AttemptEnd.NOT_WANTED, 0.0)
+            elif isinstance(command, Complete):
+                responses.append(command.response)
+        return responses
+
+    # Attempts and health checks
+
+    def may_begin_attempt(self, context: RequestContext, attempt_number: int, endpoint_id: EndpointId) -> bool:
+        """Whether an attempt may still begin: asked right before its first byte.
+
+        The one place that sees to it that nothing is sent for a client who has left, and that the window in which a repeat
+        is known has not ended meanwhile (rule 2).
+        """
+        if not context.is_answered and context.has_client_left and context.has_client_left():
+            self.client_left(context)
+            return self.guard.allow(Refusal.CLIENT_GONE)
+        now = environment.monotonic_ms()
+        refusal = self.guard.request_refusal(now, context, attempt_number)
+        return self.guard.allow(refusal or self.guard.endpoint_refusal(now, endpoint_id))
+
+    def may_begin_health_check(self, endpoint_id: EndpointId) -> bool:
+        """Rule 3, once more before a health check's first byte: a dial takes time, and the list may have changed."""
+        return self.guard.allow(self.guard.endpoint_refusal(environment.monotonic_ms(), endpoint_id))
+
+    def attempt_written(self, context: RequestContext, attempt_number: int, endpoint_id: EndpointId) -> None:
+        """An attempt's first bytes are being handed over: a look at the rules by facts of its own."""
+        self.guard.check_written(environment.monotonic_ms(), context, attempt_number, endpoint_id)
+
+    def attempt_ended(
+        self,
+        context: RequestContext,
+        attempt_number: int,
+        progress: AttemptProgress,
+        end: AttemptEnd,
+        took_ms: float,
+        load_report: Sequence[float] = (),
+        response: Any = None,
+    ) -> bool:
+        """An attempt has ended; whether its response is the request's."""
+        context.attempts_out -= 1
+        took_ms = max(took_ms / 2, took_ms - self.policy.timers.lateness_ms)  # so much was this loop's doing
+        is_served = end is AttemptEnd.SERVED and not context.is_answered
+        if is_served:
+            self._finish(context, Complete(response))
+        elif context.is_answered and not context.attempts_out:
+            self.requests.pop(context.request_id, None)
+        self.policy.attempt_ended(
+            environment.monotonic_ms(),
+            context.request_id,
+            attempt_number,
+            attempt_outcome(progress, end),
+            context.is_answered,
+            took_ms,
+            load_report,
+        )
+        return is_served
+
+    def health_check_ended(
+        self,
+        endpoint_id: EndpointId,
+        progress: AttemptProgress,
+        end: AttemptEnd,
+        took_ms: float,
+        load_report: Sequence[float] = (),
+    ) -> None:
+        """A health check has ended."""
+        outcome = attempt_outcome(progress, end)
+        self.policy.health_check_ended(environment.monotonic_ms(), endpoint_id, outcome, took_ms, load_report)
+
+    # The loop
+
+    def loop_turned(self) -> Any:
+        """The loop turns; the task that catches up after a stall, until whose end nothing may be sent."""
+        catching_up = self.loop_monitor.turned()
+        self.endpoint_events.log_staleness(self.loop_monitor.last_turn)
+        return catching_up
+
+    def run_due_timers(self) -> float | None:
+        """Fires what is due; the time of the next timer, or None."""
+        now, timers = environment.monotonic_ms(), self.policy.timers
+        try:
+            while self._timers and self._timers[0][0] <= now:
+                _, token = heappop(self._timers)
+                if timers.is_moot(token):
+                    timers.discard(token)
+                else:
+                    self.policy.timer_fired(now, token)
+        finally:
+            # What was set for requests that have been answered wakes nobody: it is most of all timers.
+            while self._timers and timers.is_moot(self._timers[0][1]):
+                timers.discard(heappop(self._timers)[1])
+            self.next_timer_at = self._timers[0][0] if self._timers else None
+        return self.next_timer_at
+
+    def _schedule_beat(self, now: float) -> None:
+        self._is_beating = True
+        due = now + self.overload.beat_interval_ms
+        self.policy.timers.schedule(due, self._beat, due)
+
+    def _beat(self, now: float, due: float) -> None:
+        """How late this loop is, measured whatever else is due; it stops once nothing is left to measure."""
+        self.overload.beat(now, now - due)
+        self._is_beating = bool(self.requests) or self.overload.is_shedding()
+        if self._is_beating:
+            self._schedule_beat(now)
+
+    # PolicyHost
+
+    def _finish(self, context: RequestContext, command: RequestCommand) -> None:
+        context.is_answered = True
+        context.push(command)
+        if not context.attempts_out:
+            self.requests.pop(context.request_id, None)
+
+    def send_attempt(self, request_id: int, endpoint_id: EndpointId) -> None:
+        """`PolicyHost`."""
+        context = self.requests[request_id]
+        if self.on_send_attempt:
+            self.on_send_attempt(context)
+        context.push(SendAttempt(context.attempts_sent, endpoint_id))
+        context.attempts_sent += 1
+        context.attempts_out += 1
+
+    def cancel_attempt(self, request_id: int, attempt_number: int) -> None:
+        """`PolicyHost`."""
+        self.requests[request_id].push(CancelAttempt(attempt_number))
+
+    def reject(self, request_id: int, retry_after_ms: float) -> None:
+        """`PolicyHost`."""
+        if not self.endpoint_events.staleness.usable(environment.monotonic_ms()):
+            self.guard.count_refusal(Refusal.LIST_STALE)
+        if request_id in self.requests:
+            self._finish(self.requests[request_id], Reject(retry_after_ms))
+
+    def fail(self, request_id: int) -> None:
+        """`PolicyHost`."""
+        if request_id in self.requests:
+            self._finish(self.requests[request_id], Fail())
+
+    def send_health_check(self, endpoint_id: EndpointId) -> None:
+        """`PolicyHost`."""
+        self.health_check_commands.push(SendHealthCheck(endpoint_id))
+
+    def poll_endpoints(self) -> None:
+        """`PolicyHost`."""
+        self.poll_commands.push(PollEndpoints())
+
+    def schedule_wakeup(self, at: float, token: int) -> None:
+        """`PolicyHost`."""
+        heappush(self._timers, (at, token))
+        if self.next_timer_at is None or at < self.next_timer_at:
+            self.next_timer_at = at
+            self._request_wakeup(at)
+
+    # For operators
+
+    def guard_figures(self) -> dict[str, Any]:
+        """The send guard's counters and the list's age now."""
+        return self.guard.figures() | {"list": self.endpoint_events.figures()}
--- /dev/null
+++ b/sloeferry/dispatch/send_guard.py
@@ -0,0 +1,136 @@
+"""The one guard of sending: asked right before the first byte of each attempt and health check, and checked once it is written.
+
+Whatever a request has waited for since its endpoint was chosen (the admission queue, a body, a dial, a failed attempt), its
+attempt begins only if nothing forbids it now.  Refusals are counted by cause.  `check_written` holds each attempt against the
+safety rules once more, by facts of its own: what it counts is a defect, and is logged.  Free of I/O; times are float
+milliseconds, monotonic.
+"""
+
+import enum
+from collections import Counter
+from typing import Any
+
+from loguru import logger
+
+from sloeferry.dispatch.request_context import RequestContext
+from sloeferry.policy.interface import EndpointId, EndpointState
+from sloeferry.policy.policy import Policy
+
+MAX_REMEMBERED_LEAVERS = 4096  # endpoints remembered as draining or gone, the newest
+
+
+class Refusal(enum.Enum):
+    """Why an attempt must not begin."""
+
+    REQUEST_OVER = "request over"
+    CLIENT_GONE = "client gone"
+    DEADLINE = "past its deadline"
+    REPEAT_WINDOW = "a repeat might run twice"
+    ENDPOINT_LEAVING = "backend draining or gone"
+    LIST_STALE = "list stale"
+
+
+class Violation(enum.Enum):
+    """What an attempt that was written has broken, or the end of a client's connection."""
+
+    ANSWERED = "sent for a request that had its answer"
+    DEADLINE = "sent past its deadline"
+    REPEATED = "sent although an earlier attempt may have run"
+    DRAIN = "sent past the drain grace"
+    LIST_STALE = "sent by a stale list"
+    CLOSED_UNANSWERED = "closed with no answer"
+
+
+class SendGuard:
+    """Guards the attempts of one proxy.  `slack_ms` is by how much limits are longer on sockets."""
+
+    def __init__(self, policy: Policy, slack_ms: float):
+        self._policy = policy
+        self._slack_ms = slack_ms
+        self.refusals: Counter[Refusal] = Counter()
+        self.stale_refusals: Counter[str] = Counter()  # by what made the list stale
+        self.violations: Counter[Violation] = Counter()
+        self._left_at: dict[EndpointId, float] = {}  # when an endpoint was listed as draining, or gone
+
+    # Facts
+
+    def endpoint_listed(self, now: float, endpoint_id: EndpointId, is_ready: bool) -> None:
+        """What a list says of an endpoint."""
+        if is_ready:
+            self._left_at.pop(endpoint_id, None)
+            return
+        self._left_at.setdefault(endpoint_id, now)
+        if len(self._left_at) > MAX_REMEMBERED_LEAVERS:
+            del self._left_at[next(iter(self._left_at))]
+
+    # Before the first byte
+
+    def endpoint_refusal(self, now: float, endpoint_id: EndpointId) -> Refusal | None:
+        """Why nothing new may be sent to this endpoint now (rule 3); None if it may."""
+        if not self._policy.rules.is_list_usable(now):
+            return Refusal.LIST_STALE
+        endpoint = self._policy.table.by_id.get(endpoint_id)
+        if endpoint is None or endpoint.state is not EndpointState.READY:
+            return Refusal.ENDPOINT_LEAVING
+        return None
+
+    def request_refusal(self, now: float, context: RequestContext, attempt_number: int) -> Refusal | None:
+        """Why nothing more may be sent for this request (rules 1 and 2); None if it may."""
+        if context.is_answered:
+            return Refusal.REQUEST_OVER
+        if now >= context.deadline:
+            return Refusal.DEADLINE
+        if not self._may_repeat(now, context, attempt_number):
+            return Refusal.REPEAT_WINDOW
+        return None
+
+    def _may_repeat(self, now: float, context: RequestContext, attempt_number: int) -> bool:
+        request = self._policy.requests.by_id.get(context.request_id)
+        return request is None or self._policy.rules.may_repeat(request, now, attempt_number)
+
+    def allow(self, refusal: Refusal | None) -> bool:
+        """Whether the attempt may begin; a refusal is counted."""
+        if refusal is None:
+            return True
+        self.count_refusal(refusal)
+        return False
+
+    def count_refusal(self, refusal: Refusal) -> None:
+        """Something was not sent for that reason."""
+        self.refusals[refusal] += 1
+        if refusal is Refusal.LIST_STALE:
+            self.stale_refusals[self._policy.polling.staleness.cause.value] += 1
+
+    # Once it is written
+
+    def check_written(self, at: float, context: RequestContext, attempt_number: int, endpoint_id: EndpointId) -> Violation | None:
+        """An attempt's first bytes were handed over at `at`: what that broke, None if nothing."""
+        grace_ms = self._policy.settings.obligations.drain_grace_ms + self._slack_ms
+        violation = None
+        if context.is_answered:
+            violation = Violation.ANSWERED
+        elif at > context.deadline + self._slack_ms:
+            violation = Violation.DEADLINE
+        elif at > self._left_at.get(endpoint_id, at) + grace_ms:
+            violation = Violation.DRAIN
+        elif at > self._policy.polling.staleness.usable_until + grace_ms:
+            violation = Violation.LIST_STALE
+        elif not self._may_repeat(at, context, attempt_number):
+            violation = Violation.REPEATED
+        if violation:
+            self.violations[violation] += 1
+            logger.error("{}: request={} attempt={} backend={}", violation.value, context.request_id, attempt_number, endpoint_id)
+        return violation
+
+    def closed_unanswered(self, context: RequestContext) -> None:
+        """A client's connection ends from this side, its client there, its request complete and without an answer."""
+        self.violations[Violation.CLOSED_UNANSWERED] += 1
+        logger.error("{}: request={}", Violation.CLOSED_UNANSWERED.value, context.request_id)
+
+    def figures(self) -> dict[str, Any]:
+        """The counters, for operators."""
+        return {
+            "refused": {refusal.value: self.refusals[refusal] for refusal in Refusal},
+            "refused_stale": dict(self.stale_refusals),
+            "violations": {violation.value: self.violations[violation] for violation in Violation},
+        }
--- a/sloeferry/faults.py
+++ b/sloeferry/errors.py
@@ -1,5 +1,5 @@
 """What every subsystem's command line ends on in one way: one line, exit 2."""
 
 
-class Unusable(Exception):
+class UsageError(Exception):
     """What was asked for can't be used; the text names the key, option or place."""
--- a/sloeferry/rig/cli.py
+++ b/sloeferry/fault_testing/cli.py
@@ -9,10 +9,10 @@
 
 import click
 
+from sloeferry.fault_testing import plan as p
 from sloeferry.rehearsal import scenario as s
 from sloeferry.rehearsal.cli import keep, say_shipped
 from sloeferry.rehearsal.cli import short as told_short
-from sloeferry.rig import plan as p
 
 MEMORY = "/dev/shm"
 ERRORS_SHOWN = 3  # lines of a proxy's log
@@ -103,7 +103,9 @@
 
 def play_real(text, told, seed, proxies=None, nodes=None, plant=None, keep_logs=None):
     """One play with processes, judged."""
-    from sloeferry.rig import crew, planted, verdict
+    from sloeferry.fault_testing import planted_faults as planted
+    from sloeferry.fault_testing import verdict
+    from sloeferry.fault_testing import worker_processes as crew
 
     # A disk may take most of a second for a file that is cut short, and the driver would be late with it.
     with tempfile.TemporaryDirectory(prefix="rig-", dir=MEMORY if os.path.isdir(MEMORY) else None) as folder:
@@ -142,7 +144,7 @@
 @rig.command()
 def plants():
     """The wrong lines that can be planted, and the plan that convicts each."""
-    from sloeferry.rig import planted
+    from sloeferry.fault_testing import planted_faults as planted
 
     for name, one in planted.PLANTED.items():
         click.echo(f"{name:20s} {one.plan:12s} {one.about}")
--- a/sloeferry/rig/draw.py
+++ b/sloeferry/fault_testing/draw.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from sloeferry.rig.draw_faults import FILES, TROUBLES, FaultDrawer
+from sloeferry.fault_testing.draw_faults import FILES, TROUBLES, FaultDrawer
 
 SECONDS = 9.0
 
--- a/sloeferry/rig/draw_soak.py
+++ b/sloeferry/fault_testing/draw_soak.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from sloeferry.rig.draw_faults import FILES, TROUBLES, FaultDrawer
-from sloeferry.standins.call_failures import CallFailure
+from sloeferry.fault_testing.draw_faults import FILES, TROUBLES, FaultDrawer
+from sloeferry.stand_ins.call_failures import CallFailure
 
 SECONDS = 16.0
 LONGEST = 9.0  # seconds that discovery's failures last, past the 6 s after which news counts as told
--- a/sloeferry/rig/scribe.py
+++ b/sloeferry/fault_testing/event_recorder.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from sloeferry.rehearsal.judge import arrivals
-from sloeferry.standins.frames import content
-from sloeferry.standins.ledger import Ledger
+from sloeferry.stand_ins.effect_log import Ledger
+from sloeferry.stand_ins.http_messages import content
 
 BEAT = 0.02  # seconds between two looks at how late a process runs
 encode = msgspec.json.encode
--- a/sloeferry/rig/hands.py
+++ b/sloeferry/fault_testing/fault_actions.py
@@ -1,4 +1,4 @@
-"""Who stands round the proxies, in processes of their own: python -m sloeferry.rig.hands.
+"""Who stands round the proxies, in processes of their own: python -m sloeferry.fault_testing.fault_actions.
 
 The first line on standard input says who it is; each further one is a command.  What it has to say at once it says on
 standard output, what it saw goes into its record.
@@ -13,11 +13,11 @@
 
 import uvloop
 
-from sloeferry.rig import plan as p
-from sloeferry.rig.relay import Link
-from sloeferry.rig.scribe import BEAT, Scribe
-from sloeferry.standins.callers import Callers, Front
-from sloeferry.standins.nodes import Memory, Node
+from sloeferry.fault_testing import plan as p
+from sloeferry.fault_testing.event_recorder import BEAT, Scribe
+from sloeferry.fault_testing.link_relay import Link
+from sloeferry.stand_ins.backends import Memory, Node
+from sloeferry.stand_ins.clients import Callers, Front
 
 
 def say(**what):
--- a/sloeferry/rig/relay.py
+++ b/sloeferry/fault_testing/link_relay.py
@@ -7,7 +7,7 @@
 import socket
 import struct
 
-from sloeferry.standins.frames import Frames
+from sloeferry.stand_ins.http_messages import Frames
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: what is closed then is reset
 
--- a/sloeferry/rig/plan.py
+++ b/sloeferry/fault_testing/plan.py
@@ -10,9 +10,9 @@
 import msgspec
 from msgspec import Meta
 
+from sloeferry.fault_testing import draw, draw_soak
 from sloeferry.rehearsal import scenario as s
 from sloeferry.rehearsal.scenario import Above, Fault, From0, Part, Table
-from sloeferry.rig import draw, draw_soak
 
 SHIPPED = pathlib.Path(__file__).parent / "plans"
 MOST = 400  # proxies on one machine
--- a/sloeferry/rig/planted.py
+++ b/sloeferry/fault_testing/planted_faults.py
@@ -26,13 +26,18 @@
 
 PLANTED = {
     "drain-forgotten": Wrong(
-        "lists", "3", "a node that drains is taken for ready", "net/discovery.py", '"leaving": "draining"', '"leaving": "ready"'
+        "lists",
+        "3",
+        "a node that drains is taken for ready",
+        "network/discovery_client.py",
+        '"leaving": "draining"',
+        '"leaving": "ready"',
     ),
     "changes-unheard": Wrong(
         "lists",
         "3",
         "what changes in the list is not passed on to the decisions",
-        "net/discovery.py",
+        "network/discovery_client.py",
         "        self.facade.report_list(whole, list(lines.values()), cached, news, ours)",
         "        whole and self.facade.report_list(whole, list(lines.values()), cached, news, ours)",
     ),
@@ -40,7 +45,7 @@
         "zombies",
         "3",
         "after it stood still, what discovery wrote is dropped with the watch",
-        "net/discovery.py",
+        "network/discovery_client.py",
         "if http1.quiet(sock):",
         "if True:",
     ),
@@ -48,17 +53,17 @@
         "zombies",
         "1",
         "after it stood still, what lies unread is taken for new",
-        "net/clients.py",
+        "network/clients.py",
         "if self.facade.door.stood(late):",
         "if False:",
         # Its clients have left at their expiry, which a look before the first byte sees.
-        ("return self.ended or machine.ended(self.sock)", "return self.ended"),
+        ("return self.ended or environment.ended(self.sock)", "return self.ended"),
     ),
     "past-expiry": Wrong(
         "errors",
         "1",
         "a txn's time is taken for longer than it is",
-        "core/facade.py",
+        "dispatch/dispatcher.py",
         "left -= min(self.proxy.late, left / 2)",
         "left += 400",
     ),
@@ -66,7 +71,7 @@
         "links",
         "2",
         "a once-only txn that may have run is posted again",
-        "core/decide.py",
+        "policy/policy.py",
         'return txn.scheme.kind == "referenced" and now < maybe[0].sent + txn.scheme.window - self.p.step',
         "return True",
     ),
@@ -74,7 +79,7 @@
         "links",
         "2",
         "a referenced txn that may have run is posted out of its group",
-        "core/decide.py",
+        "policy/policy.py",
         'return b.zone == first.zone if scheme.group == "zone" else b.cell == first.cell',
         "return True",
     ),
@@ -82,7 +87,7 @@
         "cut-answers",
         "2",
         "a posting that was written whole and cut counts as never run",
-        "core/facade.py",
+        "dispatch/dispatcher.py",
         "    if reached < WHOLE:\n",
         "    if reached <= WHOLE and why == BROKEN:\n",
     ),
@@ -90,7 +95,7 @@
         "errors",
         "2",
         "what may have run is declined",
-        "core/decide.py",
+        "policy/policy.py",
         'if not txn.maybe() or kind == "repeatable" or kind',
         'if True or kind == "repeatable" or kind',
     ),
@@ -98,7 +103,7 @@
         "colds",
         "4",
         "a node that has started anew is taken for warm",
-        "core/decide.py",
+        "policy/policy.py",
         "b.zone, b.cell, b.launched = zone, cell, launched",
         "b.zone, b.cell, b.launched = zone, cell, 0.0",
     ),
@@ -106,7 +111,7 @@
         "errors",
         "1",
         "a refusal is said twice",
-        "net/clients.py",
+        "network/clients.py",
         "await self.loop.sock_sendall(self.sock, data)\n        self.sending = None",
         'await self.loop.sock_sendall(self.sock, data * (1 + (b" 504 " in data[:16])))\n        self.sending = None',
     ),
@@ -114,7 +119,7 @@
         "errors",
         "1",
         "one in forty answers is never given",
-        "net/clients.py",
+        "network/clients.py",
         "                answer = what[0]\n",
         "                answer = what[0]\n                await asyncio.sleep(3 * (errand.ref % 40 == 7))\n",
     ),
@@ -122,7 +127,7 @@
         "errors",
         "1",
         "a node's error is passed on as its answer",
-        "net/backends.py",
+        "network/backends.py",
         "why = f.SERVED if answer.status == 200 else f.REJECTED",
         "why = f.SERVED if answer.status in (200, 500) else f.REJECTED",
     ),
@@ -150,7 +155,9 @@
     if name not in PLANTED:
         raise Fault(f"--plant: {name!r} is none of {', '.join(PLANTED)}")
     one, tree = PLANTED[name], pathlib.Path(folder, "planted")
-    shutil.copytree(PACKAGE, tree / "sloeferry", ignore=shutil.ignore_patterns("__pycache__", "rig", "rehearsal", "load"))
+    shutil.copytree(
+        PACKAGE, tree / "sloeferry", ignore=shutil.ignore_patterns("__pycache__", "fault_testing", "rehearsal", "load_testing")
+    )
     path = tree / "sloeferry" / one.path
     text = path.read_text()
     for right, wrong in filter(None, ((one.right, one.wrong), one.also)):
--- a/sloeferry/rig/verdict.py
+++ b/sloeferry/fault_testing/verdict.py
@@ -7,8 +7,8 @@
 from collections import defaultdict
 from random import Random
 
+from sloeferry.fault_testing.event_recorder import read
 from sloeferry.rehearsal.judge import Judge, arrivals
-from sloeferry.rig.scribe import read
 
 MOMENT = 0.4  # seconds in which who was told may not have taken it in yet
 SHOWN = 14  # events of one txn that are printed beside a broken rule
--- a/sloeferry/rig/crew.py
+++ b/sloeferry/fault_testing/worker_processes.py
@@ -16,18 +16,18 @@
 
 import uvloop
 
+from sloeferry.fault_testing import plan as p
+from sloeferry.fault_testing.event_recorder import Scribe
 from sloeferry.fleet.ask import ask_all
 from sloeferry.fleet.audit import BOUND, audit
 from sloeferry.fleet.roll import Proxy, Roll
 from sloeferry.rehearsal import live
-from sloeferry.rehearsal.bank import READY, Bank, expand, spot
-from sloeferry.rehearsal.troubles import Troubles
-from sloeferry.rig import plan as p
-from sloeferry.rig.scribe import Scribe
-from sloeferry.standins import processes
-from sloeferry.standins.call_failures import CallFailure
-from sloeferry.standins.callers import OPS, Front
-from sloeferry.standins.roster import Roster
+from sloeferry.rehearsal.faults import Troubles
+from sloeferry.rehearsal.proxy_fleet import READY, Bank, expand, spot
+from sloeferry.stand_ins import processes
+from sloeferry.stand_ins.call_failures import CallFailure
+from sloeferry.stand_ins.clients import OPS, Front
+from sloeferry.stand_ins.discovery import Roster
 
 APART = 0.05  # seconds between two starts of processes: a start holds the driver up
 STARTS = 2.0  # seconds in which a process has read its file for certain
@@ -46,7 +46,13 @@
     async def start(self, **more):
         crew = self.crew
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "sloeferry.rig.hands", cwd=ROOT, stdin=PIPE, stdout=PIPE, start_new_session=True
+            sys.executable,
+            "-m",
+            "sloeferry.fault_testing.fault_actions",
+            cwd=ROOT,
+            stdin=PIPE,
+            stdout=PIPE,
+            start_new_session=True,
         )
         crew.house.placed(self.process, crew.house.ours)
         crew.loop.create_task(self.listen())
@@ -184,7 +190,7 @@
         """As `run` starts it; where its wall clock is to be off, through the seam of machine.py."""
         self.began[daemon.at] = self.loop.time()
         off, flaky = self.offsets.get(daemon.at), daemon.at in self.flaky
-        words, environ = processes.command("sloeferry" if off is None and not flaky else "sloeferry.rig.berth")
+        words, environ = processes.command("sloeferry" if off is None and not flaky else "sloeferry.fault_testing.flaky_proxy")
         if off is not None:
             environ |= {"SLOEFERRY_RIG_CLOCK": repr(off)}
         if flaky:
--- a/sloeferry/ops/cli.py
+++ b/sloeferry/fleet/admin_cli.py
@@ -6,8 +6,9 @@
 
 import click
 
-from sloeferry.faults import Unusable
-from sloeferry.terms import Fault, address
+from sloeferry.config.errors import ConfigError
+from sloeferry.config.instance import parse_address
+from sloeferry.errors import UsageError
 
 PATIENCE = 5.0  # seconds; an answer is due within one
 
@@ -15,9 +16,9 @@
 def asked(method, path, at):
     """One call to the proxy whose operators' address that is; whether yes, and the line to say."""
     try:
-        host, port = address("--at", at)
-    except Fault as fault:
-        raise Unusable(str(fault)) from None
+        host, port = parse_address("--at", at)
+    except ConfigError as fault:
+        raise UsageError(str(fault)) from None
     connection = http.client.HTTPConnection(host, port, timeout=PATIENCE)
     try:
         connection.request(method, path)
--- a/sloeferry/fleet/audit.py
+++ b/sloeferry/fleet/audit.py
@@ -5,8 +5,8 @@
 elimination; where none is left, that is said.  Two answers that contradict each other are shown side by side.
 """
 
+from sloeferry.decision_log.decision_log import HELD
 from sloeferry.fleet.ask import Unknown
-from sloeferry.versions.ledger import HELD
 
 BOUND = 6000.0  # ms after which what discovery has to tell counts as told
 CUT = 5000.0  # ms without a word from discovery, whose watches say something every 2 s
--- a/sloeferry/fleet/cli.py
+++ b/sloeferry/fleet/cli.py
@@ -7,7 +7,7 @@
 
 import click
 
-from sloeferry.faults import Unusable
+from sloeferry.errors import UsageError
 from sloeferry.fleet import roll as r
 from sloeferry.fleet.ask import ask_all
 from sloeferry.fleet.audit import BOUND
@@ -25,7 +25,7 @@
 def asked(path, since):
     """The roll, all answers and discovery's; an interrupted one says how far it came."""
     if since is not None and not 0 <= since <= OLD:
-        raise Unusable(f"--since: {since:g} is not a number of seconds from 0 up: what is to come has no acts")
+        raise UsageError(f"--since: {since:g} is not a number of seconds from 0 up: what is to come has no acts")
     roll = r.read(path)
 
     def progress(done):
@@ -84,7 +84,7 @@
     @click.option("--json", "as_json", is_flag=True)
     def command(path, since, bound, as_json):
         if since is not None and math.isnan(since):
-            raise Unusable("--since: is no number")
+            raise UsageError("--since: is no number")
         said = audited(*asked(path, since), bound * 1000)
         click.echo(json.dumps(said, indent=1) if as_json else table(said, everybody))
         sys.exit(said["exit"])
--- /dev/null
+++ b/sloeferry/lifecycle/snapshot.py
@@ -0,0 +1,132 @@
+"""What a policy has learned, as plain data for the next process, and back.  Free of I/O.
+
+What was learned is named by request class and endpoint id, never by index: the next process may have other settings.  Times
+are those of this machine's monotonic clock (float ms), which all its processes share.  The keys are those of snapshots that
+earlier releases wrote, and are spelt here alone.
+"""
+
+from collections.abc import Mapping
+from math import inf, isfinite
+from typing import Any
+
+from sloeferry.policy.endpoints import ENDPOINT_COUNT, Endpoint
+from sloeferry.policy.histogram import MANY_BINS_BELOW_UNIT, Histogram
+from sloeferry.policy.latency_model import LEVEL_COUNT, SPREAD_COUNT
+from sloeferry.policy.policy import Policy
+from sloeferry.policy.request_classes import LATENCY_COUNT, RequestClass
+
+SAME_START_MS = 500.0  # starts so near are one start, read off two processes' clocks
+NEVER = -inf
+
+# The key of each figure in a snapshot, and the attribute that holds it.
+REQUEST_CLASS_FIGURES = {
+    "lost": "loss_rate",
+    "hint": "mean_cost_hint",
+    "hints": "cost_hint_count",
+    "most_left": "longest_time_left_ms",
+}
+ENDPOINT_FIGURES = {
+    "others": "others_in_flight",
+    "heard": "reported_at",
+    "fails": "consecutive_failures",
+    "rest_until": "ejected_until",
+    "pace": "slowdown",
+    "learned": "learned_at",
+}
+OUTLIER_FIGURES = {"cured": "cured_ratio", "errs": "error_rate", "refused": "unreachable_rate"}
+
+
+def take_snapshot(policy: Policy) -> dict[str, Any]:
+    """All that makes the next process decide as this one does."""
+    names = [each.name for each in policy.settings.request_classes]
+    return {
+        "schemes": {
+            name: _request_class(each) for name, each in zip(names, policy.classes.all, strict=True) if not each.is_removed
+        },
+        "curve": [ratios.to_list() for ratios in policy.latency.level_ratios],
+        "spread": policy.latency.spread.to_list(),
+        "gap": policy.arrivals.mean_gap_ms,
+        "mean_gain": policy.classes.mean_weight,
+        **{key: getattr(policy.outliers, name) for key, name in OUTLIER_FIGURES.items()},
+        "backends": {each.endpoint_id: _endpoint(each) for each in policy.table.active.values()},
+    }
+
+
+def _request_class(request_class: RequestClass) -> dict[str, Any]:
+    latency = request_class.idle_latency
+    figures = {key: getattr(request_class, name) for key, name in REQUEST_CLASS_FIGURES.items()}
+    return {"unit": latency.unit, "took": latency.to_list(), **figures}
+
+
+def _endpoint(endpoint: Endpoint) -> dict[str, Any]:
+    return {
+        **{key: _finite_or_none(getattr(endpoint, name)) for key, name in ENDPOINT_FIGURES.items()},
+        "launched": endpoint.started_at,
+        "others": endpoint.others_in_flight + endpoint.own_in_flight,  # to the next process its own attempts are others'
+        "slow": endpoint.latency_ratios.to_list(),
+        "sent": list(endpoint.recent_sends),
+    }
+
+
+def restore_snapshot(policy: Policy, snapshot: Mapping[str, Any]) -> None:
+    """Takes over what an earlier process had learned; the endpoint list has been taken over before.
+
+    All of it is read before any of it acts: what is not as it should be raises ValueError, KeyError or TypeError, and
+    changes nothing.
+    """
+    assignments: list[tuple[Any, dict[str, Any]]] = []
+    for promised, request_class in zip(policy.settings.request_classes, policy.classes.all, strict=True):
+        if told := snapshot["schemes"].get(promised.name):
+            assignments.append((request_class, _read_request_class(told)))
+    assignments.append((policy.latency, _read_latency(policy, snapshot)))
+    assignments.append((policy.outliers, _read_figures(snapshot, OUTLIER_FIGURES)))
+    assignments.append((policy.arrivals, {"mean_gap_ms": _number(snapshot["gap"])}))
+    assignments.append((policy.classes, {"mean_weight": _number(snapshot["mean_gain"])}))
+    sends: list[tuple[Endpoint, list[tuple[float, float]]]] = []
+    for endpoint_id, told in snapshot["backends"].items():
+        endpoint = policy.table.by_id.get(endpoint_id)
+        if endpoint is None or abs(endpoint.started_at - _number(told["launched"])) > SAME_START_MS:
+            continue  # gone, or started anew: nothing of it holds
+        ratios = Histogram(1.0, ENDPOINT_COUNT).restore(told["slow"])
+        sends.append((endpoint, [(_number(at), _number(work)) for at, work in told["sent"]]))
+        assignments.append((endpoint, {"latency_ratios": ratios, **_read_figures(told, ENDPOINT_FIGURES)}))
+    for target, values in assignments:
+        for name, value in values.items():
+            setattr(target, name, value)
+    for endpoint, recent_sends in sends:
+        endpoint.recent_sends.extend(recent_sends)
+        policy.table.activate(endpoint)
+    policy.table.invalidate_candidates()
+    policy.latency.refresh()
+
+
+def _read_request_class(told: Mapping[str, Any]) -> dict[str, Any]:
+    latency = Histogram(_number(told["unit"]), LATENCY_COUNT, (), MANY_BINS_BELOW_UNIT).restore(told["took"])
+    return {"idle_latency": latency, **_read_figures(told, REQUEST_CLASS_FIGURES)}
+
+
+def _read_latency(policy: Policy, snapshot: Mapping[str, Any]) -> dict[str, Any]:
+    if len(snapshot["curve"]) != len(policy.latency.level_ratios):
+        raise ValueError("curve: another number of levels")
+    return {
+        "level_ratios": [Histogram(1.0, LEVEL_COUNT).restore(bins) for bins in snapshot["curve"]],
+        "spread": Histogram(1.0, SPREAD_COUNT).restore(snapshot["spread"]),
+    }
+
+
+def _read_figures(told: Mapping[str, Any], figures: Mapping[str, str]) -> dict[str, float]:
+    return {name: _number(told[key]) for key, name in figures.items()}
+
+
+def _finite_or_none(figure: float) -> float | None:
+    """JSON has no infinity: a time that never was is told as null."""
+    return None if figure == NEVER else figure
+
+
+def _number(told: Any) -> float:
+    """A finite number, or the time that never was; raises ValueError where it is neither."""
+    if told is None:
+        return NEVER
+    if isinstance(told, bool) or not isinstance(told, (int, float)) or not isfinite(told):
+        raise ValueError(f"{told!r} is no number")
+    return told
--- a/sloeferry/load/cases.py
+++ b/sloeferry/load_testing/cases.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from sloeferry.load.plan import Habits, Plan
-from sloeferry.load.play import Rig, play
-from sloeferry.load.step import rig_for
+from sloeferry.load_testing.plan import Habits, Plan
+from sloeferry.load_testing.play import Rig, play
+from sloeferry.load_testing.step import rig_for
 
 CALM = 0.6  # of saturation: the load before and after
 
--- a/sloeferry/load/cli.py
+++ b/sloeferry/load_testing/cli.py
@@ -4,12 +4,12 @@
 
 import click
 
-from sloeferry.load import cases as hard
-from sloeferry.load import day as days
-from sloeferry.load import plan as p
-from sloeferry.load import step as s
-from sloeferry.load.daemons import tree_of, workshop
-from sloeferry.load.play import Rig, play
+from sloeferry.load_testing import cases as hard
+from sloeferry.load_testing import day as days
+from sloeferry.load_testing import plan as p
+from sloeferry.load_testing import step as s
+from sloeferry.load_testing.play import Rig, play
+from sloeferry.load_testing.proxies import tree_of, workshop
 
 
 def common(command):
--- a/sloeferry/load/callers.py
+++ b/sloeferry/load_testing/clients.py
@@ -1,4 +1,4 @@
-"""Open-loop callers, one worker process: python -m sloeferry.load.callers, told as JSON on standard input.
+"""Open-loop callers, one worker process: python -m sloeferry.load_testing.clients, told as JSON on standard input.
 
 Each txn goes out when it is due, on a kept connection that is free, on a new one, or on one of its own; where
 all connections that callers may hold are taken, the newest waits first and for a quarter of its SLA time at
@@ -14,8 +14,8 @@
 
 import uvloop
 
-from sloeferry.load import tally as t
-from sloeferry.load.plan import Plan, arrivals
+from sloeferry.load_testing import tally as t
+from sloeferry.load_testing.plan import Plan, arrivals
 
 AFTER = 0.05  # seconds past its patience that a caller's socket still listens
 AHEAD = 0.002  # seconds between two looks at what is due
--- a/sloeferry/load/day.py
+++ b/sloeferry/load_testing/day.py
@@ -15,10 +15,10 @@
 import tempfile
 from time import monotonic
 
-from sloeferry.load.daemons import settings
-from sloeferry.load.plan import Fault, Plan
-from sloeferry.standins import platform, processes
-from sloeferry.standins.processes import memory
+from sloeferry.load_testing.plan import Fault, Plan
+from sloeferry.load_testing.proxies import settings
+from sloeferry.stand_ins import platform, processes
+from sloeferry.stand_ins.processes import memory
 
 REPORT = b'{"inflight":1,"queue":0,"util":0.1}'
 LONG = 32 << 20  # bytes of a long answer
--- a/sloeferry/load/plan.py
+++ b/sloeferry/load_testing/plan.py
@@ -8,10 +8,10 @@
 from dataclasses import asdict, dataclass, field
 from random import Random
 
-from sloeferry.faults import Unusable
+from sloeferry.errors import UsageError
 
 
-class Fault(Unusable):
+class Fault(UsageError):
     """What was asked for can't be played; the text names the option."""
 
 
--- a/sloeferry/load/play.py
+++ b/sloeferry/load_testing/play.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass
 from time import monotonic, sleep
 
-from sloeferry.load.daemons import Daemon, workshop
-from sloeferry.load.plan import Fault, Plan
-from sloeferry.load.tally import Tally
-from sloeferry.standins.processes import free_ports
+from sloeferry.load_testing.plan import Fault, Plan
+from sloeferry.load_testing.proxies import Daemon, workshop
+from sloeferry.load_testing.tally import Tally
+from sloeferry.stand_ins.processes import free_ports
 
 LEAD = 1.0  # seconds for the workers to start before the first arrival
 HOST = "127.0.0.1"
@@ -84,7 +84,7 @@
                 addresses = [(host, int(port))]
             else:
                 standins = start(
-                    "sloeferry.load.standins",
+                    "sloeferry.load_testing.stand_in_processes",
                     {
                         "places": places,
                         "discovery": discovery,
@@ -125,7 +125,7 @@
                 address = addresses[at % len(addresses)]
                 workers.append(
                     start(
-                        "sloeferry.load.callers",
+                        "sloeferry.load_testing.clients",
                         {"plan": plan.part(at, rig.workers).as_json(), "address": address, "start": begin},
                         others,
                     )
--- a/sloeferry/load/daemons.py
+++ b/sloeferry/load_testing/proxies.py
@@ -9,8 +9,8 @@
 import threading
 from time import monotonic, sleep
 
-from sloeferry.load.plan import Fault, Plan
-from sloeferry.standins import platform, processes
+from sloeferry.load_testing.plan import Fault, Plan
+from sloeferry.stand_ins import platform, processes
 
 PATIENCE = 20.0  # seconds for a daemon to become ready
 
--- a/sloeferry/load/standins.py
+++ b/sloeferry/load_testing/stand_in_processes.py
@@ -1,4 +1,4 @@
-"""Stand-in backends and discovery in a process of their own: python -m sloeferry.load.standins, told as JSON on
+"""Stand-in backends and discovery in a process of their own: python -m sloeferry.load_testing.stand_in_processes, told as JSON on
 standard input.  Loopback only.
 
 A backend has cores and a queue; work is drawn from a seed.  It reports its load with each answer.  In the
@@ -16,9 +16,9 @@
 
 import uvloop
 
-from sloeferry.standins.ledger import Ledger
-from sloeferry.standins.nodes import Node
-from sloeferry.standins.roster import Roster
+from sloeferry.stand_ins.backends import Node
+from sloeferry.stand_ins.discovery import Roster
+from sloeferry.stand_ins.effect_log import Ledger
 
 SIGMA = 0.5  # of the logarithm of the work
 EVER = 1e6  # connections, seconds: what has no bound here
--- a/sloeferry/load/step.py
+++ b/sloeferry/load_testing/step.py
@@ -3,8 +3,8 @@
 from dataclasses import replace
 from statistics import median
 
-from sloeferry.load.plan import Fault, Plan
-from sloeferry.load.play import Rig, play
+from sloeferry.load_testing.plan import Fault, Plan
+from sloeferry.load_testing.play import Rig, play
 
 FACTORS = (0.5, 1.0, 1.5, 2.0, 4.0, 8.0)
 GOOD = 0.95  # share in time that a rate under saturation has
--- /dev/null
+++ b/sloeferry/network/connection_sweeper.py
@@ -0,0 +1,96 @@
+"""Ends client connections that take too long, and looks after requests whose client has left."""
+
+import asyncio
+from typing import TYPE_CHECKING
+
+from sloeferry import environment
+from sloeferry.network.client_connection import ClientConnection
+from sloeferry.network.limited_log import warn
+from sloeferry.network.sockets import is_quiet
+from sloeferry.network.stall_accounting import LOOP_TICK_SECONDS
+
+if TYPE_CHECKING:
+    from sloeferry.network.client_server import ClientServer
+
+IDLE_SECONDS = 60.0  # between two requests
+CROWDED_IDLE_SECONDS = 2.0  # the same where more than an eighth of the budget is taken
+CROWDED_RATIO = 1 / 8
+READ_SECONDS = 3.0  # for a head, the first from connecting
+MIN_BODY_BYTES_PER_SECOND = 32768  # that a body brings, over all of its time
+WRITE_SECONDS = 5.0  # for a slice of a response to go
+SWEEPS_PER_READ = 10
+# More idle connections than a quarter of the budget are closed after so many seconds.
+SPARE_IDLE_SECONDS = 0.2
+SPARE_IDLE_RATIO = 4
+# Past a request's deadline, when its reply waits for no decision.
+OVERDUE_MS = 30.0
+
+
+class ConnectionSweeper:
+    """Two loops, for as long as the program runs."""
+
+    def __init__(self, server: "ClientServer"):
+        self._server = server
+
+    async def sweep(self) -> None:
+        """Ends connections that have been idle, or half way through a message, for too long."""
+        while True:
+            await asyncio.sleep(READ_SECONDS / SWEEPS_PER_READ)
+            server = self._server
+            is_crowded = len(server.connections) > server.budget.limit * CROWDED_RATIO
+            idle_seconds = CROWDED_IDLE_SECONDS if is_crowded else IDLE_SECONDS
+            for connection in list(server.connections):
+                self._sweep_one(connection, idle_seconds)
+            if server.lifecycle.may_close_idle(environment.monotonic_ms()):
+                server.shutdown.close_idle()
+            self._close_spare_idle()
+
+    def _sweep_one(self, connection: ClientConnection, idle_seconds: float) -> None:
+        now, stream = environment.monotonic(), connection.stream
+        if connection.sending_since and now > connection.sending_since + WRITE_SECONDS:
+            connection.close()
+        elif connection.receiving_body_since and now > connection.receiving_body_since + READ_SECONDS:
+            connection.close_for_another()
+        elif connection.response_body and not connection.sending_since and connection.response_body.has_stalled(now):
+            connection.close()
+        elif not connection.is_busy and not stream.completed:
+            allowed = idle_seconds
+            if connection.is_new or stream.has_begun:
+                allowed = READ_SECONDS + stream.message.body_bytes / MIN_BODY_BYTES_PER_SECOND * stream.has_begun
+            if environment.monotonic() > connection.waiting_since + allowed:
+                if stream.has_begun:
+                    connection.time_out_request()
+                else:
+                    connection.close()
+
+    def _close_spare_idle(self) -> None:
+        """Some ask once and stay for good; those who let clients connect allow them only so many."""
+        budget = self._server.budget
+        idle = list(budget.idle.items())
+        for connection, (since, close) in idle[: max(0, len(idle) - budget.limit // SPARE_IDLE_RATIO)]:
+            if environment.monotonic() - since > SPARE_IDLE_SECONDS and is_quiet(connection.sock):
+                close()
+
+    async def look_after_requests(self) -> None:
+        """Tells the dispatcher of clients that have left.
+
+        Should the decisions fail, which answer before the deadline, a request is ended here all the same.
+        """
+        while True:
+            await asyncio.sleep(LOOP_TICK_SECONDS)
+            self._server.dispatcher.loop_turned()
+            self._server.stalls.loop_turned()
+            now = environment.monotonic_ms()
+            for connection in list(self._server.connections):
+                self._look_after(connection, now)
+
+    def _look_after(self, connection: ClientConnection, now: float) -> None:
+        context = connection.carrier.context
+        # Most are answered before the first look: a look at a socket costs as much as a small read.
+        if not context or context.is_answered or now <= context.arrived_at + 1000 * LOOP_TICK_SECONDS:
+            return
+        if now > context.deadline + OVERDUE_MS:
+            warn("request", "no answer decided in time: request={}", context.request_id)
+            self._server.dispatcher.client_left(context)
+        elif connection.has_client_left():
+            self._server.dispatcher.client_left(context)
--- /dev/null
+++ b/sloeferry/policy/attempt_feedback.py
@@ -0,0 +1,118 @@
+"""What the end of an attempt tells of its endpoint, its class and the fleet."""
+
+from collections.abc import Sequence
+
+from sloeferry.policy.endpoint_table import EndpointTable
+from sloeferry.policy.endpoints import Endpoint
+from sloeferry.policy.fault_attribution import FaultAttribution
+from sloeferry.policy.interface import AttemptOutcome
+from sloeferry.policy.latency_model import LatencyModel
+from sloeferry.policy.load_reporting import REPORT_MAX_AGE_MS, LoadReporting
+from sloeferry.policy.outlier_detection import OutlierDetector
+from sloeferry.policy.requests import TELLS_NOTHING, Attempt, Request
+from sloeferry.policy.safety_rules import SafetyRules
+
+GIVEN_UP = (AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED)
+# What an attempt that was given up counts for: it would have taken longer than it was waited for.
+GIVEN_UP_FACTOR = 1.5
+VERY_LATE_FACTOR = 2  # times the expected latency
+
+
+class AttemptFeedback:
+    """Passes the ends of attempts and health checks on to the models."""
+
+    def __init__(
+        self,
+        table: EndpointTable,
+        latency: LatencyModel,
+        outliers: OutlierDetector,
+        attribution: FaultAttribution,
+        rules: SafetyRules,
+        reporting: LoadReporting,
+    ):
+        self._table = table
+        self._latency = latency
+        self._outliers = outliers
+        self._attribution = attribution
+        self._rules = rules
+        self._reporting = reporting
+
+    def load_reported(self, endpoint: Endpoint, now: float, load_report: Sequence[float]) -> None:
+        """The endpoint answered, with a load report or an empty one."""
+        endpoint.unanswered_since = now if endpoint.own_in_flight else None
+        self._table.activate(endpoint)
+        index = self._reporting.in_flight_index
+        if index is not None and len(load_report) > index:
+            endpoint.others_in_flight = max(0.0, round(load_report[index]) - endpoint.own_in_flight)
+            endpoint.reported_at = now
+
+    def attempt_ended(
+        self, request: Request, attempt: Attempt, now: float, outcome: AttemptOutcome, took_ms: float, report: Sequence[float]
+    ) -> None:
+        """An attempt has ended."""
+        endpoint = attempt.endpoint
+        attempt.end(now, outcome)
+        if report:
+            self.load_reported(endpoint, now, report)
+        self._outliers.note_outcome(outcome, attempt.opens_connection)
+        if outcome is AttemptOutcome.SERVED:
+            self._served(request, attempt, now, took_ms)
+        elif outcome in GIVEN_UP:
+            self._given_up(request, attempt, now, outcome, took_ms)
+        elif outcome is AttemptOutcome.ERROR:
+            self._outliers.record_error(request, endpoint, now)
+        elif outcome not in TELLS_NOTHING:
+            self._failed(request, attempt, now, outcome)
+        if outcome is not AttemptOutcome.TIMED_OUT and not endpoint.own_in_flight:
+            endpoint.unanswered_since = None
+
+    def _served(self, request: Request, attempt: Attempt, now: float, took_ms: float) -> None:
+        endpoint = attempt.endpoint
+        endpoint.consecutive_failures, endpoint.ejected_until, endpoint.consecutive_errors = 0, 0.0, 0
+        endpoint.class_ejections.pop(request.request_class, None)
+        endpoint.last_served_sent_at.append(attempt.sent_at)
+        self._latency.learn(request, attempt, took_ms, now, self._table.ready)
+        self._outliers.record_served(request, now)
+
+    def _given_up(self, request: Request, attempt: Attempt, now: float, outcome: AttemptOutcome, took_ms: float) -> None:
+        """It timed out or was cancelled: that may be the endpoint's doing, its connection's or its request's."""
+        endpoint, request_class = attempt.endpoint, request.request_class
+        is_slow = took_ms > attempt.expected_ms and endpoint.path_quality == 1.0
+        # Where no health check is answered all classes are lost, not this one.
+        is_dead = bool(endpoint.health_checks_out) and self._outliers.is_silent(endpoint, now)
+        is_class_lost = request_class in endpoint.class_ejections or self._attribution.is_loss_likely(request_class, endpoint)
+        if is_slow and not is_dead and is_class_lost:
+            endpoint.eject_for(request_class, now, REPORT_MAX_AGE_MS)  # it serves the other classes
+        elif is_slow and not (self._rules.may_hedge and attempt.is_overtaken()):
+            self._latency.learn(request, attempt, took_ms * GIVEN_UP_FACTOR, now, self._table.ready, outcome)
+        if self._reporting.is_age_unknown:  # given up here, it goes on there, and no report says so in time
+            endpoint.abandoned_until.append(now + took_ms)
+        is_timed_out = outcome is AttemptOutcome.TIMED_OUT
+        is_very_late = is_timed_out and took_ms > VERY_LATE_FACTOR * attempt.expected_ms
+        is_outlier = self._reporting.is_age_unknown and is_very_late or self._outliers.is_silent(endpoint, now)
+        if is_outlier and not (request.is_at_fault() or endpoint.is_ejected_for(request_class, now)):
+            self._outliers.record_failure(endpoint, now)
+
+    def _failed(self, request: Request, attempt: Attempt, now: float, outcome: AttemptOutcome) -> None:
+        """It was rejected, or its connection failed."""
+        endpoint = attempt.endpoint
+        self._outliers.keep_counting(request, endpoint, now)
+        # An endpoint with open connections that takes no further one is full, but serves.
+        if outcome is not AttemptOutcome.UNREACHABLE or endpoint.open_connections <= 0:
+            self._outliers.record_failure(endpoint, now)
+        if outcome is AttemptOutcome.REJECTED:  # full, whatever it reports
+            took_ms = max(attempt.expected_ms, request.request_class.objective_ms)
+            self._latency.learn(request, attempt, took_ms, now, self._table.ready, outcome)
+
+    def health_check_ended(self, endpoint: Endpoint, now: float, outcome: AttemptOutcome, load_report: Sequence[float]) -> None:
+        """A health check has ended."""
+        del endpoint.health_checks_out[:1]
+        is_served = outcome is AttemptOutcome.SERVED
+        tells_something = outcome not in TELLS_NOTHING
+        if self._reporting.comes_with_health_checks and tells_something:
+            # Apart from attempts: health checks may pass where attempts are lost.
+            self._table.health_check_trackers[endpoint.zone].record(now, is_served)
+        if is_served:
+            self.load_reported(endpoint, now, load_report)
+        elif tells_something:
+            self._outliers.record_failure(endpoint, now)
--- /dev/null
+++ b/sloeferry/policy/candidates.py
@@ -0,0 +1,68 @@
+"""Which endpoints may be chosen: chosen anew every few ticks, and whenever the list changes."""
+
+from collections.abc import Collection
+from random import Random
+
+from sloeferry.config.settings import Settings
+from sloeferry.policy.endpoint_staleness import ListStaleness
+from sloeferry.policy.endpoint_table import EndpointTable
+from sloeferry.policy.endpoints import Endpoint
+from sloeferry.policy.fault_attribution import FaultAttribution
+from sloeferry.policy.fleet import FleetShare
+from sloeferry.policy.interface import EndpointId, EndpointState
+from sloeferry.policy.load_estimate import LoadEstimator
+from sloeferry.policy.load_reporting import REPORT_MAX_AGE_MS
+from sloeferry.policy.outlier_detection import OutlierDetector
+
+REFRESH_TICKS = 4
+SAMPLE_SIZE = 9  # endpoints of which nothing is known: they are all alike, and a choice among all costs time
+
+
+class CandidateSet:
+    """The endpoints among which the lowest estimate wins."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        fleet: FleetShare,
+        table: EndpointTable,
+        staleness: ListStaleness,
+        outliers: OutlierDetector,
+        attribution: FaultAttribution,
+        load: LoadEstimator,
+        rng: Random,
+    ):
+        self._refresh_ms = REFRESH_TICKS * settings.tick_ms
+        self._table = table
+        self._staleness = staleness
+        self._outliers = outliers
+        self._attribution = attribution
+        self._load = load
+        self._rng = rng
+        self.all: list[Endpoint] = []
+        self.home: list[Endpoint] = []  # of them, those in this proxy's zone
+        self.elsewhere: list[Endpoint] = []
+        self.home_zone = fleet.zone
+        self.ejected: Collection[EndpointId] = ()
+
+    def refresh(self, now: float) -> list[Endpoint]:
+        """The candidates: all ready endpoints that something is known of, without outliers, and a sample of the others."""
+        table = self._table
+        if now < table.candidates_chosen_at + self._refresh_ms:
+            return self.all
+        elapsed_ms, table.candidates_chosen_at = now - table.candidates_chosen_at, now
+        listed = table.ready if self._staleness.usable(now) else []
+        table.drop_inactive(now, REPORT_MAX_AGE_MS)
+        self.ejected = self._outliers.ejected(now, len(listed))
+        sample = self._rng.sample(listed, min(len(listed), SAMPLE_SIZE))
+        active = [
+            endpoint
+            for endpoint in table.active.values()
+            if endpoint.state is EndpointState.READY and endpoint.endpoint_id not in self.ejected and listed
+        ]
+        self.all = active + [endpoint for endpoint in sample if endpoint.endpoint_id not in table.active]
+        self._attribution.review(now, self.all)
+        self.home = [endpoint for endpoint in self.all if endpoint.zone == self.home_zone]
+        self.elsewhere = [endpoint for endpoint in self.all if endpoint.zone != self.home_zone]
+        self._load.refresh(now, elapsed_ms, self.all, len(listed))
+        return self.all
--- /dev/null
+++ b/sloeferry/policy/endpoint_table.py
@@ -0,0 +1,94 @@
+"""The endpoint list as this policy holds it, and what is counted by zone, cell and kind of machine."""
+
+import functools
+from collections import defaultdict
+from collections.abc import Sequence
+from math import inf
+
+from sloeferry.config.settings import Settings
+from sloeferry.policy.endpoints import Endpoint, MachineKind
+from sloeferry.policy.histogram import Histogram
+from sloeferry.policy.interface import EndpointEntry, EndpointId, EndpointState, ListScope
+from sloeferry.policy.success_rate import SuccessRateTracker
+
+ALL_MACHINES_COUNT = 100  # attempts after which what was learned of all machines is halved
+
+
+class EndpointTable:
+    """All endpoints that the list named, but for those that are gone and have nothing out."""
+
+    def __init__(self, settings: Settings):
+        self._is_only_draining_binding = settings.obligations.is_only_draining_binding
+        self.by_id: dict[EndpointId, Endpoint] = {}
+        self.ready: list[Endpoint] = []
+        self.active: dict[EndpointId, Endpoint] = {}  # those of which something was heard, or that have something out
+        self.zone_trackers: defaultdict[int, SuccessRateTracker] = defaultdict(SuccessRateTracker)
+        self.cell_trackers: defaultdict[int, SuccessRateTracker] = defaultdict(SuccessRateTracker)
+        self.health_check_trackers: defaultdict[int, SuccessRateTracker] = defaultdict(SuccessRateTracker)  # by zone
+        new_kind = functools.partial(MachineKind, Histogram(1.0, ALL_MACHINES_COUNT, [1.0] * 4))
+        self._machine_kinds: defaultdict[int, MachineKind] = defaultdict(new_kind)
+        self.candidates_chosen_at = -inf  # when the candidates were last chosen from this table
+
+    def update(self, scope: ListScope, entries: Sequence[EndpointEntry]) -> None:
+        """A list, or changes of it, came."""
+        for entry in entries:
+            self._update_endpoint(entry)
+        self.invalidate_candidates()
+        if scope is not ListScope.CHANGES:  # who is missing from a complete list is gone
+            listed = {entry.endpoint_id for entry in entries}
+            for endpoint in self.by_id.values():
+                state = endpoint.state if endpoint.endpoint_id in listed else EndpointState.GONE
+                self._set_state(endpoint, state)
+        self._forget_gone()
+        self.ready = [endpoint for endpoint in self.by_id.values() if endpoint.state is EndpointState.READY]
+
+    def _update_endpoint(self, entry: EndpointEntry) -> None:
+        endpoint = self.by_id.get(entry.endpoint_id)
+        if endpoint is None:
+            endpoint = self.by_id[entry.endpoint_id] = Endpoint(entry.endpoint_id)
+        elif entry.started_at != endpoint.started_at and entry.started_at:
+            endpoint.reset()
+        endpoint.zone, endpoint.cell, endpoint.started_at = entry.zone, entry.cell, entry.started_at
+        self._set_state(endpoint, entry.state)
+        endpoint.path_trackers = (self.zone_trackers[entry.zone], self.cell_trackers[entry.cell])
+        endpoint.machine_kind = self._machine_kinds[entry.machine_kind]
+
+    def _set_state(self, endpoint: Endpoint, state: EndpointState) -> None:
+        """Where only draining binds, an endpoint that is merely gone is used until it fails: the list may be wrong."""
+        is_unlisted = state is EndpointState.GONE and self._is_only_draining_binding
+        endpoint.is_unlisted = is_unlisted and endpoint.state is EndpointState.READY
+        endpoint.state = EndpointState.READY if endpoint.is_unlisted else state
+
+    def _forget_gone(self) -> None:
+        """Ids are ever new: endpoints that are gone would fill the memory on a long day."""
+        for endpoint in list(self.by_id.values()):
+            has_anything_out = endpoint.own_in_flight or endpoint.health_checks_out
+            if endpoint.state is EndpointState.GONE and not has_anything_out:
+                del self.by_id[endpoint.endpoint_id]
+                self.active.pop(endpoint.endpoint_id, None)
+
+    def remove_unlisted(self, endpoint: Endpoint) -> None:
+        """Neither the list nor its own answers speak for it any more."""
+        endpoint.state, endpoint.is_unlisted = EndpointState.GONE, False
+        self.invalidate_candidates()
+        self.ready.remove(endpoint)
+
+    def activate(self, endpoint: Endpoint) -> None:
+        """Something was heard of the endpoint, or was sent there."""
+        self.active[endpoint.endpoint_id] = endpoint
+
+    def drop_inactive(self, now: float, max_age_ms: float) -> None:
+        """Those with nothing out of which nothing was heard of late are like all others again."""
+        self.active = {
+            endpoint_id: endpoint
+            for endpoint_id, endpoint in self.active.items()
+            if endpoint.own_in_flight
+            or endpoint.abandoned_until
+            or endpoint.health_checks_out
+            or endpoint.consecutive_failures
+            or now - endpoint.reported_at <= max_age_ms
+        }
+
+    def invalidate_candidates(self) -> None:
+        """The candidates have to be chosen anew before the next attempt."""
+        self.candidates_chosen_at = -inf
--- /dev/null
+++ b/sloeferry/policy/policy.py
@@ -0,0 +1,294 @@
+"""All decisions of one proxy.  A host calls `Policy` as `PolicyInterface` says; it acts through `PolicyHost`.
+
+A request passes four stages, each of which passes it on, keeps it or gives it up: fresh load reports
+(`load_refresh_stage.py`), admission (`admission.py`), the choice of an endpoint (`endpoint_selection.py`) and the attempt
+(`retry_policy.py`).  Whatever sends, rejects or fails goes through `safety_rules.py`.
+"""
+
+from collections.abc import Hashable, Sequence
+from random import Random
+
+from sloeferry.config.settings import Settings
+from sloeferry.policy.admission import AdmissionController
+from sloeferry.policy.arrivals import QUESTION_TICKS, ArrivalRate
+from sloeferry.policy.attempt_feedback import AttemptFeedback
+from sloeferry.policy.candidates import CandidateSet
+from sloeferry.policy.endpoint_polling import EndpointPolling
+from sloeferry.policy.endpoint_selection import EndpointSelector
+from sloeferry.policy.endpoint_staleness import BY_SETTINGS_ALONE, StalenessLimits
+from sloeferry.policy.endpoint_table import EndpointTable
+from sloeferry.policy.extension_points import ExtensionPoints
+from sloeferry.policy.fault_attribution import FaultAttribution
+from sloeferry.policy.fleet import FleetShare
+from sloeferry.policy.health_checks import HealthCheckBudget, HealthChecks
+from sloeferry.policy.interface import AttemptOutcome, EndpointEntry, EndpointId, ListScope, PolicyHost
+from sloeferry.policy.key_affinity import KeyAffinity
+from sloeferry.policy.latency_model import LatencyModel
+from sloeferry.policy.load_estimate import LoadEstimator
+from sloeferry.policy.load_refresh import LoadRefresher
+from sloeferry.policy.load_refresh_stage import LoadRefreshStage
+from sloeferry.policy.load_reporting import LoadReporting
+from sloeferry.policy.outlier_detection import OutlierDetector
+from sloeferry.policy.request_classes import RequestClasses
+from sloeferry.policy.request_table import RequestTable
+from sloeferry.policy.requests import AttemptState, Request
+from sloeferry.policy.retry_policy import RetryPolicy
+from sloeferry.policy.safety_rules import SafetyRules
+from sloeferry.policy.slow_start import SlowStart
+from sloeferry.policy.timers import Timers
+
+NO_LIST = (ListScope.POLL_FAILED, ListScope.WATCH_ENDED)
+RETRY_SLACK_TICKS = 2  # a retry whose time left is as long as a first try's is taken for a first try
+
+
+class Policy:
+    """The decisions of one instance: takes the host's events, one after the other."""
+
+    def __init__(
+        self,
+        host: PolicyHost,
+        now: float,
+        seed: int,
+        settings: Settings,
+        staleness_limits: StalenessLimits = BY_SETTINGS_ALONE,
+    ):
+        self.settings = settings
+        self.rng = Random(seed)
+        self.timers = Timers(host)
+        self.fleet = FleetShare(settings)
+        self.extensions = ExtensionPoints()  # the host installs other subsystems' decisions here
+        self.classes = RequestClasses(settings)
+        self.arrivals = ArrivalRate(settings.tick_ms, now)
+        self.timers.max_stall_ms = self.classes.shortest_objective_ms
+        self.tick_ms = settings.tick_ms
+        self.polling = EndpointPolling(settings, host, self.timers, self.fleet, self.rng, now, staleness_limits)
+        self._build_models(settings, host)
+        self._build_stages(settings, host)
+
+    def _build_models(self, settings: Settings, host: PolicyHost) -> None:
+        """What is known of endpoints, classes and paths."""
+        rng, timers, fleet = self.rng, self.timers, self.fleet
+        self.reporting = LoadReporting.from_settings(settings)
+        self._check_timeout_ms = QUESTION_TICKS * settings.tick_ms
+        self.affinity = KeyAffinity()
+        self._has_affinity_keys = settings.has_affinity_keys
+        self.table = EndpointTable(settings)
+        self.slow_start = SlowStart(settings, fleet, self.reporting)
+        self.latency = LatencyModel(self.classes, self.arrivals, self.slow_start, self.affinity, self.extensions, self.reporting)
+        self.load = LoadEstimator(
+            settings,
+            fleet,
+            self.table,
+            self.classes,
+            self.latency,
+            self.slow_start,
+            self.arrivals,
+            self.reporting,
+            rng,
+        )
+        self.outliers = OutlierDetector(timers, self.table, self.latency, self.reporting, self._check_timeout_ms, rng)
+        self.attribution = FaultAttribution(settings, host, self.classes, self.table)
+        self.health_checks = HealthChecks(settings, host, timers, self.table, self.arrivals, self.reporting, rng)
+        staleness = self.polling.staleness
+        self.candidates = CandidateSet(settings, fleet, self.table, staleness, self.outliers, self.attribution, self.load, rng)
+
+    def _build_stages(self, settings: Settings, host: PolicyHost) -> None:
+        """What a request passes, the last stage first."""
+        rng, timers, reporting, timeout_ms = self.rng, self.timers, self.reporting, self._check_timeout_ms
+        self.rules = SafetyRules(
+            settings,
+            host,
+            timers,
+            self.table,
+            self.polling.staleness,
+            self.slow_start,
+            self.load,
+            self.latency,
+        )
+        self.selector = EndpointSelector(
+            settings,
+            self.table,
+            self.candidates,
+            self.load,
+            self.latency,
+            self.affinity,
+            self.slow_start,
+            self.rules,
+            self.outliers,
+            self.classes,
+            self.arrivals,
+            reporting,
+            rng,
+        )
+        self.requests = RequestTable(settings, timers, self.rules, self.extensions)
+        self.retries = RetryPolicy(
+            settings,
+            host,
+            timers,
+            self.rules,
+            self.requests,
+            self.selector,
+            self.latency,
+            self.attribution,
+            self.outliers,
+            self.health_checks,
+            self.extensions,
+            reporting,
+            timeout_ms,
+            rng,
+        )
+        budget = HealthCheckBudget(reporting)
+        load_refresher = LoadRefresher(self.candidates, self.load, self.health_checks, budget, timeout_ms, rng)
+        self.admission = AdmissionController(
+            timers,
+            self.requests,
+            self.retries,
+            self.selector,
+            self.load,
+            self.latency,
+            self.table,
+            self.classes,
+            self.arrivals,
+            reporting,
+            load_refresher,
+            budget,
+            timeout_ms,
+        )
+        self.load_refresh = LoadRefreshStage(
+            timers,
+            self.requests,
+            self.admission,
+            load_refresher,
+            budget,
+            self.table,
+            self.arrivals,
+            self.extensions,
+            timeout_ms,
+            rng,
+        )
+        self.feedback = AttemptFeedback(self.table, self.latency, self.outliers, self.attribution, self.rules, reporting)
+
+    # Settings
+
+    def update_settings(self, settings: Settings) -> None:
+        """Other settings, classes and tenants at the indexes that they had (`Settings.aligned_with`).
+
+        Open requests keep the classes under which they were taken; what was learned goes on.  What a part was built by
+        stays as it was: where load reports come from, this instance's place in the fleet, and the tick.
+        """
+        self.settings = settings
+        self.classes.update(settings)
+        self.timers.max_stall_ms = self.classes.shortest_objective_ms
+        for part in (self.slow_start, self.rules, self.requests, self.retries, self.attribution, self.polling):
+            part.update(settings)
+        self.latency.refresh()
+
+    # The endpoint list
+
+    def endpoints_listed(self, now: float, scope: ListScope, entries: Sequence[EndpointEntry], answers_poll: bool = True) -> None:
+        """A list came, or a poll failed (`PolicyInterface`)."""
+        if scope not in NO_LIST:
+            if entries:
+                self.health_checks.start(now)
+            self.table.update(scope, entries)
+            self.affinity.forget_rankings()
+        if answers_poll and scope is not ListScope.CACHED and self.polling.is_polling:
+            self.polling.answered(now, scope)
+
+    # Requests
+
+    def rejection_delay_ms(
+        self, now: float, class_index: int, tenant_index: int, is_retry: bool, has_waited: bool
+    ) -> float | None:
+        """Before a request is taken on: None if it may be, else the Retry-After of its rejection."""
+        request_class = self.classes.all[class_index]
+        delay = self.extensions.rejection_delay_ms(now, request_class, tenant_index, is_retry, has_waited)
+        if delay is not None:
+            self.arrivals.note(now)
+        return delay
+
+    def request_arrived(
+        self,
+        now: float,
+        request_id: int,
+        class_index: int,
+        tenant_index: int,
+        affinity_key: Hashable,
+        time_left_ms: float,
+        cost_hint: float | None,
+        is_retry: bool,
+    ) -> None:
+        """A request is taken on (`PolicyInterface`)."""
+        request_class = self.classes.all[class_index]
+        key = affinity_key if self._has_affinity_keys else 0
+        size = request_class.relative_size(cost_hint)
+        request = Request(request_id, request_class, now, time_left_ms, tenant_index, key, size)
+        request.trackers = self.classes.trackers_of(request_class, tenant_index)
+        self.affinity.count(request.affinity_key)
+        self.classes.note_weight(request.weight)
+        self.arrivals.note(now)
+        request_class.longest_time_left_ms = max(request_class.longest_time_left_ms, time_left_ms)
+        if is_retry and time_left_ms < request_class.longest_time_left_ms - RETRY_SLACK_TICKS * self.tick_ms:
+            # The client's first try began that much earlier.
+            request.objective_at = now + time_left_ms - (request_class.deadline_ms - request_class.objective_ms)
+        self.requests.add(request, now)
+        self.load_refresh.take(request, now)
+
+    def response_started(self, now: float, request_id: int, attempt_number: int) -> None:
+        """An attempt's response has begun to go out: nothing else can be done for its request."""
+        self.client_left(now, request_id)
+
+    def client_left(self, now: float, request_id: int) -> None:
+        """The client has gone: the request needs no answer."""
+        if request := self.requests.by_id.get(request_id):
+            self.requests.forget(request)
+
+    def body_outgrew_buffer(self, now: float, request_id: int, attempt_number: int) -> None:
+        """No other attempt can follow; and how long this one takes is the client's doing (`PolicyInterface`)."""
+        if request := self.requests.by_id.get(request_id):
+            request.max_attempts = 0
+            attempt = request.attempts[attempt_number]
+            for tracker in (*request.trackers, *attempt.endpoint.path_trackers):
+                tracker.attempt_ended(now, attempt, None)
+
+    # Attempts and health checks
+
+    def attempt_ended(
+        self,
+        now: float,
+        request_id: int,
+        attempt_number: int,
+        outcome: AttemptOutcome,
+        is_answered: bool,
+        took_ms: float,
+        load_report: Sequence[float],
+    ) -> None:
+        """An attempt has ended (`PolicyInterface`)."""
+        request = self.requests.by_id.get(request_id)
+        if request is None or attempt_number >= len(request.attempts):
+            return
+        attempt = request.attempts[attempt_number]
+        if attempt.state is not AttemptState.OUT:
+            return
+        self.feedback.attempt_ended(request, attempt, now, outcome, took_ms, load_report)
+        if is_answered or request.is_answered:
+            self.requests.forget(request, outcome is AttemptOutcome.SERVED)
+        elif self.retries.retry_or_give_up(request, now):
+            self.admission.admit(request, now)
+        self.admission.review(now)
+
+    def health_check_ended(
+        self, now: float, endpoint_id: EndpointId, outcome: AttemptOutcome, took_ms: float, load_report: Sequence[float]
+    ) -> None:
+        """A health check has ended (`PolicyInterface`)."""
+        endpoint = self.table.by_id.get(endpoint_id)
+        if endpoint is None:
+            return
+        self.feedback.health_check_ended(endpoint, now, outcome, load_report)
+        self.load_refresh.report_came(now)
+
+    # Timers
+
+    def timer_fired(self, now: float, token: int) -> None:
+        """A wake-up is due."""
+        self.timers.fire(now, token)
--- /dev/null
+++ b/sloeferry/policy/retry_policy.py
@@ -0,0 +1,146 @@
+"""When a request gets another attempt: after one that failed, or beside or instead of one that is silent."""
+
+from sloeferry.config.settings import Idempotency, Settings
+from sloeferry.policy.endpoint_selection import EndpointSelector
+from sloeferry.policy.endpoints import Endpoint
+from sloeferry.policy.extension_points import ExtensionPoints
+from sloeferry.policy.fault_attribution import FaultAttribution
+from sloeferry.policy.health_checks import HealthChecks
+from sloeferry.policy.interface import AttemptOutcome, PolicyHost
+from sloeferry.policy.latency_model import LatencyModel
+from sloeferry.policy.load_reporting import LoadReporting
+from sloeferry.policy.outlier_detection import MOSTLY_CURED, OutlierDetector
+from sloeferry.policy.request_table import RequestTable
+from sloeferry.policy.requests import Attempt, AttemptState, Request
+from sloeferry.policy.safety_rules import SafetyRules
+from sloeferry.policy.timers import Timers
+
+# The least odds of an answer within the latency objective: for a retry, and for one beside an attempt that is out.
+MIN_RETRY_ODDS, MIN_HEDGE_ODDS = 0.1, 0.3
+# Where errors are mostly the requests' fault, so many of them are retried, to see whether that has ended.
+ERROR_RETRY_RATIO = 0.2
+REVIEWS_PER_TYPICAL_TIME = 4
+LAST_RETRY_TICKS = 2  # before the deadline: a later retry could not be answered in time
+
+
+class RetryPolicy:
+    """Sends attempts, looks after those that are out, and decides what follows one that failed."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        host: PolicyHost,
+        timers: Timers,
+        rules: SafetyRules,
+        requests: RequestTable,
+        selector: EndpointSelector,
+        latency: LatencyModel,
+        attribution: FaultAttribution,
+        outliers: OutlierDetector,
+        health_checks: HealthChecks,
+        extensions: ExtensionPoints,
+        reporting: LoadReporting,
+        check_timeout_ms: float,
+        rng,
+    ):
+        self._host = host
+        self._timers = timers
+        self._rules = rules
+        self._requests = requests
+        self._selector = selector
+        self._latency = latency
+        self._attribution = attribution
+        self._outliers = outliers
+        self._health_checks = health_checks
+        self._extensions = extensions
+        self._reporting = reporting
+        self._check_timeout_ms = check_timeout_ms
+        self._rng = rng
+        self._tick_ms = settings.tick_ms
+        self.update(settings)
+
+    def update(self, settings: Settings) -> None:
+        """Other settings."""
+        self._may_cancel = settings.limits.may_cancel
+
+    def send(self, request: Request, endpoint: Endpoint, now: float, expected_ms: float) -> None:
+        """Begins an attempt, and has it reviewed later on; gives the request up where a rule forbids it."""
+        attempt = self._rules.send(request, endpoint, now, expected_ms)
+        if attempt is None:
+            if not request.has_attempt_out():
+                self._requests.give_up(request)
+            return
+        request_class = request.request_class
+        if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
+            return
+        review_at = now + self._latency.review_after_ms(expected_ms, self._rules.may_hedge)
+        if self._attribution.is_loss_likely(request_class, endpoint):
+            review_at = attempt.overdue_at
+        self._timers.schedule(review_at, self._review, request, attempt)
+
+    def _review(self, now: float, request: Request, attempt: Attempt, was_checked: bool = False) -> None:
+        """An attempt is out for long: its endpoint stalls or its connection died unseen, or it just takes long."""
+        if request.is_answered or attempt.state is not AttemptState.OUT or now >= request.objective_at:
+            return
+        endpoint, may_hedge = attempt.endpoint, self._rules.may_hedge
+        is_lost = may_hedge and attempt.is_overtaken() or self._is_overdue_and_lost(request, attempt, now)
+        patience_ends = attempt.sent_at + self._latency.longest_ms
+        if not is_lost and may_hedge and now < patience_ends:
+            self._timers.schedule(patience_ends, self._review, request, attempt)
+            return
+        if not (is_lost or self._reporting.comes_with_health_checks or was_checked):
+            self._health_checks.send(endpoint, now)
+            self._timers.schedule(now + self._check_timeout_ms + self._tick_ms, self._review, request, attempt, True)
+            return
+        is_lost = is_lost or self._outliers.is_silent(endpoint, now)
+        if is_lost and self._replace(request, attempt, now):
+            return
+        next_review = now + request.request_class.typical_ms() / REVIEWS_PER_TYPICAL_TIME
+        self._timers.schedule(next_review, self._review, request, attempt)
+
+    def _is_overdue_and_lost(self, request: Request, attempt: Attempt, now: float) -> bool:
+        is_overdue = now >= attempt.overdue_at
+        return is_overdue and self._attribution.is_loss_likely(request.request_class, attempt.endpoint)
+
+    def _replace(self, request: Request, attempt: Attempt, now: float) -> bool:
+        """Hedges an attempt that is lost, or cancels it so that a retry can follow; whether that was done."""
+        if not (self._rules.may_attempt(request, now, instead_of=attempt) and self._extensions.may_retry(now, request)):
+            return False
+        choice = self._selector.choose(request, now, [each.endpoint for each in request.attempts])
+        if choice.odds <= MIN_HEDGE_ODDS:
+            return False
+        if self._rules.may_hedge:
+            self.send(request, choice.endpoint, now, choice.expected_ms)
+            return True
+        if self._may_cancel:
+            self._host.cancel_attempt(request.request_id, request.attempts.index(attempt))
+            return True
+        return False
+
+    def retry_or_give_up(self, request: Request, now: float) -> bool:
+        """An attempt ended without the request's answer: a retry, or the end.
+
+        True: the request has to be admitted anew, since nothing of it has run and no endpoint promises an answer in time.
+        """
+        if request.is_answered or request.has_attempt_out():
+            return False
+        if self._is_retry_hopeless(request, now):
+            self._requests.give_up(request)
+            return False
+        choice = self._selector.choose(request, now, [each.endpoint for each in request.attempts])
+        if choice.odds > MIN_RETRY_ODDS and self._rules.may_attempt(request, now) and self._extensions.may_retry(now, request):
+            self.send(request, choice.endpoint, now, choice.expected_ms)
+            return False
+        if not request.attempts_that_may_have_run():
+            return True
+        self._requests.give_up(request)
+        return False
+
+    def _is_retry_hopeless(self, request: Request, now: float) -> bool:
+        """No time is left, its kind is at fault, or errors are mostly the requests' fault."""
+        if now >= request.deadline - LAST_RETRY_TICKS * self._tick_ms or request.is_at_fault():
+            return True
+        has_erred = request.attempts[-1].outcome is AttemptOutcome.ERROR
+        if not (has_erred and self._outliers.cured_ratio < MOSTLY_CURED):
+            return False
+        return self._rng.random() > ERROR_RETRY_RATIO
--- a/sloeferry/rehearsal/baselines.py
+++ b/sloeferry/rehearsal/baselines.py
@@ -1,54 +1,68 @@
-"""Other ways to choose, to measure the design against; in the kit alone.
+"""Other ways to choose an endpoint, to measure the design against; for rehearsals alone.
 
-Each takes the place of `Board.choose` of a proxy in a rehearsal: who may be picked, the rules and all that is done
-about failures stay as they are.
+Each takes the place of `EndpointSelector.choose` of a proxy: which endpoints may be chosen, the safety rules and all that is
+done about failures stay as they are.
 """
 
-POLICIES = ("design", "random", "round-robin", "least-own", "best-of-two")
+from collections.abc import Collection, Sequence
 
+from sloeferry.dispatch.dispatcher import Dispatcher
+from sloeferry.policy.endpoint_selection import NO_CHOICE, Choice
+from sloeferry.policy.endpoints import Endpoint
+from sloeferry.policy.policy import Policy
+from sloeferry.policy.requests import Request
 
-def install(facade, policy):
+DESIGN = "design"
+POLICIES = (DESIGN, "random", "round-robin", "least-own", "best-of-two")
+MIN_ODDS = 0.2  # so that a baseline's choice is sent
+
+
+def install(dispatcher: Dispatcher, name: str) -> None:
     """Has this proxy choose so; the design needs nothing."""
-    if policy != "design":
-        board = facade.proxy.board
-        board.choose = Other(board, policy).choose
+    if name != DESIGN:
+        dispatcher.policy.selector.choose = Baseline(dispatcher.policy, name).choose
+
 
+class Baseline:
+    """One of the other ways."""
 
-class Other:
-    def __init__(self, board, policy):
-        self.board, self.p, self.turn = board, board.p, 0
-        self.pick = getattr(self, policy.replace("-", "_"))
+    def __init__(self, policy: Policy, name: str):
+        self._policy = policy
+        self._turn = 0
+        self._pick = getattr(self, "_" + name.replace("-", "_"))
 
-    def choose(self, txn, now, leave_out=()):
-        """As Board.choose: the backend, the odds of its answer in time, and how long is expected."""
-        board, rules, work = self.board, self.p.rules, txn.scheme.typical()
-        board.usable(now)
+    def choose(self, request: Request, now: float, excluded: Collection[Endpoint] = ()) -> Choice:
+        """As `EndpointSelector.choose`."""
+        policy, rules, work_ms = self._policy, self._policy.rules, request.request_class.typical_ms()
+        policy.candidates.refresh(now)
         fit = [
-            b
-            for b in board.open
-            if b.ident not in board.sick
-            and rules.list_usable(now)
-            and b not in leave_out
-            and rules.drops_repeats(txn, b)
-            and rules.cold_room(b, now, work)
+            endpoint
+            for endpoint in policy.table.ready
+            if endpoint.endpoint_id not in policy.candidates.ejected
+            and rules.is_list_usable(now)
+            and endpoint not in excluded
+            and rules.would_deduplicate(request, endpoint)
+            and policy.slow_start.may_send(endpoint, now, work_ms)
         ]
         if not fit:
-            return None, 0.0, 0.0
-        b = self.pick(fit, now)
-        takes = work * board.pace(b, now) * board.stretch[0]
-        return b, max(0.2, board.spread.under((txn.due - now) / takes)), takes
+            return NO_CHOICE
+        endpoint = self._pick(fit, now)
+        latency = policy.latency
+        expected_ms = work_ms * latency.slowdown(endpoint, now) * latency.stretch[0]
+        odds = latency.spread.fraction_below((request.objective_at - now) / expected_ms)
+        return Choice(endpoint, max(MIN_ODDS, odds), expected_ms)
 
-    def random(self, fit, now):
-        return self.p.rng.choice(fit)
+    def _random(self, fit: Sequence[Endpoint], now: float) -> Endpoint:
+        return self._policy.rng.choice(fit)
 
-    def round_robin(self, fit, now):
-        self.turn += 1
-        return fit[self.turn % len(fit)]
+    def _round_robin(self, fit: Sequence[Endpoint], now: float) -> Endpoint:
+        self._turn += 1
+        return fit[self._turn % len(fit)]
 
-    def least_own(self, fit, now):
-        least = min(b.own for b in fit)
-        return self.p.rng.choice([b for b in fit if b.own == least])
+    def _least_own(self, fit: Sequence[Endpoint], now: float) -> Endpoint:
+        least = min(endpoint.own_in_flight for endpoint in fit)
+        return self._policy.rng.choice([endpoint for endpoint in fit if endpoint.own_in_flight == least])
 
-    def best_of_two(self, fit, now):
-        two = self.p.rng.sample(fit, min(2, len(fit)))
-        return min(two, key=lambda b: self.board.figure(b, now))
+    def _best_of_two(self, fit: Sequence[Endpoint], now: float) -> Endpoint:
+        two = self._policy.rng.sample(fit, min(2, len(fit)))
+        return min(two, key=lambda endpoint: self._policy.load.estimate(endpoint, now))
--- a/sloeferry/rehearsal/troubles.py
+++ b/sloeferry/rehearsal/faults.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from sloeferry.rehearsal import scenario as s
-from sloeferry.standins.callers import OPS, Line
+from sloeferry.stand_ins.clients import OPS, Line
 
 AWAY, BACK = 4.0, 2.0  # seconds after which no client is left, and after which they may come again
 LEAVES = 2.0  # seconds that a drained node waits for what it still has
--- a/sloeferry/rehearsal/judge.py
+++ b/sloeferry/rehearsal/judge.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from sloeferry.rehearsal.scenario import BadTxns, Heavy, Waits
-from sloeferry.standins.frames import content
+from sloeferry.stand_ins.http_messages import content
 
 WINDOW = 5.0  # seconds
 RULES = ("1", "2", "3", "4", "protocol", "drain", "crash")
--- a/sloeferry/rehearsal/live.py
+++ b/sloeferry/rehearsal/live.py
@@ -14,10 +14,10 @@
 
 import uvloop
 
-from sloeferry.rehearsal.bank import LONGEST, READY, Bank, Berth
+from sloeferry.rehearsal.proxy_fleet import LONGEST, READY, Bank, Berth
 from sloeferry.rehearsal.scenario import Fault
-from sloeferry.standins import processes
-from sloeferry.standins.processes import Throttle, free_ports
+from sloeferry.stand_ins import processes
+from sloeferry.stand_ins.processes import Throttle, free_ports
 
 MOST, SECONDS = 16, 600  # proxies, and length of a play, that a machine is asked to carry
 
--- a/sloeferry/rehearsal/play.py
+++ b/sloeferry/rehearsal/play.py
@@ -6,13 +6,14 @@
 
 from loguru import logger
 
-from sloeferry import __main__ as daemon
-from sloeferry import machine, terms
+from sloeferry import environment
+from sloeferry.config.instance import read_instance_config
+from sloeferry.lifecycle.proxy_process import serve
 from sloeferry.rehearsal import baselines
-from sloeferry.rehearsal.bank import LONGEST, READY, Bank, Berth
 from sloeferry.rehearsal.network import Epoll, Host, Net
+from sloeferry.rehearsal.proxy_fleet import LONGEST, READY, Bank, Berth
 from sloeferry.rehearsal.scenario import moment
-from sloeferry.rehearsal.world import BEGIN, Process, World
+from sloeferry.rehearsal.virtual_time import BEGIN, Process, World
 
 EPOCH = 1767225600.0  # Unix time at the start where the scenario says none
 CALLS = {"read": 2, "write": 2, "dial": 3, "accept": 2}  # what calls cost, in parts of a txn's four calls
@@ -60,7 +61,7 @@
         host = self.house.host(self.address, self.zone)
         process = self.process = Process(self.house.world, host, self.name, self.costs)
         process.share = self.share
-        work = daemon.serve(terms.read(environ), environ, lambda facade: baselines.install(facade, self.house.policy))
+        work = serve(read_instance_config(environ), environ, lambda dispatcher: baselines.install(dispatcher, self.house.policy))
         process.main(work, self.over)
         self.bank.front.started(self.name)
 
@@ -120,7 +121,7 @@
         level = record["level"].name
         self.count[level] = self.count.get(level, 0) + 1
         if self.show:
-            self.show(f"{machine.monotonic() - BEGIN:9.4f} {level} {record['message']}")
+            self.show(f"{environment.monotonic() - BEGIN:9.4f} {level} {record['message']}")
 
 
 def play(scenario, seed, policy="design", progress=None, show=None, chance=0):
@@ -131,12 +132,12 @@
         world, log = house.world, Log(show)
         logger.remove()
         logger.add(log, level="INFO", format="{message}", catch=False)
-        real = machine.stand_in(
+        real = environment.replace(
             monotonic=world.monotonic,
-            unix=world.unix,
-            tcp=house.net.sock,
+            unix_time=world.unix,
+            tcp_socket=house.net.sock,
             epoll=lambda: Epoll(house.net),
-            ended=lambda sock: sock.closed or sock.eof or bool(sock.fault),
+            has_peer_ended=lambda sock: sock.closed or sock.eof or bool(sock.fault),
         )
         try:
             bank = Bank(scenario, house)
@@ -162,6 +163,6 @@
             return record
         finally:
             world.end()
-            machine.stand_in(**real)
+            environment.replace(**real)
             logger.remove()
             logger.add(sys.stderr, level="WARNING")
--- a/sloeferry/rehearsal/bank.py
+++ b/sloeferry/rehearsal/proxy_fleet.py
@@ -8,12 +8,12 @@
 import pathlib
 from typing import Protocol
 
+from sloeferry.rehearsal.faults import Troubles
 from sloeferry.rehearsal.judge import Judge, arrivals
-from sloeferry.rehearsal.troubles import Troubles
-from sloeferry.standins import platform
-from sloeferry.standins.callers import OPS, Callers, Front
-from sloeferry.standins.nodes import Memory, Node
-from sloeferry.standins.roster import Roster
+from sloeferry.stand_ins import platform
+from sloeferry.stand_ins.backends import Memory, Node
+from sloeferry.stand_ins.clients import OPS, Callers, Front
+from sloeferry.stand_ins.discovery import Roster
 
 READY = 30.0  # seconds until a play begins whoever is ready
 LONGEST = 3.7  # seconds from SIGTERM to SIGKILL
--- a/sloeferry/rehearsal/scenario.py
+++ b/sloeferry/rehearsal/scenario.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from sloeferry.faults import Unusable
+from sloeferry.errors import UsageError
 
 SHIPPED = pathlib.Path(__file__).parent / "scenarios"
 Above = Annotated[float, Meta(gt=0)]
@@ -20,7 +20,7 @@
 Name = Annotated[str, Meta(pattern="^[A-Za-z0-9._-]{1,64}$")]
 
 
-class Fault(Unusable):
+class Fault(UsageError):
     """What was asked for can't be played; the text names the key."""
 
 
--- a/sloeferry/standins/nodes.py
+++ b/sloeferry/stand_ins/backends.py
@@ -8,7 +8,7 @@
 import json
 from collections import deque
 
-from sloeferry.standins.frames import Frames, answer
+from sloeferry.stand_ins.http_messages import Frames, answer
 
 BEAT = 0.1  # seconds between two looks at what changes by itself
 SLACK = 1.1  # of the work that pushes a cold node over: for chance in a single txn
--- a/sloeferry/standins/call_failures.py
+++ b/sloeferry/stand_ins/call_failures.py
@@ -6,7 +6,7 @@
 
 import enum
 
-from sloeferry.standins.frames import answer
+from sloeferry.stand_ins.http_messages import answer
 
 LATE = 1.0  # seconds that a call waits in vain before discovery ends it
 
--- a/sloeferry/standins/callers.py
+++ b/sloeferry/stand_ins/clients.py
@@ -6,7 +6,7 @@
 
 import asyncio
 
-from sloeferry.standins.frames import Frames, chunked, content
+from sloeferry.stand_ins.http_messages import Frames, chunked, content
 
 OPS = 1000  # the operators' port above the clients'
 POLL = 0.05  # seconds between two questions whether a proxy is ready
--- a/sloeferry/standins/roster.py
+++ b/sloeferry/stand_ins/discovery.py
@@ -7,8 +7,8 @@
 import asyncio
 import json
 
-from sloeferry.standins.call_failures import CallFailure, fail
-from sloeferry.standins.frames import Frames, answer
+from sloeferry.stand_ins.call_failures import CallFailure, fail
+from sloeferry.stand_ins.http_messages import Frames, answer
 
 ALIVE = 2.0  # seconds between empty lines of a watch
 
--- a/sloeferry/standins/platform.py
+++ b/sloeferry/stand_ins/platform.py
@@ -1,8 +1,6 @@
 """What the platform writes for a proxy: its settings and its configuration, times in microseconds."""
 
-from sloeferry import terms
-
-KINDS = {ours: wire for wire, ours in terms.KINDS.items()} | {"once-only": "fragile"}  # on the platform's wire
+KINDS = {"repeatable": "retryable", "referenced": "dedup", "once-only": "fragile"}  # on the platform's wire
 
 
 def scheme(name, kind, sla_ms, expiry_ms, gain, group="all", window_ms=0.0):
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -2,18 +2,18 @@
 
 import unittest
 
-from sloeferry.core import ports
+from sloeferry.policy.interface import AttemptOutcome, EndpointEntry, EndpointState, ListScope
 from tests.trace import Printer, compare
 
 TENANTS = {"tenants__count": 3}
 
 
 def show(host, text=""):
-    host.proxy.board.usable(host.now)
-    host.say(text + " ".join(f"{k.part:.2f}{'*' if k.dragging else ''}" for k in host.proxy.kinds[1]))
+    host.policy.candidates.refresh(host.now)
+    host.say(text + " ".join(f"{k.rate:.2f}{'*' if k.is_at_fault else ''}" for k in host.policy.classes.tenant_trackers))
 
 
-def play(host, ref, tenant, took, how=ports.SETTLED, scheme=0):
+def play(host, ref, tenant, took, how=AttemptOutcome.SERVED, scheme=0):
     """A txn of a customer that is answered after so long, if it is sent; the clock runs on by 10 ms."""
     host.take(ref, scheme=scheme, tenant=tenant)
     sent = ref in host.sent
@@ -34,23 +34,23 @@
             host.take(ref, tenant=1)  # none of these is answered
             host.until(host.now + 40.0)
             host.take(100 + ref, tenant=ref % 2 * 2)
-            host.end(100 + ref, 0, ports.SETTLED, 0, took=40.0)
+            host.end(100 + ref, 0, AttemptOutcome.SERVED, 0, took=40.0)
         host.lines[:-2] = []
         host.until(host.now + 500.0)
         show(host, "in time by customer: ")
         for ref in range(14):
             if ref in host.sent:
-                host.end(ref, 0, ports.SETTLED, 0, took=900.0)
-        host.say("paces " + " ".join(f"{b.pace:.1f}" for b in host.proxy.board.open))
+                host.end(ref, 0, AttemptOutcome.SERVED, 0, took=900.0)
+        host.say("paces " + " ".join(f"{b.slowdown:.1f}" for b in host.policy.table.ready))
         for ref in (20, 21):
             host.take(ref, tenant=1)
         host.take(22, tenant=0)
-        host.end(22, 0, ports.SETTLED, 0, took=40.0)
-        host.end(20, 0, ports.SETTLED, 0, took=40.0)
+        host.end(22, 0, AttemptOutcome.SERVED, 0, took=40.0)
+        host.end(20, 0, AttemptOutcome.SERVED, 0, took=40.0)
         for ref in range(23, 28):
             host.until(host.now + 10.0)
             host.take(ref, tenant=1)
-            host.end(ref, 0, ports.SETTLED, 0, took=40.0)
+            host.end(ref, 0, AttemptOutcome.SERVED, 0, took=40.0)
         show(host, "in time by customer: ")
         for ref in (30, 31):
             host.take(ref, tenant=1)
@@ -78,20 +78,20 @@
             )
             host.list(*((f"b{at}",) for at in range(12)))
             for ref in range(500):
-                for b in host.proxy.board.open:
-                    b.pace, b.learned = 0.001, host.now
+                for b in host.policy.table.ready:
+                    b.slowdown, b.learned = 0.001, host.now
                 host.take(ref, left=800.0)
-                while (txn := host.proxy.ledger.txns.get(ref)) and not txn.answered:
+                while (txn := host.policy.requests.by_id.get(ref)) and not txn.is_answered:
                     host.until(host.now + took)
-                    for b in host.proxy.board.open:
-                        for _ in list(b.probes_out):
-                            host.report(b.ident, 0)
+                    for b in host.policy.table.ready:
+                        for _ in list(b.health_checks_out):
+                            host.report(b.endpoint_id, 0)
                     if txn.out():
                         host.until(host.now + took)
-                        host.end(ref, len(txn.postings) - 1, ports.SETTLED, 1, took=took)
+                        host.end(ref, len(txn.attempts) - 1, AttemptOutcome.SERVED, 1, took=took)
             out.lines.append(
                 f"{took} ms: {sum('decline' in line for line in host.lines)} of 500 refused, dragging "
-                f"{[kind.dragging for kind in sum(host.proxy.kinds, [])]}"
+                f"{[kind.is_at_fault for kind in (host.policy.classes.class_trackers + host.policy.classes.tenant_trackers)]}"
             )
         compare(self, out, "blame_quick")
 
@@ -99,11 +99,16 @@
         """Every kind that is met drags: none of them is to blame, and all go on."""
         host = Printer(**TENANTS)
         host.list(("a",), ("b",), ("c",))
-        for kind in sum(host.proxy.kinds, []):
-            kind.dragging, kind.part, kind.told = True, 0.1, 0.0
-        host.proxy.board.blame(100.0)
+        for kind in host.policy.classes.class_trackers + host.policy.classes.tenant_trackers:
+            kind.is_at_fault, kind.rate, kind.judged_at = True, 0.1, 0.0
+        host.policy.attribution.review(100.0, host.policy.candidates.all)
         host.until(100.0)
-        show(host, "dragging: " + str([kind.dragging for kind in sum(host.proxy.kinds, [])]) + " ")
+        show(
+            host,
+            "dragging: "
+            + str([kind.is_at_fault for kind in (host.policy.classes.class_trackers + host.policy.classes.tenant_trackers)])
+            + " ",
+        )
         for ref in range(6):
             host.take(ref, tenant=ref % 3)
         compare(self, host, "blame_all_drag")
@@ -114,28 +119,30 @@
         for probed in (False, True):
             host = Printer(limits__probing=True)
             host.list(("a",), ("b",), ("c",), ("d",))
-            host.proxy.schemes[0].lost, host.proxy.schemes[1].tells_of = 0.2, lambda other: True
+            host.policy.classes.all[0].loss_rate, host.policy.classes.all[1].can_be_compared_with = 0.2, lambda other: True
             host.take(1)
             host.until(50.0)
-            posting = host.proxy.ledger.txns[1].postings[0]
+            posting = host.policy.requests.by_id[1].attempts[0]
             host.until(500.0)
-            posting.backend.probes_out = [100.0] * probed
-            host.end(1, 0, ports.LATE, took=490.0)
+            posting.endpoint.health_checks_out = [100.0] * probed
+            host.end(1, 0, AttemptOutcome.TIMED_OUT, took=490.0)
             out.lines.append(
-                f"asked in vain {probed}: the scheme rests there alone {posting.backend.mutes(host.proxy.schemes[0], host.now)}"
+                f"asked in vain {probed}: the scheme rests there alone {posting.endpoint.is_ejected_for(host.policy.classes.all[0], host.now)}"
             )
         compare(self, out, "blame_silent")
 
     def test_a_rare_scheme_lags_behind(self):
         """What began to be lost a moment ago is no worse off than another scheme of which too few have ended since."""
         host, lines = Printer(), []
-        one, rare = host.proxy.schemes[:2]
+        one, rare = host.policy.classes.all[:2]
         for at in range(50):
-            one.ended(float(at), at < 20)
+            one.attempt_ended(float(at), at < 20)
             if at % 4 == 0 or at > 30:
                 rare.ended(float(at), True)
             if at % 3 == 0 or at > 30:
-                lines.append(f"at {at}: lost {one.lost:.2f} and {rare.lost:.2f}; the rare one tells of it {rare.tells_of(one)}")
+                lines.append(
+                    f"at {at}: lost {one.lost:.2f} and {rare.loss_rate:.2f}; the rare one tells of it {rare.can_be_compared_with(one)}"
+                )
         host.lines = lines
         compare(self, host, "blame_rare")
 
@@ -150,22 +157,24 @@
             host.take(ref)
             seq = 0
             while ref % 2 and host.sent.get(ref, -1) == seq:
-                host.end(ref, seq, ports.ERRED, 0, answered=False)
+                host.end(ref, seq, AttemptOutcome.ERROR, 0, answered=False)
                 seq += 1
             if not ref % 2 and ref in host.sent:
-                host.end(ref, 0, ports.SETTLED, 0)
+                host.end(ref, 0, AttemptOutcome.SERVED, 0)
             posts.append(host.sent.get(ref, -1) + 1)
         host.lines = []
-        board = host.proxy.board
+        policy = host.policy
         host.say(f"postings of those that err: {posts[1::2]}")
-        host.say(f"fails {[b.fails for b in board.open]}, ghosts {[len(b.ghosts) for b in board.open]}")
+        host.say(
+            f"fails {[b.consecutive_failures for b in policy.table.ready]}, ghosts {[len(b.abandoned_until) for b in policy.table.ready]}"
+        )
         for ref in range(100, 140):
             host.until(host.now + 20.0)
             host.take(ref)
             for seq in range(4):
                 if host.sent.get(ref, -1) == seq:
                     at_a = host.lines[-1].endswith("to a")
-                    host.end(ref, seq, ports.ERRED if at_a else ports.SETTLED, 0, answered=not at_a)
+                    host.end(ref, seq, AttemptOutcome.ERROR if at_a else AttemptOutcome.SERVED, 0, answered=not at_a)
         sent = [line.split()[-1] for line in host.lines if "post" in line and "to" in line]
         host.lines = host.lines[:2]
         host.say(f"then sent to a, by tens: {[sent[n : n + 10].count('a') for n in range(0, 40, 10)]}")
@@ -178,16 +187,18 @@
         host.list(("a",))
         for ref in range(40):
             heavy = ref % 4 == 3
-            host.proxy.take(host.now, ref, 0, 0, 0, 1000.0, 250.0 if heavy else 50.0, False)
-            host.end(ref, 0, ports.SETTLED, 0, took=250.0 if heavy else 50.0)
+            host.policy.request_arrived(host.now, ref, 0, 0, 0, 1000.0, 250.0 if heavy else 50.0, False)
+            host.end(ref, 0, AttemptOutcome.SERVED, 0, took=250.0 if heavy else 50.0)
             host.until(host.now + 20.0)
         host.lines = []
-        board, scheme = host.proxy.board, host.proxy.schemes[0]
-        host.say(f"usual {scheme.typical():.0f}, mean hint {scheme.hint:.0f}, pace {board.all['a'].pace:.2f}")
+        policy, scheme = host.policy, host.policy.classes.all[0]
+        host.say(
+            f"usual {scheme.typical_ms():.0f}, mean hint {scheme.mean_cost_hint:.0f}, pace {policy.table.by_id['a'].slowdown:.2f}"
+        )
         host.report("a", 40)
         for ref, scheme, work in ((50, 2, 20.0), (51, 0, 500.0), (52, 2, 20.0)):
-            host.proxy.take(host.now, ref, scheme, 0, 0, 1000.0, work, False)
-        host.say(f"held in this order: {[t.ref for t in host.proxy.gate.held]}")
+            host.policy.request_arrived(host.now, ref, scheme, 0, 0, 1000.0, work, False)
+        host.say(f"held in this order: {[t.request_id for t in host.policy.admission.held]}")
         compare(self, host, "blame_hint")
 
     def test_way_that_loses_for_this_proxy_alone(self):
@@ -202,7 +213,7 @@
             for name in ("h1", "h2", "w1", "w2"):
                 host.report(name, 0 if name[0] == "h" else 1)
             while open_ and open_[0][0] <= at:
-                host.end(open_.pop(0)[1], 0, ports.LATE, answered=False, took=1000.0)
+                host.end(open_.pop(0)[1], 0, AttemptOutcome.TIMED_OUT, answered=False, took=1000.0)
             host.take(ref, scheme=2)
             if ref in host.sent:
                 to = next(line for line in reversed(host.lines) if f"post {ref}/0" in line).split()[-1]
@@ -211,27 +222,27 @@
                 if lost:
                     open_.append((at + 1000, ref))
                 else:
-                    host.end(ref, 0, ports.SETTLED, took=150.0)
+                    host.end(ref, 0, AttemptOutcome.SERVED, took=150.0)
             ref += 1
         host.lines = [
             f"{start // 1000:2d} to {start // 1000 + 4} s: {sum(start <= at < start + 4000 for at, _ in sent)} "
             f"sent, {sum(start <= at < start + 4000 and to == 'w' for at, to in sent)} to the other zone"
             for start in range(0, 28000, 4000)
         ]
-        host.say("backends that rest: " + str([b.ident for b in host.proxy.board.open if b.rest_until > host.now]))
+        host.say("backends that rest: " + str([b.endpoint_id for b in host.policy.table.ready if b.ejected_until > host.now]))
         compare(self, host, "blame_way")
 
     def test_one_scheme_left_unanswered_by_some(self):
         """Backends a and b leave scheme 0 unanswered and serve scheme 1: they rest for scheme 0 alone, what is
         overdue there is soon posted elsewhere, and neither the scheme nor the backends are blamed for the rest."""
         host = Printer(schemes__0__expiry=1000.0)
-        host.proxy.schemes[1].tells_of = lambda other: True  # enough of it has ended since
+        host.policy.classes.all[1].can_be_compared_with = lambda other: True  # enough of it has ended since
         host.list(("a",), ("b",), ("c",), ("d",))
         open_, sent = [], {0: [], 1: []}
         for at in range(0, 12000, 20):
             host.until(float(at))
             while open_ and open_[0][0] <= at:
-                host.end(*open_.pop(0)[1:], ports.LATE, answered=False, took=1000.0)
+                host.end(*open_.pop(0)[1:], AttemptOutcome.TIMED_OUT, answered=False, took=1000.0)
             ref, seen = at // 20, len(host.lines)
             host.take(ref, scheme=ref % 2)
             while seen < len(host.lines):
@@ -241,14 +252,14 @@
                     one = tuple(map(int, line[2].split("/")))
                     if any(x[1:] == one for x in open_):
                         open_ = [x for x in open_ if x[1:] != one]
-                        host.end(*one, ports.WITHDRAWN, answered=False, took=400.0)
+                        host.end(*one, AttemptOutcome.CANCELLED, answered=False, took=400.0)
                 elif line[1] == "post":
                     one, to = tuple(map(int, line[2].split("/"))), line[-1]
                     sent[one[0] % 2].append((at, to))
                     if one[0] % 2 == 0 and to in "ab":
                         open_.append((at + 1000, *one))
                     else:
-                        host.end(*one, ports.SETTLED, 1 + (to in "cd"), took=100.0)
+                        host.end(*one, AttemptOutcome.SERVED, 1 + (to in "cd"), took=100.0)
         host.lines = [
             f"scheme {scheme}, {start // 1000} to {start // 1000 + 3} s: of "
             f"{sum(start <= at < start + 3000 for at, _ in posts)} postings "
@@ -256,7 +267,7 @@
             for scheme, posts in sent.items()
             for start in range(0, 12000, 3000)
         ]
-        host.say(f"dragging: {[s.prompt.dragging for s in host.proxy.schemes]}")
+        host.say(f"dragging: {[s.tracker.is_at_fault for s in host.policy.classes.all]}")
         compare(self, host, "blame_scheme_at_some")
 
     def test_no_seat_for_new_connections(self):
@@ -272,9 +283,9 @@
                 to.append(at)
                 seq = host.sent[ref]
                 if at == "a":
-                    host.end(ref, seq, ports.SETTLED, 2, took=40.0)
+                    host.end(ref, seq, AttemptOutcome.SERVED, 2, took=40.0)
                     break
-                host.end(ref, seq, ports.UNREACHED, answered=False)
+                host.end(ref, seq, AttemptOutcome.UNREACHABLE, answered=False)
                 if host.sent[ref] == seq:
                     break
             host.until(host.now + 50.0)
@@ -285,8 +296,8 @@
         host.lines = [f"of each ten postings to a: {[to[n : n + 10].count('a') for n in range(0, len(to) - 9, 10)]}"]
         host.say(f"then to {first}, and while that is out to {'a' if second == 'a' else 'another or none'}")
         if second == "a":
-            host.end(101, 0, ports.UNREACHED, answered=False)
-        host.say(f"a rests: {host.proxy.board.all['a'].rest_until > host.now}")
+            host.end(101, 0, AttemptOutcome.UNREACHABLE, answered=False)
+        host.say(f"a rests: {host.policy.table.by_id['a'].ejected_until > host.now}")
         compare(self, host, "blame_seat")
 
     def test_kind_of_machine_and_heavy_txns(self):
@@ -294,22 +305,24 @@
         txn whose hint says that it takes most of its SLA time goes there though it holds more, a light one not."""
         host = Printer(load_info__via="answers")
         names = ("q1", "q2", "q3", "s1", "s2", "s3")
-        host.proxy.listed(0.0, ports.WHOLE, [(n, 0, n[0] == "s", 0, ports.READY, 1.0, 0.0) for n in names])
+        host.policy.endpoints_listed(
+            0.0, ListScope.COMPLETE, [EndpointEntry(n, 0, n[0] == "s", 0, EndpointState.READY, 0.0) for n in names]
+        )
         for ref in range(60):
-            host.proxy.take(host.now, ref, 0, 0, 0, 1000.0, 100.0, False)
+            host.policy.request_arrived(host.now, ref, 0, 0, 0, 1000.0, 100.0, False)
             to = host.lines[-1].split()[-1]
             if to == "q3":  # never heard of: its kind alone speaks for it
-                host.end(ref, 0, ports.UNKNOWN, answered=True)
+                host.end(ref, 0, AttemptOutcome.UNKNOWN, answered=True)
             else:
-                host.end(ref, 0, ports.SETTLED, 0, took=50.0 if to[0] == "q" else 90.0)
+                host.end(ref, 0, AttemptOutcome.SERVED, 0, took=50.0 if to[0] == "q" else 90.0)
             host.until(host.now + 20.0)
-        board, host.lines = host.proxy.board, []
-        host.say("paces " + " ".join(f"{b.ident}={board.pace(b, host.now):.2f}" for b in board.open))
+        policy, host.lines = host.policy, []
+        host.say("paces " + " ".join(f"{b.endpoint_id}={policy.latency.slowdown(b, host.now):.2f}" for b in policy.table.ready))
         for name in names:
-            board.report(board.all[name], host.now, (2.0 if name[0] == "q" else 1.0,))
-        board.looked, board.stretch[1:3] = -1.0, (1.1, 1.2)
+            policy.feedback.load_reported(policy.table.by_id[name], host.now, (2.0 if name[0] == "q" else 1.0,))
+        policy.table.candidates_chosen_at, policy.latency.stretch[1:3] = -1.0, (1.1, 1.2)
         for ref, work in ((100, 100.0), (101, 500.0)):
-            host.proxy.take(host.now, ref, 0, 0, 0, 1000.0, work, False)
+            host.policy.request_arrived(host.now, ref, 0, 0, 0, 1000.0, work, False)
         compare(self, host, "blame_make")
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,9 +17,10 @@
 from loguru import logger
 
 from sloeferry import __main__ as start
-from sloeferry import terms
-from sloeferry.net import backends, clients, desk, http1
-from sloeferry.net.buffers import Buffers, Seats
+from sloeferry.config.settings import REQUEST_CLASS_DEFAULTS, build_settings
+from sloeferry.network import admin_server as desk
+from sloeferry.network import backends, clients, http1
+from sloeferry.network.buffers import Buffers, DescriptorBudget
 from tests.trace import Harbour, answer, play
 
 NEVER = 3600.0  # seconds: of a look that is not to come in a test
@@ -106,14 +107,14 @@
             gate.held.set()
             return None if gate.opened.is_set() else asyncio.ensure_future(gate.opened.wait())
 
-        with mock.patch.object(self.facade, "turned", turned):
+        with mock.patch.object(self.dispatcher, "turned", turned):
             yield gate
 
     def figures(self):
         """What may be left behind of a txn."""
-        own = {b.ident: b.own for b in self.facade.proxy.board.all.values()}
+        own = {b.endpoint_id: b.own_in_flight for b in self.dispatcher.policy.table.by_id.values()}
         return (
-            f"errands {len(self.facade.errands)}, txns {len(self.facade.proxy.ledger.txns)}, open ids "
+            f"errands {len(self.dispatcher.requests)}, txns {len(self.dispatcher.policy.requests.by_id)}, open ids "
             f"{len(self.clients.open_ids)}, out {own}"
         )
 
@@ -140,10 +141,10 @@
             await h.call("safe", X_Call_Id="before")
             await story(h)
             await h.call("safe", X_Call_Id="after")
-            await until(lambda: not h.facade.errands)
+            await until(lambda: not h.dispatcher.requests)
             h.say(h.figures())
 
-        with mock.patch("sloeferry.net.clients.LOOK", NEVER):
+        with mock.patch("sloeferry.network.clients.LOOK", NEVER):
             play(self, told, name, *(harbours or [Opened({"b": answer()})]), **more)
 
     def test_before_first_byte(self):
@@ -171,7 +172,7 @@
                         await h.leaves(sock, there, end)
                     h.say(f"-- behind it {more!r}, then {'it leaves' if end else 'it stays'}")
                     gate.opened.set()
-                    await until(lambda: not h.facade.errands)
+                    await until(lambda: not h.dispatcher.requests)
                 sock.close()
                 await until(lambda: there not in h.clients.guests)
 
@@ -189,12 +190,12 @@
 
             for link in list(h.backends.idle["b"]):
                 link.close()
-            with mock.patch("sloeferry.net.http1.dial", slow):
+            with mock.patch("sloeferry.network.http1.dial", slow):
                 sock, guest = await h.sent(h.head() + b"x")
                 await gate.held.wait()
                 await h.leaves(sock, guest())
                 gate.opened.set()
-                await until(lambda: not h.facade.errands)
+                await until(lambda: not h.dispatcher.requests)
 
         self.play(story, "crossing_dial")
 
@@ -202,12 +203,12 @@
         """Unread, while the door is shut; with what it sent comes the end."""
 
         async def story(h):
-            h.facade.door.limit = 0.0
+            h.dispatcher.overload.limit = 0.0
             sock, guest = await h.sent(h.head() + b"x")
             await until(lambda: h.clients.lobby.waiting)
             there = guest()
             await h.leaves(sock, there)
-            h.facade.door.limit = float("inf")
+            h.dispatcher.overload.limit = float("inf")
             await until(lambda: there not in h.clients.guests)
 
         self.play(story, "crossing_door")
@@ -258,7 +259,7 @@
                 await h.leaves(sock, guest())
                 with mock.patch.object(backends.Link, "done", lambda link, keep: (out.append(keep), link.close())):
                     gate.opened.set()
-                    await until(lambda: not h.facade.errands)
+                    await until(lambda: not h.dispatcher.requests)
                 h.say(f"a connection untouched: {out}")
 
         self.play(story, "crossing_body")
@@ -272,7 +273,7 @@
             await until(lambda: h.asked == 2)
             await h.leaves(sock, guest())
             held.set()
-            await until(lambda: not h.facade.errands)
+            await until(lambda: not h.dispatcher.requests)
 
         class Cut(Opened):
             def say(self, text):  # which of the two is asked first is left to how long the first answer took
@@ -309,12 +310,12 @@
         ended with an order that nobody has begun: nothing of either is left behind."""
 
         async def story(h):
-            with mock.patch("sloeferry.net.clients.READING", 0.1):
+            with mock.patch("sloeferry.network.clients.READING", 0.1):
                 sock, guest = await h.sent(h.head(size=200000) + b"x" * 100000)
                 await until(lambda: guest() and guest().pulling)
                 there = guest()
                 await until(lambda: there not in h.clients.guests)
-            await until(lambda: not h.facade.errands)
+            await until(lambda: not h.dispatcher.requests)
             h.say(f"in its body: {h.figures()}")
             sock.close()
             gate = Gate()
@@ -390,7 +391,7 @@
             busy = asyncio.ensure_future(h.ask(h.head("c1"), quiet=True))
             await until(lambda: h.asked)
             sock, _ = await h.sent(h.head("last"))
-            with mock.patch("sloeferry.net.clients.STILL_COMING", 0.02), mock.patch("sloeferry.net.clients.LAST", 0.02):
+            with mock.patch("sloeferry.network.clients.STILL_COMING", 0.02), mock.patch("sloeferry.network.clients.LAST", 0.02):
                 os.kill(os.getpid(), signal.SIGTERM)
                 accept, tries = h.clients.accept, []
                 with mock.patch.object(h.clients, "accept", lambda *most: (tries.append(most), accept(*most))[1]):
@@ -399,7 +400,7 @@
                     await busy
                     with contextlib.suppress(OSError):
                         await h.gets(sock, 15)
-                    await h.proxy
+                    await h.policy
             sock.close()
             h.say("the program has ended")
 
@@ -433,14 +434,14 @@
         async def story(h):
             await until(lambda: not h.clients.guests)
             h.clients.seats.most = 1
-            with mock.patch("sloeferry.net.buffers.Seats.STUCK", 0.0):
+            with mock.patch("sloeferry.network.buffers.Seats.STUCK", 0.0):
                 sock, guest = await h.sent(h.head("c1", size=4) + b"bo")
                 await until(lambda: guest() in h.clients.seats.begun)
                 await h.call("safe", X_Call_Id="c2")
                 await h.gets(sock, 28)
                 sock.close()
             h.clients.seats.most = 9
-            with mock.patch("sloeferry.net.clients.READING", 0.1):
+            with mock.patch("sloeferry.network.clients.READING", 0.1):
                 sock, guest = await h.sent(h.head("c3", size=200000) + b"x" * 100000)
                 await h.gets(sock, 28)
             sock.close()
@@ -476,12 +477,12 @@
                 sock, guest = await h.sent(h.head(f"c{size}", size=size) + b"x" * (size - 1))
                 await until(lambda: guest() and guest().wire.begun)
                 halves.append(sock)
-            await until(lambda: h.facade.errands)
-            budgets, take, whole = [], h.facade.take, h.facade.whole
+            await until(lambda: h.dispatcher.requests)
+            budgets, take, whole = [], h.dispatcher.accept_request, h.dispatcher.body_received
             with (
-                mock.patch("sloeferry.net.clients.KILLED", -h.expiry / 2000),
-                mock.patch.object(h.facade, "take", lambda *what: (budgets.append(what[2]), take(*what))[1]),
-                mock.patch.object(h.facade, "whole", lambda *what: (budgets.append(what[1]), whole(*what))),
+                mock.patch("sloeferry.network.clients.KILLED", -h.expiry / 2000),
+                mock.patch.object(h.dispatcher, "take", lambda *what: (budgets.append(what[2]), take(*what))[1]),
+                mock.patch.object(h.dispatcher, "whole", lambda *what: (budgets.append(what[1]), whole(*what))),
             ):
                 await h.told_to_end()
                 for sock in halves:
@@ -539,13 +540,13 @@
             with tempfile.NamedTemporaryFile("w") as file, mock.patch.dict(os.environ, BALANCER_CONFIG=file.name):
                 json.dump(h.told, file)
                 file.flush()
-                h.facade.door.limit = 0.0
+                h.dispatcher.overload.limit = 0.0
                 sock, _ = await h.sent(h.head())
                 await until(lambda: h.clients.lobby.waiting)
                 for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
                     os.kill(os.getpid(), number)
                 await h.gets(sock, 15)
-                await h.proxy
+                await h.policy
                 sock.close()
             h.say("the program has ended")
 
@@ -558,7 +559,7 @@
         async def story(h):
             told = types.SimpleNamespace(turned=lambda: None)
             loop = asyncio.get_running_loop()
-            bank = backends.Backends(loop, told, terms.complete({"schemes.count": 1}), Seats(9), Buffers())
+            bank = backends.Backends(loop, told, build_settings({"schemes.count": 1}), DescriptorBudget(9), Buffers())
             bank.told("b", ("127.0.0.1", h.ports["b"]))
             socks, dial = [], http1.dial
 
@@ -566,7 +567,7 @@
                 socks.append(await dial(*what))
                 return socks[-1]
 
-            with mock.patch("sloeferry.net.http1.dial", dialled):
+            with mock.patch("sloeferry.network.http1.dial", dialled):
                 task = bank.spawn(bank.exchange("b", 1e12, lambda: True, lambda: b"GET /x HTTP/1.1\r\n\r\n"))
                 await until(lambda: h.asked == 1)
                 h.writers[-1].write(answer("first"))
@@ -593,7 +594,7 @@
                     await gate.passed()
                 return sock
 
-            with mock.patch("sloeferry.net.http1.dial", slow):
+            with mock.patch("sloeferry.network.http1.dial", slow):
                 asked = asyncio.ensure_future(h.call("once"))
                 await gate.held.wait()
                 h.backends.told("b", ("127.0.0.1", h.ports["c"]))
@@ -615,11 +616,11 @@
                     await gate.passed()
                 return await dial(*what)
 
-            with mock.patch("sloeferry.net.http1.dial", slow):
+            with mock.patch("sloeferry.network.http1.dial", slow):
                 asked = asyncio.ensure_future(h.call("keyed"))
                 await gate.held.wait()
-                [txn] = h.facade.proxy.ledger.txns.values()
-                txn.postings[0].sent -= 2 * txn.scheme.window
+                [txn] = h.dispatcher.policy.requests.by_id.values()
+                txn.attempts[0].sent -= 2 * txn.request_class.window
                 gate.opened.set()
                 await asked
             h.say(h.figures().partition(", out")[0])
@@ -634,8 +635,8 @@
             sock, guest = await h.sent(h.head(size=200000) + b"x" * 100000)
             await until(lambda: guest() and guest().pulling)
             there = guest()
-            h.facade.withdraw(there.errand.ref, 0)
-            await until(lambda: not h.facade.errands)
+            h.dispatcher.cancel_attempt(there.context.request_id, 0)
+            await until(lambda: not h.dispatcher.requests)
             h.say(f"its body is waited for still: {bool(there.pulling)}")
             sock.close()
 
@@ -653,7 +654,7 @@
             h.list("new")
             await until(lambda: "new" in h.discovery.known)
             await h.call("safe")
-            h.say(f"kept connections of {list(h.backends.idle)}; known {list(h.facade.proxy.board.all)}")
+            h.say(f"kept connections of {list(h.backends.idle)}; known {list(h.dispatcher.policy.table.by_id)}")
 
         play(self, story, "crossing_new", Opened({"b": answer()}, expiry=300))
 
@@ -704,7 +705,7 @@
                 await until(lambda: gate.held.is_set() or h.asked == 3)
                 guest().task.cancel()  # it carries its posting itself
                 gate.opened.set()
-                await until(lambda: not h.facade.errands)
+                await until(lambda: not h.dispatcher.requests)
             h.say(f"kept: {len(h.backends.idle['b'])}")
             sock.close()
 
@@ -728,7 +729,7 @@
                 def say(self, text):
                     self.lines.append(f"{name}: {text}")
 
-            with mock.patch.dict(terms.SCHEME, gain=gain):
+            with mock.patch.dict(REQUEST_CLASS_DEFAULTS, gain=gain):
                 play(self, lambda h: h.call("once"), f"crossing_{name}", Odd({"b": answer()}, expiry=500, more=settings))
 
     def test_names(self):
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -3,6 +3,7 @@
 Nothing here is decided by how long anything takes."""
 
 import asyncio
+import dataclasses
 import json
 import os
 import re
@@ -18,23 +19,31 @@
 from hypothesis import strategies as st
 from loguru import logger
 
-from sloeferry import terms
-from sloeferry.core import ports
-from sloeferry.handover import memory
-from sloeferry.handover.folder import Folder
-from sloeferry.ops.duty import CROSSING, Duty
+from sloeferry.config.errors import ConfigError
+from sloeferry.config.instance import read_instance_config
+from sloeferry.config.settings import Idempotency
+from sloeferry.lifecycle.snapshot import restore_snapshot, take_snapshot
+from sloeferry.lifecycle.snapshot_store import SnapshotStore
+from sloeferry.lifecycle.state import CROSSING, Lifecycle
+from sloeferry.policy.interface import AttemptOutcome, EndpointState
 from tests.trace import Harbour, Lines, Printer, answer, compare, play
 
+IDEMPOTENCY_WORDS = {
+    Idempotency.IDEMPOTENT: "repeatable",
+    Idempotency.DEDUPLICATED: "referenced",
+    Idempotency.NON_IDEMPOTENT: "once-only",
+}
+
 
 class Duties(unittest.TestCase):
     def test_each_state(self):
         """Whatever comes in whatever order, what is said of it: one line a step."""
         out = Lines()
         steps = {
-            "list": Duty.list_came,
+            "list": Lifecycle.list_came,
             "quiesce": lambda d: d.quiesce(0.0),
-            "resume": Duty.resume,
-            "sigterm": Duty.leave,
+            "resume": Lifecycle.resume,
+            "sigterm": Lifecycle.leave,
             "another serves": lambda d: d.__dict__.update(companions=1),
             "it ends": lambda d: d.__dict__.update(companions=0),
         }
@@ -48,7 +57,7 @@
             "another serves, list, sigterm, it ends",
             "sigterm list",
         ):
-            duty = Duty()
+            duty = Lifecycle()
             out.lines.append(f"-- {way}")
             for step in way.split(", ") if "," in way else way.split():
                 for one in [step] if step in steps else step.split():
@@ -62,7 +71,7 @@
     @settings(max_examples=200, deadline=None)
     @given(st.lists(st.sampled_from(["list", "quiesce", "resume", "leave", "mate", "alone"]), max_size=12))
     def test_never_at_odds(self, steps):
-        duty = Duty()
+        duty = Lifecycle()
         for step in steps:
             {
                 "list": duty.list_came,
@@ -110,8 +119,8 @@
             file.write(told if isinstance(told, str) else json.dumps(told))
             file.flush()
             try:
-                return terms.read({"BALANCER_CONFIG": file.name}, former)
-            except terms.Fault as fault:
+                return read_instance_config({"BALANCER_CONFIG": file.name}, former)
+            except ConfigError as fault:
                 return str(fault).replace(file.name, "FILE")
 
     def test_turned_down_whole(self):
@@ -165,11 +174,10 @@
         out = Lines()
         for berth in (former, second, third):
             out.lines.append(
-                f"{berth.named('schemes')} {berth.named('tenants')} "
+                f"{berth.settings.class_indexes()} {berth.settings.tenant_indexes()} "
                 + " ".join(
-                    f"{at}:{berth.terms[f'schemes.{at}.name']}/{berth.terms[f'schemes.{at}.expiry']:.0f}/"
-                    f"{berth.terms[f'schemes.{at}.idempotency']}"
-                    for at in range(int(berth.terms["schemes.count"]))
+                    f"{at}:{one.name}/{one.deadline_ms:.0f}/{IDEMPOTENCY_WORDS[one.idempotency]}"
+                    for at, one in enumerate(berth.settings.request_classes)
                 )
             )
         compare(self, out, "settings_places")
@@ -180,16 +188,20 @@
         host.list(("a",), ("b",), ("c",), ("d",))
         host.take(1)
         host.take(2)
-        other = dict(host.proxy.terms, **{"limits.most_postings": 4, "schemes.0.idempotency": "once-only"})
+        before = host.policy.settings
+        first, *others = before.request_classes
+        first = dataclasses.replace(first, idempotency=Idempotency.NON_IDEMPOTENT)
+        limits = dataclasses.replace(before.limits, max_attempts=4)
+        other = dataclasses.replace(before, request_classes=(first, *others), limits=limits)
         host.say("other settings: scheme 0 is once-only, four postings")
-        host.proxy.retune(other)
+        host.policy.update_settings(other)
         host.take(3)
         for ref in (1, 2, 3):
-            host.end(ref, 0, ports.CUT)
-        host.end(1, 1, ports.CUT)
+            host.end(ref, 0, AttemptOutcome.CONNECTION_LOST)
+        host.end(1, 1, AttemptOutcome.CONNECTION_LOST)
         host.take(4)
         for seq in range(4):
-            host.end(4, seq, ports.UNREACHED)
+            host.end(4, seq, AttemptOutcome.UNREACHABLE)
         host.until(2000.0)
         compare(self, host, "settings_open_txns")
 
@@ -242,7 +254,7 @@
             idle, used = await h.open(), await h.open()
             for connection in (idle, used):
                 await h.call("safe", connection=connection)
-            with mock.patch("sloeferry.ops.duty.CROSSING", 0.0):
+            with mock.patch("sloeferry.lifecycle.state.CROSSING", 0.0):
                 await self.ops(h, "POST /admin/quiesce HTTP/1.1\r\n\r\n")
                 await h.ask("GET /ready HTTP/1.1\r\n\r\n")
                 h.say(f"the idle ones end: {await idle[0].read() == b''}, {await used[0].read() == b''}")
@@ -297,14 +309,14 @@
         """Who lives is seen by a lock, however he ended; a snapshot is whole, of this proxy and of now, or none."""
         out = Lines()
         with tempfile.TemporaryDirectory() as path:
-            first, second, other = Folder(path, "n", "s"), Folder(path, "n", "s"), Folder(path, "m", "s")
+            first, second, other = SnapshotStore(path, "n", "s"), SnapshotStore(path, "n", "s"), SnapshotStore(path, "m", "s")
             second.show(True)
             out.lines.append(f"others: {first.mates()}, {second.mates()}, {other.mates()}")
             os.close(second.lock)  # it was killed: nothing is tidied up
             out.lines.append(f"after one was killed: {first.mates()}")
             out.lines.append(f"nothing yet: {first.read(0.0)}")
             first.write(100.0, {"revision": 1}, {"x": [1.5]})
-            third = Folder(path, "n", "s")
+            third = SnapshotStore(path, "n", "s")
             for now in (200.0, 99.0, 1e6):
                 out.lines.append(f"at {now:.0f}: {third.read(now)}")
             with mock.patch.object(third, "boot", "another"):
@@ -336,19 +348,20 @@
                 host.take(ref)
                 ident = [line.split()[-1] for line in host.lines if f"post {ref}/0" in line][0]
                 host.until(host.now + 20.0)
-                host.end(ref, 0, ports.SETTLED, 0, took=200.0 if ident == "a" else 40.0)
-            return host.proxy
+                host.end(ref, 0, AttemptOutcome.SERVED, 0, took=200.0 if ident == "a" else 40.0)
+            return host.policy
 
         def figures(proxy):
-            return [round(s.typical(), 3) for s in proxy.schemes] + [round(b.pace, 3) for b in proxy.board.open]
+            return [round(s.typical_ms(), 3) for s in proxy.schemes] + [round(b.slowdown, 3) for b in proxy.table.ready]
 
         former, fresh, out = learned(), Printer(), Lines()
         fresh.list(("a",), ("b",), ("c",))
         for host in (former.host, fresh):
-            for at in range(3):
-                host.proxy.terms[f"schemes.{at}.name"] = f"s{at}"
-        said = json.loads(json.dumps(memory.told(former), allow_nan=False))
-        before = figures(fresh.proxy)
+            settings = host.policy.settings
+            named = [dataclasses.replace(one, name=f"s{at}") for at, one in enumerate(settings.request_classes)]
+            host.policy.settings = dataclasses.replace(settings, request_classes=tuple(named))
+        said = json.loads(json.dumps(take_snapshot(former), allow_nan=False))
+        before = figures(fresh.policy)
         for bad in (
             dict(said, curve=[]),
             dict(said, gap="x"),
@@ -357,11 +370,11 @@
             dict(said, spread=[-1.0] * 22),
         ):
             with self.assertRaises((ValueError, KeyError, TypeError)):
-                memory.taken(fresh.proxy, bad)
-            self.assertEqual(figures(fresh.proxy), before)
-        memory.taken(fresh.proxy, said)
+                restore_snapshot(fresh.policy, bad)
+            self.assertEqual(figures(fresh.policy), before)
+        restore_snapshot(fresh.policy, said)
         out.lines.append(f"before {before}")
-        out.lines.append(f"learned {figures(former)}, taken over the same: {figures(former) == figures(fresh.proxy)}")
+        out.lines.append(f"learned {figures(former)}, taken over the same: {figures(former) == figures(fresh.policy)}")
         compare(self, out, "handover_memory")
 
     def test_divided(self):
@@ -375,10 +388,10 @@
                 obligations__fall_multiple=3.0,
                 limits__probing=True,
             )
-            host.proxy.processes = processes
-            host.list(("a", 0, ports.READY, 1.0))
-            cold, sent = host.proxy.board.all["a"], 0
-            while host.proxy.rules.cold_room(cold, 1000.0, 50.0):
+            host.policy.fleet.process_count = processes
+            host.list(("a", 0, EndpointState.READY, 1.0))
+            cold, sent = host.policy.table.by_id["a"], 0
+            while host.policy.slow_start.may_send(cold, 1000.0, 50.0):
                 cold.sent.append((1000.0, 50.0))
                 sent += 1
             out.lines.append(f"{processes}: {sent} at once")
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, settings, strategies
 
-from sloeferry.core import ports
+from sloeferry.policy.interface import AttemptOutcome, EndpointState, ListScope
 from tests.trace import NAMES, Lines, Printer, compare
 
 
@@ -18,7 +18,7 @@
         for ref in range(5):
             host.take(ref, scheme=2)
             to = host.lines[-1].split()[-1]
-            host.end(ref, 0, ports.ERRED if to == "a" else ports.SETTLED, 0 if to == "a" else 1)
+            host.end(ref, 0, AttemptOutcome.ERROR if to == "a" else AttemptOutcome.SERVED, 0 if to == "a" else 1)
             host.until(host.now + 20)
         compare(self, host, "quick_errors")
 
@@ -28,10 +28,10 @@
         host.list(("a",), ("b",))
         for ref in range(3):
             host.take(ref)
-            host.end(ref, 0, ports.UNKNOWN)
-            host.end(ref, 1, ports.SETTLED, 0)
-        host.proxy.probed(host.now, "a", ports.UNKNOWN, 0.5, ())
-        host.say(str([(b.ident, b.fails, b.ghosts) for b in host.proxy.board.all.values()]))
+            host.end(ref, 0, AttemptOutcome.UNKNOWN)
+            host.end(ref, 1, AttemptOutcome.SERVED, 0)
+        host.policy.health_check_ended(host.now, "a", AttemptOutcome.UNKNOWN, 0.5, ())
+        host.say(str([(b.endpoint_id, b.consecutive_failures, b.abandoned_until) for b in host.policy.table.by_id.values()]))
         compare(self, host, "spoilt")
 
     def test_the_gone_are_forgotten(self):
@@ -41,12 +41,12 @@
             host.list((f"b{n}",), (f"b{n + 1}",))
             host.take(n)
             if n != 7:
-                host.end(n, 0, ports.SETTLED, 0)
-        board, proxy = host.proxy.board, host.proxy
+                host.end(n, 0, AttemptOutcome.SERVED, 0)
+        policy, proxy = host.policy, host.policy
         host.until(2000.0)
         host.lines[:-1] = []
         host.say(
-            f"{len(board.all)} {len(board.open)} {len(board.known)} backends, {len(proxy.ledger.txns)} txn, "
+            f"{len(policy.table.by_id)} {len(policy.table.ready)} {len(policy.table.active)} backends, {len(proxy.requests.by_id)} txn, "
             f"{len(proxy.timers)} timers"
         )
         compare(self, host, "forgotten")
@@ -60,26 +60,26 @@
         for ref in (1, 2, 3):
             host.until(host.now + 10)
             host.take(ref)
-            host.end(ref, 0, ports.SETTLED, 0)
+            host.end(ref, 0, AttemptOutcome.SERVED, 0)
         host.list(("a",), ("b",))
         for _ in range(11):
             host.until(host.now + 50)
             for name in "ab":
                 host.report(name, 0)
-        host.end(0, 1, ports.SETTLED, 0)
-        host.end(0, 0, ports.LATE, answered=True, took=1000.0)
-        host.say(f"pace of a {host.proxy.board.all['a'].pace:.1f}")
+        host.end(0, 1, AttemptOutcome.SERVED, 0)
+        host.end(0, 0, AttemptOutcome.TIMED_OUT, answered=True, took=1000.0)
+        host.say(f"pace of a {host.policy.table.by_id['a'].slowdown:.1f}")
         compare(self, host, "overtaken")
 
     def test_late_start(self):
         """All that was sent to busy backends came late while the proxy started: it goes on sending there."""
         host = Printer(limits__probing=True)
         host.list(("a",), ("b",))
-        board, host.proxy.gap = host.proxy.board, 2.0
+        policy, host.policy.arrivals.mean_gap_ms = host.policy, 2.0
         for _ in range(12):
-            board.curve.seen[1].add(5.2)
-        board.smooth()
-        host.say(" ".join(f"{s:.1f}" for s in board.stretch))
+            policy.latency.level_ratios[1].add(5.2)
+        policy.latency.refresh()
+        host.say(" ".join(f"{s:.1f}" for s in policy.latency.stretch))
         for name in "ab":
             host.report(name, 1)
         host.take(1)
@@ -89,7 +89,7 @@
         """The other proxies fill all backends, this one sends nothing and so learns nothing: it tries a few."""
         host = Printer(limits__probing=True, instances=4)
         host.list(*((name,) for name in "abcdefgh"))
-        host.proxy.gap = 2.0
+        host.policy.arrivals.mean_gap_ms = 2.0
         for name in "abcdefgh":
             host.report(name, 5)
         for ref in range(4):
@@ -101,12 +101,12 @@
         """One sent although all look crowded was expected to take as long as its queue: not for ever."""
         host = Printer(instances=40, tariffs__probe=1.0, limits__probing=True)
         host.list(("a",))
-        host.proxy.board.usable(host.now)
-        host.proxy.board.mean = [9.0, 9.0]
-        host.proxy.board.looked = 500.0
+        host.policy.candidates.refresh(host.now)
+        host.policy.load.mean_load = [9.0, 9.0]
+        host.policy.table.candidates_chosen_at = 500.0
         host.take(0)
-        host.end(0, 0, ports.SETTLED, 4, took=900.0)
-        host.say(f"a tenth end within {host.proxy.board.spread.at(0.1):.2f} of what is expected")
+        host.end(0, 0, AttemptOutcome.SERVED, 4, took=900.0)
+        host.say(f"a tenth end within {host.policy.latency.spread.quantile(0.1):.2f} of what is expected")
         compare(self, host, "crowded_teaches")
 
     def test_one_report_speaks_not_for_all(self):
@@ -117,11 +117,11 @@
         for ref, inflight in enumerate((1, 0, 1, 6)):
             host.until(250.0 * ref)
             host.take(ref)
-            host.end(ref, 0, ports.SETTLED, inflight)
-        host.proxy.board.usable(host.now)
-        host.say(f"mean {host.proxy.board.mean[True]:.1f}")
-        host.proxy.board.mean = [9.0, 9.0]
-        host.proxy.board.looked = host.now + 500.0  # all look full, and nothing newer comes
+            host.end(ref, 0, AttemptOutcome.SERVED, inflight)
+        host.policy.candidates.refresh(host.now)
+        host.say(f"mean {host.policy.load.mean_load[True]:.1f}")
+        host.policy.load.mean_load = [9.0, 9.0]
+        host.policy.table.candidates_chosen_at = host.now + 500.0  # all look full, and nothing newer comes
         for ref in range(4, 8):
             host.take(ref)
         host.until(host.now + 400.0)
@@ -140,22 +140,22 @@
             obligations__fall_multiple=3.0,
         )
         host.until(50000.0)
-        host.list(*((f"w{n}",) for n in range(6)), *((f"c{n}", 0, ports.READY, 48000.0) for n in range(6)))
+        host.list(*((f"w{n}",) for n in range(6)), *((f"c{n}", 0, EndpointState.READY, 48000.0) for n in range(6)))
         for n in range(6):
             host.report(f"w{n}", 5)
-        board = host.proxy.board
-        board.usable(host.now)
-        host.say(" ".join(f"{b.ident}={board.figure(b, host.now):.1f}" for b in board.open[4:8]))
+        policy = host.policy
+        policy.candidates.refresh(host.now)
+        host.say(" ".join(f"{b.endpoint_id}={policy.load.estimate(b, host.now):.1f}" for b in policy.table.ready[4:8]))
         host.report("c5", 3)  # more than its part: no word on what the others hold
-        board.looked = -1.0
-        board.usable(host.now)
-        host.say(f"mean {board.mean[True]:.1f}")
+        policy.table.candidates_chosen_at = -1.0
+        policy.candidates.refresh(host.now)
+        host.say(f"mean {policy.load.mean_load[True]:.1f}")
         for ref in range(4):
             host.until(host.now + 2000.0)
             host.take(ref)
             cold = host.lines[-1].split()[-1][0] == "c" and host.now < 56000.0
-            host.end(ref, 0, ports.SETTLED, 0, took=600.0 if cold else 190.0)
-        host.say(f"stretch {board.stretch[0]:.1f}, usual {host.proxy.schemes[0].typical():.0f}")
+            host.end(ref, 0, AttemptOutcome.SERVED, 0, took=600.0 if cold else 190.0)
+        host.say(f"stretch {policy.latency.stretch[0]:.1f}, usual {host.policy.classes.all[0].typical_ms():.0f}")
         compare(self, host, "cold_part")
 
     def calls(self, seed):
@@ -166,7 +166,7 @@
             host = Printer(
                 instances=40, ordinal=ordinal, seed=seed + ordinal, discovery="subscribe", obligations__must_ask_in=10000.0
             )
-            host.list(("a",), scope=ports.CACHED)
+            host.list(("a",), scope=ListScope.CACHED)
             asked, back = 0, None
             while host.now < 6000.0:
                 host.until(host.now + 5.0)
@@ -175,7 +175,7 @@
                     back = host.now + 2000.0  # a call waits its turn and is turned away
                     asked += 1
                 if host.now == back:
-                    host.list(scope=ports.FAILED)
+                    host.list(scope=ListScope.POLL_FAILED)
         return sorted(first), sorted(more)
 
     def test_all_restart_at_once(self):
@@ -201,13 +201,13 @@
         word when to come back; where txns come faster than a question is answered none is asked."""
         host = Printer(limits__probing=True, limits__retry_after=True, load_info__via="answers")
         host.list(("a",), ("b",))
-        host.proxy.gap = 2.0
+        host.policy.arrivals.mean_gap_ms = 2.0
         host.take(1)
-        host.end(1, 0, ports.SETTLED, 0)
+        host.end(1, 0, AttemptOutcome.SERVED, 0)
         for n in range(40):
-            host.proxy.later(host.now, lambda now: None)
+            host.policy.timers.schedule(host.now, lambda now: None)
         for at, token in host.wakes[-40:]:
-            host.proxy.woken(at + 400.0, token)
+            host.policy.timer_fired(at + 400.0, token)
         for ref in range(2, 7):
             host.take(ref)
         compare(self, host, "no_time")
@@ -224,7 +224,7 @@
             for name in "bcd":
                 host.report(name, 1)
             if len(host.lines) > 2 and "withdraw" in host.lines[-1]:
-                host.end(1, 0, ports.WITHDRAWN, took=host.now, answered=False)
+                host.end(1, 0, AttemptOutcome.CANCELLED, took=host.now, answered=False)
         host.take(2)
         compare(self, host, "silent")
 
@@ -236,22 +236,22 @@
         host.until(600.0)
         for name in "bc":
             host.report(name, 2)
-        board = host.proxy.board
+        policy = host.policy
         for wait in (0, 150, 300, 1000, 1000):
             host.until(host.now + wait)
-            board.usable(host.now)
-            host.say(" ".join(f"{b.ident}={board.figure(b, host.now):.2f}" for b in board.all.values()))
+            policy.candidates.refresh(host.now)
+            host.say(" ".join(f"{b.endpoint_id}={policy.load.estimate(b, host.now):.2f}" for b in policy.table.by_id.values()))
         compare(self, host, "fading")
 
     def test_slow_backend_is_tried_again(self):
         """A pace of 4 is believed ever less, or the backend would never be used again."""
         host = Printer()
         host.list(("a",), ("b",))
-        b = host.proxy.board.all["a"]
-        b.pace, b.learned = 4.0, 0.0
+        b = host.policy.table.by_id["a"]
+        b.slowdown, b.learned = 4.0, 0.0
         for now in (0.0, 4000.0, 16000.0, 40000.0):
             host.until(now)
-            host.say(f"pace {host.proxy.board.pace(b, now):.2f}")
+            host.say(f"pace {host.policy.latency.slowdown(b, now):.2f}")
         compare(self, host, "pace")
 
     def test_overload_serves_the_best_gain(self):
@@ -269,12 +269,12 @@
     def test_subscription(self):
         """Failed calls are repeated after growing, random waits, unanswered ones too; a list ends the asking."""
         host = Printer(discovery="subscribe", obligations__must_ask_in=8000.0, instances=4, ordinal=2)
-        host.list(("a",), scope=ports.CACHED)
+        host.list(("a",), scope=ListScope.CACHED)
         for _ in range(3):
             host.until(host.now + 2500)
-            host.list(scope=ports.FAILED)
+            host.list(scope=ListScope.POLL_FAILED)
         host.until(30000.0)
-        host.list(("a",), scope=ports.WHOLE)
+        host.list(("a",), scope=ListScope.COMPLETE)
         host.until(90000.0)
         compare(self, host, "subscription")
 
@@ -308,11 +308,11 @@
     def test_own_want_tells_nothing(self):
         """Probes that this proxy had no connection for: its backends don't rest for that; errors make them."""
         shown = Lines()
-        for how in (ports.NEVER_SENT, ports.UNREACHED):
+        for how in (AttemptOutcome.NEVER_SENT, AttemptOutcome.UNREACHABLE):
             host = Printer()
             host.list(("a",), ("b",), ("c",))
             for _ in range(3):
-                host.proxy.probed(0.0, "a", how, 0.0, ())
-            used = sorted(b.ident for b in host.proxy.board.usable(0.0))
+                host.policy.health_check_ended(0.0, "a", how, 0.0, ())
+            used = sorted(b.endpoint_id for b in host.policy.candidates.refresh(0.0))
             shown.lines.append(f"{NAMES[how]}: uses {' '.join(used)}")
         compare(self, shown, "own_want")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,15 +14,15 @@
 
 from click.testing import CliRunner
 
-from sloeferry.faults import Unusable
+from sloeferry.errors import UsageError
+from sloeferry.fault_testing.link_relay import Link
 from sloeferry.fleet import ask
 from sloeferry.fleet import roll as r
 from sloeferry.fleet.audit import audit
 from sloeferry.fleet.cli import fleet
-from sloeferry.rig.relay import Link
-from sloeferry.standins import platform, processes
-from sloeferry.standins.ledger import Ledger
-from sloeferry.standins.roster import Roster
+from sloeferry.stand_ins import platform, processes
+from sloeferry.stand_ins.discovery import Roster
+from sloeferry.stand_ins.effect_log import Ledger
 from tests.trace import Lines, compare
 
 ROOT = pathlib.Path(__file__).parents[1]
@@ -223,15 +223,15 @@
                 one.replace("127.0.0.1:1", "127.0.0.1:0"),
             ):
                 path.write_text(text)
-                with self.assertRaises(Unusable) as caught:
+                with self.assertRaises(UsageError) as caught:
                     r.read(path)
                 lines.lines.append(f"{text!r}  ->  {str(caught.exception).replace(folder, '')}")
             path.write_text(one)
             for words in (["--since", "-5"], ["--since", "1e12"], ["--since", "nan"]):
                 fault = CliRunner().invoke(fleet, ["audit", "--fleet", str(path), *words]).exception
-                self.assertIsInstance(fault, Unusable, words)
+                self.assertIsInstance(fault, UsageError, words)
                 lines.lines.append(f"{' '.join(words)}  ->  {fault}")
-            self.assertIsInstance(CliRunner().invoke(fleet, ["audit", "--fleet", folder + "/none"]).exception, Unusable)
+            self.assertIsInstance(CliRunner().invoke(fleet, ["audit", "--fleet", folder + "/none"]).exception, UsageError)
             said = CliRunner().invoke(fleet, ["audit", "--fleet", str(path)])  # nobody there
             self.assertEqual(said.exit_code, 3, said.output)
         compare(self, lines, "fleet_faults")
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 from loguru import logger
 
-from sloeferry.net import http1
-from sloeferry.net.clients import Guest
-from sloeferry.net.flow import Upload
-from sloeferry.net.http1 import KEPT, Framing
+from sloeferry.network import http1
+from sloeferry.network.body_stream import Upload
+from sloeferry.network.clients import ClientConnection
+from sloeferry.network.http1 import KEPT, Framing
 from tests.trace import Harbour, answer, play
 
 TOKEN = b"abcdefghijklmnopqrstuvwxyzABCXYZ0189-_"
@@ -194,12 +194,12 @@
         text = b"\r\n".join(head) + b"\r\n\r\n" + b"b" * rng.choice((length, length, length + 1, 0))
         door = types.SimpleNamespace(shut=lambda: True)
         clients = types.SimpleNamespace(
-            facade=types.SimpleNamespace(door=door, bars=lambda *_: 5.0),
+            dispatcher=types.SimpleNamespace(door=door, bars=lambda *_: 5.0),
             duty=types.SimpleNamespace(leaving=False),
             schemes={b"safe": 0},
             tenant={b"acme": 0}.get,
         )
-        if Guest.glance(types.SimpleNamespace(clients=clients), bytearray(text), len(text)):
+        if ClientConnection.glance(types.SimpleNamespace(clients=clients), bytearray(text), len(text)):
             framing = Framing(False)
             framing.feed(text, len(text))
             self.assertEqual((len(framing.whole), framing.begun, framing.fault), (1, False, None))
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -4,7 +4,10 @@
 import struct
 import unittest
 
-from sloeferry.simhost.__main__ import Adapter, BadFrame, main
+from sloeferry.bench_adapter.__main__ import serve
+from sloeferry.bench_adapter.adapter import Adapter
+from sloeferry.bench_adapter.protocol import ProtocolError
+from sloeferry.bench_adapter.replies import BenchHost, FrameBuilder
 
 A, B = bytes.fromhex("0a124a07931f"), bytes.fromhex("0a9011f2bc1f")
 
@@ -29,7 +32,7 @@
         sink = io.BytesIO()
         records, tail = start(3, [A])
         inbound = struct.pack("<HIHHQIIB", 3, 77, 0, 0, 0, 800000, 0, 0)
-        main(io.BytesIO(batch(6000000, records, tail) + batch(6000500, [struct.pack("<HH", 12, 3), inbound])), sink)
+        serve(io.BytesIO(batch(6000000, records, tail) + batch(6000500, [struct.pack("<HH", 12, 3), inbound])), sink)
         first = struct.unpack_from("<II", sink.getvalue())
         reply = sink.getvalue()[4 + first[0] :]
         codes = [struct.unpack_from("<H", reply, at)[0] for at in range(8, len(reply), 24)]
@@ -42,11 +45,11 @@
     def test_timers_are_never_early(self):
         adapter = Adapter()
         records, tail = start(0, [A, B])
-        adapter.batch(batch(1000001, records, tail)[4:])
+        adapter.handle_frame(batch(1000001, records, tail)[4:])
         for at in (1000.0011, 1000.0019, 1000.002, 123456789.0004):
-            adapter.out.clear()
-            adapter.proxies[0].host.wake(at, 5)
-            due, token = struct.unpack_from("<QQ", adapter.out.records[-1], 2)
+            replies = FrameBuilder()
+            BenchHost(0, replies).schedule_wakeup(at, 5)
+            due, token = struct.unpack_from("<QQ", replies.frame(), -22)
             self.assertTrue(at <= due / 1000 < at + 0.0011 and token == 5, (at, due))
 
     def test_what_is_no_frame(self):
@@ -63,5 +66,5 @@
         ):
             if words.startswith("never"):
                 frame = batch(1, records[:2] + records[3:], tail)
-            with self.assertRaisesRegex(BadFrame, words):
-                main(io.BytesIO(frame), io.BytesIO())
+            with self.assertRaisesRegex(ProtocolError, words):
+                serve(io.BytesIO(frame), io.BytesIO())
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 
 from sloeferry.cli import main
-from sloeferry.load import cases, play, step
-from sloeferry.load import plan as p
-from sloeferry.load import tally as t
-from sloeferry.load.cli import load
+from sloeferry.load_testing import cases, play, step
+from sloeferry.load_testing import plan as p
+from sloeferry.load_testing import tally as t
+from sloeferry.load_testing.cli import load
 
 
 class Plans(unittest.TestCase):
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -12,8 +12,9 @@
 import uvloop
 from loguru import logger
 
-from sloeferry import terms
-from sloeferry.core import decide, ports
+from sloeferry.config.settings import build_settings
+from sloeferry.policy.interface import AttemptOutcome, EndpointState, ListScope
+from sloeferry.policy.policy import Policy
 from tests.trace import Harbour, Lines, answer, compare
 
 OLD = {"limits.probing": True, "tariffs.probe": 0.002}
@@ -44,37 +45,34 @@
     def __init__(self, fleet, shape, ordinal, instances):
         self.fleet, self.shape, self.sent, self.answers, self.settled = fleet, shape, {}, {}, set()
         told = BOTH | {"old": OLD, "new": NEW}[shape] | {"instances": instances, "ordinal": ordinal}
-        self.proxy = decide.Proxy(self, fleet.now, ordinal, terms.complete(told))
+        self.policy = Policy(self, fleet.now, ordinal, build_settings(told))
 
-    def post(self, ref, backend, give_up_after):
+    def send_attempt(self, ref, backend):
         seq = self.sent[ref] = self.sent.get(ref, -1) + 1
         self.fleet.arrive(self, ref, seq, backend)
 
-    def decline(self, ref, pause):
+    def reject(self, ref, pause):
         self.fleet.paused += pause > 0
         self.answer(ref)
 
-    def reverse(self, ref):
+    def fail(self, ref):
         self.answer(ref)
 
     def answer(self, ref):
         self.answers[ref] = self.answers.get(ref, 0) + 1
 
-    def withdraw(self, ref, seq):
+    def cancel_attempt(self, ref, seq):
         pass
 
-    def watch(self):
+    def poll_endpoints(self):
         pass
 
-    def note(self, text):
-        pass
-
-    def wake(self, at, token):
-        self.fleet.at(at, self.proxy.woken, token)
+    def schedule_wakeup(self, at, token):
+        self.fleet.at(at, self.policy.timer_fired, token)
 
-    def probe(self, backend):
+    def send_health_check(self, backend):
         inflight = self.fleet.holds[backend]
-        self.fleet.at(self.fleet.now + 1, self.proxy.probed, backend, ports.SETTLED, 1.0, (inflight,))
+        self.fleet.at(self.fleet.now + 1, self.policy.health_check_ended, backend, AttemptOutcome.SERVED, 1.0, (inflight,))
 
 
 class Fleet:
@@ -94,12 +92,12 @@
             do(self.now, *what)
         self.now = until
 
-    def list(self, *lines, scope=ports.WHOLE):
+    def list(self, *lines, scope=ListScope.COMPLETE):
         for name, _, launched in lines:
             self.holds.setdefault(name, 0)
             self.free.setdefault(name, launched)
         for one in self.instances:
-            one.proxy.listed(self.now, scope, [(n, 0, 0, 0, standing, 1.0, at) for n, standing, at in lines])
+            one.policy.endpoints_listed(self.now, scope, [(n, 0, 0, 0, standing, 1.0, at) for n, standing, at in lines])
 
     def arrive(self, one, ref, seq, backend):
         self.posts.append((self.now, backend, one.shape))
@@ -116,7 +114,7 @@
         if first:
             one.answer(ref)
             one.settled.add(ref)
-        one.proxy.ended(now, ref, seq, ports.SETTLED, True, now - sent, (self.seen[backend, every][1],))
+        one.policy.attempt_ended(now, ref, seq, AttemptOutcome.SERVED, True, now - sent, (self.seen[backend, every][1],))
 
     def traffic(self, rate, start, until, rng):
         """So many txns a second at each instance."""
@@ -124,14 +122,14 @@
             when = start + rng.expovariate(rate / 1000)
             while when < until:
                 ref = next(self.order)
-                self.at(when, one.proxy.take, ref, 0, 0, rng.randrange(1, 30), 1000.0, None, False)
+                self.at(when, one.policy.request_arrived, ref, 0, 0, rng.randrange(1, 30), 1000.0, None, False)
                 self.at(when + 1000.0, self.left, one, ref)
                 when += rng.expovariate(rate / 1000)
 
     def left(self, now, one, ref):
         """The client's patience is over: whatever was taken must have its one answer by now."""
         one.answers.setdefault(ref, 0)
-        one.proxy.left(now, ref)
+        one.policy.client_left(now, ref)
 
 
 def all_told(shapes, _):
@@ -149,10 +147,10 @@
         """One answer each, nothing to a backend that drains, and neither shape starves the other."""
         fleet, out = Fleet(self.SHAPES, all_told), Lines()
         names = [f"b{n}" for n in range(8)]
-        fleet.list(*((name, ports.READY, -10000.0) for name in names))  # warm
+        fleet.list(*((name, EndpointState.READY, -10000.0) for name in names))  # warm
         fleet.traffic(13.0, 0.0, 16000.0, Random(5))  # 156 a second; eight backends can do 200, seven 175
         fleet.run(8000.0)
-        fleet.list(("b3", ports.DRAINING, -10000.0), scope=ports.CHANGES)
+        fleet.list(("b3", EndpointState.DRAINING, -10000.0), scope=ListScope.CHANGES)
         fleet.run(20000.0)
         part = {}
         for shape in ("old", "new"):
@@ -173,7 +171,7 @@
         """The cold backend's work in its fullest span over what rule 4 allows there, all instances together."""
         fleet = Fleet(["old"] * 12 + ["new"] * 24, told)
         fleet.now = 50000.0
-        fleet.list(("cold", ports.READY, 50000.0))  # nobody else is there: all want it
+        fleet.list(("cold", EndpointState.READY, 50000.0))  # nobody else is there: all want it
         fleet.traffic(4.0, 50000.0, 54000.0, Random(3))
         fleet.run(56000.0)
         worst = 0.0
@@ -197,17 +195,17 @@
         fleet = Fleet(["new"] * 3, all_told)
         names = [f"b{n}" for n in range(6)]
         for where, listed in ((before, names), (after, names[:-1])):
-            fleet.list(*((name, ports.READY, 0.0) for name in listed))
+            fleet.list(*((name, EndpointState.READY, 0.0) for name in listed))
             orders = set()
             for one in fleet.instances:
-                board, scheme = one.proxy.board, one.proxy.schemes[0]
+                policy, scheme = one.policy, one.policy.classes.all[0]
                 for n in range(400):
-                    board.keys.met(n % 200 + 1 if n % 4 else 999)
+                    policy.affinity.count(n % 200 + 1 if n % 4 else 999)
                 for key in range(1, 41):
-                    kept = board.keys.keepers(key, board.open)
-                    where.setdefault(key, set()).add(tuple(sorted(b.ident for b in kept)))
-                hot = board.keys.keepers(999, board.open)
-                orders.add(tuple(b.ident for b in hot))
+                    kept = policy.affinity.keepers(key, policy.table.ready)
+                    where.setdefault(key, set()).add(tuple(sorted(b.endpoint_id for b in kept)))
+                hot = policy.affinity.keepers(999, policy.table.ready)
+                orders.add(tuple(b.endpoint_id for b in hot))
             # Not a set's order: it differs by memory addresses, and with it who wins a tie.
             self.assertEqual(len(orders), 1)
             out.lines.append(f"of {len(listed)} backends the frequent key has {len(hot)}")
@@ -220,17 +218,17 @@
     def test_late_endings_where_nobody_can_be_asked(self):
         """A jammed backend reports nothing: one late ending has it rest, and its txn stays counted there."""
         fleet, out = Fleet(["new"], all_told), Lines()
-        fleet.list(("a", ports.READY, 0.0), ("b", ports.READY, 0.0), ("c", ports.READY, 0.0))
+        fleet.list(("a", EndpointState.READY, 0.0), ("b", EndpointState.READY, 0.0), ("c", EndpointState.READY, 0.0))
         one = fleet.instances[0]
-        one.post = lambda ref, backend, _: fleet.posts.append((fleet.now, backend, ref))
-        one.proxy.take(0.0, 1, 0, 0, 7, 1000.0, None, False)
+        one.send_attempt = lambda ref, backend: fleet.posts.append((fleet.now, backend, ref))
+        one.policy.request_arrived(0.0, 1, 0, 0, 7, 1000.0, None, False)
         jammed = fleet.posts[0][1]
-        one.proxy.ended(900.0, 1, 0, ports.LATE, True, 900.0, ())
-        b = one.proxy.board.all[jammed]
-        out.lines.append(f"rests: {b.rest_until > 900.0}; counted there: {one.proxy.board.figure(b, 950.0):.0f}")
+        one.policy.attempt_ended(900.0, 1, 0, AttemptOutcome.TIMED_OUT, True, 900.0, ())
+        b = one.policy.table.by_id[jammed]
+        out.lines.append(f"rests: {b.ejected_until > 900.0}; counted there: {one.policy.load.estimate(b, 950.0):.0f}")
         fleet.now = 950.0
         for ref in range(2, 8):
-            one.proxy.take(950.0, ref, 0, 0, 7, 1000.0, None, False)
+            one.policy.request_arrived(950.0, ref, 0, 0, 7, 1000.0, None, False)
         out.lines.append(f"six more of its key, sent there: {sum(to == jammed for _, to, _ in fleet.posts[1:])}")
         compare(self, out, "migration_late")
 
@@ -239,7 +237,7 @@
         fleet, out = Fleet(["new"], all_told), Lines()
         fleet.list()
         one = fleet.instances[0]
-        one.proxy.take(0.0, 1, 0, 0, 0, 300.0, None, False)
+        one.policy.request_arrived(0.0, 1, 0, 0, 0, 300.0, None, False)
         fleet.run(400.0)
         out.lines.append(f"answers {one.answers}, of them with a time to come back: {fleet.paused}")
         compare(self, out, "migration_pause")
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -11,12 +11,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from loguru import logger
+from sloeferry.policy.records import Txn
 
-from sloeferry.core import overload
-from sloeferry.core.records import Txn
-from sloeferry.net.alarms import Alarms
-from sloeferry.net.buffers import Buffers
-from sloeferry.net.lobby import Lobby
+from sloeferry.network.admission_queue import AdmissionQueue
+from sloeferry.network.buffers import Buffers
+from sloeferry.network.deadline_timers import DeadlineTimers
+from sloeferry.policy import overload_control as overload
 from tests.trace import Harbour, Lines, Printer, answer, compare
 
 TWO = {"tenants.count": 2, "tenants.0.share": 3.0, "tenants.1.share": 1.0, "limits.retry_after": True, "schemes.2.gain": 5.0}
@@ -25,8 +25,8 @@
 def door(**more):
     """A door in a module of its own; the schemes have an SLA time of 700 ms, the third one the most gain."""
     host = Printer(**{name.replace(".", "__"): value for name, value in (TWO | more).items()})
-    one = overload.Door(host.proxy)
-    host.proxy.stages.all.append(one)
+    one = overload.Door(host.policy)
+    host.policy.stages.all.append(one)
     return one, host
 
 
@@ -75,7 +75,7 @@
         out, now = Lines(), pressed(one, 0.0)
         one.active = {0, 1}
         now = pressed(one, now)
-        schemes = host.proxy.schemes
+        schemes = host.policy.classes.all
         ref = 0
         for tenant in (1, 0):
             taken = 0
@@ -93,7 +93,7 @@
         self.assertTrue(all(one.may_repost(0.0, None) for _ in range(100)))
         now = pressed(one, 0.0)
         for ref in range(20):
-            host.proxy.take(now, ref, 0, 0, 0, 900.0, None, False)
+            host.policy.request_arrived(now, ref, 0, 0, 0, 900.0, None, False)
         self.assertEqual(sum(one.may_repost(now, None) for _ in range(100)), int(20 * overload.RETRIES))
 
     def test_nothing_learned_while_behind(self):
@@ -102,10 +102,10 @@
         host.list(("a",))
         for behind in (False, True):
             one.limit = 50.0 if behind else INF
-            before = host.proxy.board.spread.count
+            before = host.policy.latency.spread.count
             host.take(int(behind))
             host.end(int(behind), 0, 0, 0, took=600.0)
-            self.assertEqual(host.proxy.board.spread.count > before, not behind)
+            self.assertEqual(host.policy.latency.spread.count > before, not behind)
 
     @settings(max_examples=150, deadline=None)
     @given(
@@ -119,7 +119,7 @@
     def test_properties(self, steps):
         """Counts never go wrong; without a bound nobody is outside; the better gain is never outside alone."""
         one, host = door()
-        now, out, schemes = 0.0, [], host.proxy.schemes
+        now, out, schemes = 0.0, [], host.policy.classes.all
         for what, scheme, tenant, figure in steps:
             now += one.every / 2
             if what == "beat":
@@ -153,7 +153,7 @@
             return types.SimpleNamespace(cancel=lambda entry=timers[-1]: entry in timers and timers.remove(entry))
 
         loop = types.SimpleNamespace(time=lambda: now[0], call_at=call_at)
-        alarms = Alarms(loop)
+        alarms = DeadlineTimers(loop)
 
         def task(name):
             return types.SimpleNamespace(cancel=lambda: rung.append((name, round(now[0], 3))))
@@ -175,7 +175,7 @@
         turned away, each with one read and one write; what is not plain goes on and is read as ever."""
         calls, out = [], Lines()
 
-        class Guest:
+        class ClientConnection:
             def __init__(self, name, clients):
                 self.name, self.clients, self.enrolled, self.since, self.fresh, self.barred = (
                     name,
@@ -207,9 +207,9 @@
                 may_dismiss=lambda now: budget[0],
                 queued=lambda n: None,
             )
-            lobby = Lobby(loop, types.SimpleNamespace(door=gate), Buffers())
+            lobby = AdmissionQueue(loop, types.SimpleNamespace(door=gate), Buffers())
             clients = types.SimpleNamespace(pause_of=lambda ms: [(b"Retry-After", b"%d" % ms)])
-            guests = [Guest(name, clients) for name in "abcdef"]
+            guests = [ClientConnection(name, clients) for name in "abcdef"]
             gates = {guest.name: lobby.park(guest) for guest in guests}
             lobby.timer.cancel()
 
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -16,14 +16,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sloeferry.core import decide
-from sloeferry.net import clients, discovery, http1
-from sloeferry.ops import duty
-from sloeferry.rehearsal import bank, judge, live, play, troubles
+from sloeferry.lifecycle import state as duty
+from sloeferry.network import clients, http1
+from sloeferry.network import discovery_client as discovery
+from sloeferry.policy.safety_rules import SafetyRules
+from sloeferry.policy.slow_start import SlowStart
+from sloeferry.rehearsal import faults as troubles
+from sloeferry.rehearsal import judge, live, play
+from sloeferry.rehearsal import proxy_fleet as bank
 from sloeferry.rehearsal import scenario as s
 from sloeferry.rehearsal.cli import rehearse
 from sloeferry.rehearsal.network import SENT, Epoll, Host, Net
-from sloeferry.rehearsal.world import BEGIN, Process, World
+from sloeferry.rehearsal.virtual_time import BEGIN, Process, World
 from tests import trace
 
 HERE = pathlib.Path(__file__).parent
@@ -495,7 +499,7 @@
         record = play.play(told, 3)
         self.assertEqual((record["breaches"], record["nodes"]["fell"]), ([], 1))
         at_once = s.checked((HERE / "untold.toml").read_text().replace("add_s = 2", "add_s = 0"))
-        with mock.patch.object(decide.Rules, "cold_room", lambda *_: True):
+        with mock.patch.object(SlowStart, "may_send", lambda *_: True):
             self.assertEqual(self.broken(told, 3, "round-robin")[0], {})
             rules, texts = self.broken(at_once, 3, "round-robin")
         self.assertIn("4", rules, texts)
@@ -575,27 +579,27 @@
         """A once-only txn that may have run is sent again."""
 
         def may_post(rules, txn, now, instead=None):
-            return not txn.answered and now < txn.ends and len(txn.postings) < 4
+            return not txn.is_answered and now < txn.deadline and len(txn.attempts) < 4
 
         with (
-            mock.patch.object(decide.Rules, "may_post", may_post),
-            mock.patch.object(decide.Rules, "drops_repeats", lambda *_: True),
+            mock.patch.object(SafetyRules, "may_attempt", may_post),
+            mock.patch.object(SafetyRules, "would_deduplicate", lambda *_: True),
         ):
             rules, texts = self.broken()
         self.assertIn("2", rules, texts)
 
     def test_out_of_its_group(self):
         """A referenced txn that may have run is sent where its repeats are not known."""
-        with mock.patch.object(decide.Rules, "drops_repeats", lambda *_: True):
+        with mock.patch.object(SafetyRules, "would_deduplicate", lambda *_: True):
             rules, texts = self.broken(squall(lines=self.REFERENCED))
         self.assertIn("2", rules, texts)
 
     def test_declined_and_ran(self):
         def finish(rules, txn, pause=0.0):
-            if not txn.answered:
-                rules.p.host.decline(txn.ref, pause)
+            if not txn.is_answered:
+                rules.p.host.decline(txn.request_id, pause)
 
-        with mock.patch.object(decide.Rules, "finish", finish):
+        with mock.patch.object(SafetyRules, "give_up", finish):
             rules, texts = self.broken(squall(lines=self.LONG_STALLS))
         self.assertIn("2", rules, texts)
 
@@ -605,7 +609,7 @@
         self.assertIn("3", rules, texts)
 
     def test_cold_one_flooded(self):
-        with mock.patch.object(decide.Rules, "cold_room", lambda *_: True):
+        with mock.patch.object(SlowStart, "may_send", lambda *_: True):
             rules, texts = self.broken(squall(lines=self.COLD), policy="round-robin")
         self.assertIn("4", rules, texts)
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -12,15 +12,16 @@
 
 from click.testing import CliRunner
 
-from sloeferry.core.start_times import StartTimes
+from sloeferry.fault_testing import plan as p
+from sloeferry.fault_testing import planted_faults as planted
+from sloeferry.fault_testing import verdict
+from sloeferry.fault_testing.cli import rig
+from sloeferry.fault_testing.event_recorder import Scribe, read
+from sloeferry.fault_testing.link_relay import Link
+from sloeferry.fault_testing.worker_processes import Crew
+from sloeferry.policy.start_times import StartTimes
 from sloeferry.rehearsal import scenario as s
-from sloeferry.rig import plan as p
-from sloeferry.rig import planted, verdict
-from sloeferry.rig.cli import rig
-from sloeferry.rig.crew import Crew
-from sloeferry.rig.relay import Link
-from sloeferry.rig.scribe import Scribe, read
-from sloeferry.standins.processes import free_ports
+from sloeferry.stand_ins.processes import free_ports
 from tests import trace
 
 SMALL = """
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from sloeferry.core import ports
+from sloeferry.policy.interface import AttemptOutcome, EndpointState, ListScope
 from tests.trace import Printer, compare
 
 
@@ -15,9 +15,9 @@
         host.list(("a",))
         host.take(2, scheme=2)
         host.until(2100.0)
-        host.end(2, 0, ports.LATE, answered=False, took=1000.0)
-        host.end(2, 0, ports.LATE, answered=False, took=1000.0)
-        host.proxy.left(host.now, 2)
+        host.end(2, 0, AttemptOutcome.TIMED_OUT, answered=False, took=1000.0)
+        host.end(2, 0, AttemptOutcome.TIMED_OUT, answered=False, took=1000.0)
+        host.policy.client_left(host.now, 2)
         host.until(3000.0)
         compare(self, host, "rule_1")
 
@@ -33,7 +33,7 @@
         for ref in (5, 6, 7):
             host.take(ref, scheme=2)
         host.until(39.0)
-        host.end(1, 0, ports.UNREACHED, 9, took=39.0)
+        host.end(1, 0, AttemptOutcome.UNREACHABLE, 9, took=39.0)
         host.until(45.0)
         compare(self, host, "rule_1_late")
 
@@ -45,14 +45,14 @@
             host.report(name, 0)
         for ref, scheme in ((1, 0), (2, 1), (3, 2)):
             host.take(ref, scheme)
-            host.end(ref, 0, ports.ERRED)
+            host.end(ref, 0, AttemptOutcome.ERROR)
             host.until(host.now + 5)
         host.take(4, scheme=2)  # a refused connection proves that it never ran
-        host.end(4, 0, ports.UNREACHED)
+        host.end(4, 0, AttemptOutcome.UNREACHABLE)
         host.until(host.now + 20)
         host.take(5, scheme=1)  # its window of 300 ms is over when the error comes
         host.until(host.now + 310)
-        host.end(5, 0, ports.ERRED)
+        host.end(5, 0, AttemptOutcome.ERROR)
         compare(self, host, "rule_2")
 
     def test_rule_3_gone_alone_does_not_bind(self):
@@ -63,22 +63,22 @@
         def show(what):
             host.until(host.now + 10.0)
             host.take(ref := int(host.now))
-            host.say(f"{what}: uses {' '.join(sorted(b.ident for b in host.proxy.board.open))}")
+            host.say(f"{what}: uses {' '.join(sorted(b.endpoint_id for b in host.policy.table.ready))}")
             return ref
 
         host.list(("a",), ("b",), ("c",))
-        host.list(("b", 0, ports.DRAINING), scope=ports.CHANGES)
+        host.list(("b", 0, EndpointState.DRAINING), scope=ListScope.CHANGES)
         show("b drains")
-        host.list(("a", 0, ports.GONE), ("b", 0, ports.GONE), scope=ports.CHANGES)
+        host.list(("a", 0, EndpointState.GONE), ("b", 0, EndpointState.GONE), scope=ListScope.CHANGES)
         show("a and b are gone")
         host.list()
         ref = show("none is listed")
         to = host.lines[-2].split()[-1]
-        host.end(ref, 0, ports.UNREACHED)
+        host.end(ref, 0, AttemptOutcome.UNREACHABLE)
         show(f"{to} could not be reached")
-        host.list(("a", 0, ports.DRAINING), ("c", 0, ports.DRAINING), scope=ports.CHANGES)
+        host.list(("a", 0, EndpointState.DRAINING), ("c", 0, EndpointState.DRAINING), scope=ListScope.CHANGES)
         show("all drain")
-        host.list(("a",), ("b",), scope=ports.WHOLE)
+        host.list(("a",), ("b",), scope=ListScope.COMPLETE)
         show("a and b are back")
         compare(self, host, "rule_3_gone")
 
@@ -87,10 +87,10 @@
         host = Printer()
         host.list(("a",), ("b",))
         host.take(1)
-        host.list(("a", 0, ports.DRAINING), scope=ports.CHANGES)
+        host.list(("a", 0, EndpointState.DRAINING), scope=ListScope.CHANGES)
         for ref in (2, 3):
             host.take(ref)
-        host.list(("b", 0, ports.GONE), scope=ports.CHANGES)
+        host.list(("b", 0, EndpointState.GONE), scope=ListScope.CHANGES)
         host.take(4)
         host.until(host.now + 400)
         compare(self, host, "rule_3")
@@ -105,27 +105,27 @@
             instances=2,
         )
         host.until(50000.0)
-        host.list(("warm",), ("cold", 0, ports.READY, 50000.0))
+        host.list(("warm",), ("cold", 0, EndpointState.READY, 50000.0))
         host.report("warm", 9)
         host.report("cold", 0)
         for ref in range(6):
             host.take(ref)
             host.until(host.now + 20)
             if ref in host.sent:
-                host.end(ref, 0, ports.SETTLED, 0, took=20.0)
+                host.end(ref, 0, AttemptOutcome.SERVED, 0, took=20.0)
         compare(self, host, "rule_4")
 
     def test_rule_3_no_subscription(self):
         """No call for the list went out in time (the host stood still): it counts as told, sends no more."""
         host = Printer(discovery="subscribe", obligations__must_ask_in=8000.0)
-        host.list(("a",), scope=ports.CACHED)
+        host.list(("a",), scope=ListScope.CACHED)
         host.take(1, scheme=2)
         host.now = 8001.0
         host.take(2, scheme=2)
         host.until(9000.0)
-        host.list(("a",), scope=ports.CHANGES)  # the call is answered
+        host.list(("a",), scope=ListScope.CHANGES)  # the call is answered
         host.take(3, scheme=2)
-        host.list(scope=ports.WHOLE)  # an empty list: nobody to send to
+        host.list(scope=ListScope.COMPLETE)  # an empty list: nobody to send to
         host.take(4, scheme=2)
         host.until(9900.0)
         compare(self, host, "rule_3_unheard")
@@ -143,13 +143,13 @@
                 ordinal=ordinal,
             )
             one.until(50000.0)
-            one.list(("cold", 0, ports.READY, 50000.0))
+            one.list(("cold", 0, EndpointState.READY, 50000.0))
             for second in range(8):
                 one.until(50000.0 + 1000.0 * second + 5.0 * ordinal)
                 one.take(second)
                 if second in one.sent:
                     sent[second] += 1
-                    one.end(second, 0, ports.SETTLED, None, took=100.0)
+                    one.end(second, 0, AttemptOutcome.SERVED, None, took=100.0)
         host.say(f"txns of about 175 ms of work sent to the cold backend in each second: {sent}")
         compare(self, host, "rule_4_many")
 
@@ -157,14 +157,14 @@
         """Latest report plus own sends begun after it; stale or new = mean of fresh reports + own open sends."""
         host = Printer()
         host.list(("a",), ("b",), ("c",))
-        board = host.proxy.board
+        policy = host.policy
         host.report("a", 2)
         host.report("b", 0)
         for ref in range(5):
             host.take(ref, scheme=2)
-        board.usable(host.now)
-        host.say(" ".join(f"{b.ident}={board.figure(b, host.now):g}" for b in board.all.values()))
+        policy.candidates.refresh(host.now)
+        host.say(" ".join(f"{b.endpoint_id}={policy.load.estimate(b, host.now):g}" for b in policy.table.by_id.values()))
         host.until(2001.0)
-        board.usable(host.now)
-        host.say(" ".join(f"{b.ident}={board.figure(b, host.now):g}" for b in board.all.values()))
+        policy.candidates.refresh(host.now)
+        host.say(" ".join(f"{b.endpoint_id}={policy.load.estimate(b, host.now):g}" for b in policy.table.by_id.values()))
         compare(self, host, "estimate")
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -12,12 +12,14 @@
 
 from loguru import logger
 
-from sloeferry import terms
-from sloeferry.core import decide, facade
-from sloeferry.net.backends import Backends
-from sloeferry.net.buffers import Buffers, Seats
-from sloeferry.net.discovery import Call, Discovery
-from sloeferry.ops.duty import Duty
+from sloeferry.config.instance import InstanceConfig
+from sloeferry.config.settings import build_settings
+from sloeferry.dispatch import dispatcher as dispatcher
+from sloeferry.lifecycle.state import Lifecycle
+from sloeferry.network.backends import Backends
+from sloeferry.network.buffers import Buffers, DescriptorBudget
+from sloeferry.network.discovery_client import Call, Discovery
+from sloeferry.policy.policy import Policy
 from tests.trace import NAMES, Harbour, Lines, answer, compare, play
 
 
@@ -101,7 +103,7 @@
         out = Lines()
         reasons = ["SERVED", "ERRED", "REJECTED", "BROKEN", "LATE", "WITHDRAWN", "VOID", "SPOILT"]
         for name in ("NOTHING", "PART", "WHOLE", "BEGUN"):
-            told = {why: NAMES[facade.outcome(getattr(facade, name), getattr(facade, why))] for why in reasons}
+            told = {why: NAMES[dispatcher.outcome(getattr(dispatcher, name), getattr(dispatcher, why))] for why in reasons}
             out.lines.append(f"{name}: {told}")
         compare(self, out, "outcomes")
 
@@ -162,7 +164,7 @@
             ):
                 h.say(f"client sends: {text[:30]!r} .. {text[-30:]!r}")
                 await h.ask(text)
-            with mock.patch("sloeferry.net.clients.READING", 0.1):
+            with mock.patch("sloeferry.network.clients.READING", 0.1):
                 for part in ("", "GET /api HTTP/1.1\r\nX-Call"):
                     reader, writer = await h.open()
                     writer.write(part.encode())
@@ -195,7 +197,7 @@
         """Those who ask once and keep their connection leave three quarters of the seats to others, oldest first."""
 
         async def story(h):
-            with mock.patch("sloeferry.net.clients.CROWDED", 60.0):
+            with mock.patch("sloeferry.network.clients.CROWDED", 60.0):
                 first = await h.open()
                 await h.ask("GET /ready HTTP/1.1\r\n\r\n", first)
                 more = [await h.open() for _ in range(11)]
@@ -300,7 +302,7 @@
             b"\x00nonsense\r\n\r\n",
             stream + b'30\r\n{"revision":7,"complete":false,"members":[]}   \n\r\n',
         ]
-        with mock.patch("sloeferry.net.discovery.SILENCE", 0.1):
+        with mock.patch("sloeferry.network.discovery_client.SILENCE", 0.1):
             play(self, story, "sockets_rough_discovery", h)
 
     def test_discovery_back(self):
@@ -308,10 +310,10 @@
 
         async def story(h):
             loop, port = asyncio.get_running_loop(), await h.listen(None)
-            told = terms.complete({"schemes.count": 1, "limits.dial_timeout": 20.0})
-            berth = terms.Berth("n0", ("", 0), ("127.0.0.1", port), 7, 64, 1 << 27, {}, told)
-            seats = Seats(9)
-            duty = Duty()
+            told = build_settings({"schemes.count": 1, "limits.dial_timeout": 20.0})
+            berth = InstanceConfig("n0", ("", 0), ("127.0.0.1", port), 7, 64, 1 << 27, {}, told)
+            seats = DescriptorBudget(9)
+            duty = Lifecycle()
             discovery = Discovery(loop, None, berth, seats, Buffers(), Backends(loop, None, told, seats, None), duty)
             discovery.known = {"b": ()}
             dialled = loop.create_task(discovery.dial(Call(1, 0.0, 0.0)))
@@ -394,8 +396,10 @@
         """Rule 3 counts the first byte: a backend that left the list during the dial gets none."""
 
         async def story(h):
-            facade = types.SimpleNamespace(turned=lambda: None)
-            backends = Backends(asyncio.get_running_loop(), facade, terms.complete({"schemes.count": 1}), Seats(9), Buffers())
+            dispatcher = types.SimpleNamespace(turned=lambda: None)
+            backends = Backends(
+                asyncio.get_running_loop(), dispatcher, build_settings({"schemes.count": 1}), DescriptorBudget(9), Buffers()
+            )
             backends.told("b", ("127.0.0.1", h.ports["b"]))
             for wanted in (True, False):
                 ended = await backends.exchange("b", 1e12, lambda: wanted, lambda: b"GET /x HTTP/1.1\r\n\r\n")
@@ -426,7 +430,7 @@
             await h.call("safe")
             held.set()
             await slow
-            await h.proxy
+            await h.policy
             h.say("the program has ended")
 
         play(self, story, "sockets_leaving", Harbour({"b": lambda n: held if n == 2 else answer()}))
@@ -435,12 +439,12 @@
         """A decision that raises or never comes takes one txn with it, answered in time; others go on."""
 
         async def story(h):
-            with mock.patch.object(decide.Proxy, "take", side_effect=ZeroDivisionError):
+            with mock.patch.object(Policy, "request_arrived", side_effect=ZeroDivisionError):
                 await h.call("once")
-            with mock.patch.object(decide.Proxy, "take"):
+            with mock.patch.object(Policy, "request_arrived"):
                 await h.call("once")
             await h.call("safe")
-            with mock.patch.object(decide.Proxy, "ended", side_effect=ZeroDivisionError):
+            with mock.patch.object(Policy, "attempt_ended", side_effect=ZeroDivisionError):
                 await h.call("safe")
             await h.call("safe")
 
--- a/tests/test_stale_paths.py
+++ b/tests/test_stale_paths.py
@@ -6,15 +6,15 @@
 import asyncio
 from unittest import mock
 
-from sloeferry.core.send_guard import Refusal
-from sloeferry.net import http1
+from sloeferry.dispatch.send_guard import Refusal
+from sloeferry.network import http1
 from tests.test_crossings import Crossing, Opened, until
 from tests.trace import answer, play
 
 
 def make_stale(h):
     """The list counts as stale from now on."""
-    h.facade.staleness.usable_until = 0.0
+    h.dispatcher.staleness.usable_until = 0.0
 
 
 class Paths(Crossing):
@@ -24,7 +24,7 @@
         async def story(h):
             make_stale(h)
             await h.call("safe")
-            h.say(f"refused for a stale list: {h.facade.guard.refused[Refusal.LIST_STALE] > 0}")
+            h.say(f"refused for a stale list: {h.dispatcher.guard.refusals[Refusal.LIST_STALE] > 0}")
 
         play(self, story, "stale_first", Opened({"b": answer()}))
 
@@ -39,9 +39,9 @@
                 make_stale(h)
                 return sock
 
-            with mock.patch("sloeferry.net.http1.dial", slow):
+            with mock.patch("sloeferry.network.http1.dial", slow):
                 await h.call("once")
-            h.say(f"asked {h.asked}, refused {h.facade.guard.refused[Refusal.LIST_STALE] > 0}")
+            h.say(f"asked {h.asked}, refused {h.dispatcher.guard.refusals[Refusal.LIST_STALE] > 0}")
 
         play(self, story, "stale_dial", Opened({"b": answer()}))
 
@@ -100,10 +100,10 @@
 
         async def story(h):
             ended = []
-            report = h.facade.report_probe
-            with mock.patch.object(h.facade, "report_probe", lambda *what: (ended.append(what), report(*what))):
+            report = h.dispatcher.health_check_ended
+            with mock.patch.object(h.dispatcher, "report_probe", lambda *what: (ended.append(what), report(*what))):
                 make_stale(h)
-                h.facade.probe("b")
+                h.dispatcher.send_health_check("b")
                 await until(lambda: ended)
             h.say(f"asked {h.asked}")
 
@@ -116,11 +116,11 @@
             call = asyncio.ensure_future(h.call("safe"))
             await until(lambda: h.asked)
             make_stale(h)
-            board, request = h.facade.proxy.board, next(iter(h.facade.proxy.ledger.txns.values()))
-            board.looked = -1e9
-            now = request.postings[0].overdue + 1
-            h.facade.proxy.reposting.review(now, request, request.postings[0], True)
-            h.say(f"attempts {len(request.postings)}, asked {h.asked}")
+            policy, request = h.dispatcher.policy, next(iter(h.dispatcher.policy.requests.by_id.values()))
+            policy.table.candidates_chosen_at = -1e9
+            now = request.attempts[0].overdue + 1
+            h.dispatcher.policy.reposting.review(now, request, request.attempts[0], True)
+            h.say(f"attempts {len(request.attempts)}, asked {h.asked}")
             h.held.set()
             await call
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -6,10 +6,10 @@
 import tempfile
 from unittest import mock
 
-from sloeferry.core.staleness import CallEnd
-from sloeferry.handover.folder import Folder
-from sloeferry.net import http1
-from sloeferry.net.discovery import Call
+from sloeferry.lifecycle.snapshot_store import SnapshotStore
+from sloeferry.network import http1
+from sloeferry.network.discovery_client import Call
+from sloeferry.policy.endpoint_staleness import PollEnd
 from tests.test_crossings import Crossing, Opened
 from tests.trace import Lines, answer, compare, play
 
@@ -26,9 +26,9 @@
                     raise OSError(failing.pop(), "no")
                 return await dial(*what)
 
-            with mock.patch("sloeferry.net.http1.dial", dialled):
+            with mock.patch("sloeferry.network.http1.dial", dialled):
                 await h.call("once")
-            h.say(f"left to fail: {failing}; failures held against it: {h.facade.proxy.board.all['b'].fails}")
+            h.say(f"left to fail: {failing}; failures held against it: {h.dispatcher.policy.table.by_id['b'].consecutive_failures}")
 
         play(self, story, "system_connect", Opened({"b": answer()}))
 
@@ -39,7 +39,7 @@
             async def dialled(*what):
                 raise OSError(errno.EADDRNOTAVAIL, "no")
 
-            with mock.patch("sloeferry.net.http1.dial", dialled):
+            with mock.patch("sloeferry.network.http1.dial", dialled):
                 await h.call("once")
 
         play(self, story, "system_connect_long", Opened({"b": answer()}, expiry=400))
@@ -49,9 +49,9 @@
         for number in (errno.ECONNREFUSED, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET):
             self.assertNotIn(number, http1.OWN_WANT)
         call = Call(1, 0.0, 0.0)
-        self.assertEqual(call.end(10.0, 2500.0), CallEnd.NOT_MADE)
+        self.assertEqual(call.end(10.0, 2500.0), PollEnd.NOT_MADE)
         call.dialled = True
-        self.assertEqual(call.end(10.0, 2500.0), CallEnd.UNREACHABLE)
+        self.assertEqual(call.end(10.0, 2500.0), PollEnd.UNREACHABLE)
 
 
 class Snapshots(Crossing):
@@ -59,7 +59,7 @@
         """ENOSPC or EIO at any step of a write, or its end after any byte: what stands is the old state or the new."""
         lines = Lines()
         with tempfile.TemporaryDirectory() as path:
-            folder = Folder(path, "n", "s")
+            folder = SnapshotStore(path, "n", "s")
             folder.write(100.0, {"revision": 1}, {})
             with open(f"{folder.path}/snapshot", "rb") as file:
                 whole = file.read()
