--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -6,8 +6,9 @@
 import tempfile
 import unittest
 
-from sloeferry import terms
-from sloeferry.standins.processes import free_ports
+from sloeferry.config.errors import ConfigError
+from sloeferry.config.instance import read_instance_config
+from sloeferry.stand_ins.processes import free_ports
 from tests.trace import Lines, compare
 
 GOOD = {
@@ -90,19 +91,18 @@
         file.write(told if isinstance(told, str) else json.dumps(told))
         file.flush()
         try:
-            berth = terms.read({"BALANCER_CONFIG": file.name, "BALANCER_NAME": "n1"})
-        except terms.Fault as fault:
+            berth = read_instance_config({"BALANCER_CONFIG": file.name, "BALANCER_NAME": "n1"})
+        except ConfigError as fault:
             return str(fault).replace(file.name, "FILE")
+        settings = berth.settings
+        classes = settings.request_classes
         kept = {
-            key: berth.terms[key]
-            for key in (
-                "schemes.0.expiry",
-                "schemes.0.sla_time",
-                "schemes.1.sla_time",
-                "zones",
-                "load_info.fields",
-                "obligations.must_ask_in",
-            )
+            "schemes.0.expiry": classes[0].deadline_ms,
+            "schemes.0.sla_time": classes[0].latency_objective_ms,
+            "schemes.1.sla_time": classes[1].latency_objective_ms,
+            "zones": ",".join(settings.zones),
+            "load_info.fields": ",".join(settings.load_reports.fields),
+            "obligations.must_ask_in": settings.obligations.poll_within_ms,
         }
-        lists = berth.named("tenants"), berth.places("zones")
+        lists = settings.tenant_indexes(), {name: at for at, name in enumerate(settings.zones)}
         return f"{berth.name} {berth.listen} {berth.seed} {lists[0]} {lists[1]} {kept}"
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -18,10 +18,12 @@
 from loguru import logger
 
 from sloeferry import __main__ as start
-from sloeferry import operators, terms
-from sloeferry.versions.ledger import MOST, Ledger
-from sloeferry.versions.order import NEWER, OLDER, SAME, UNLIKE, List, Settings, compare, digest, of_files
-from sloeferry.versions.witness import shared
+from sloeferry.config.errors import ConfigError
+from sloeferry.config.features import DecisionLogFeatures, Features, read_features
+from sloeferry.config.settings import build_settings
+from sloeferry.decision_log.decision_log import MOST, Ledger
+from sloeferry.decision_log.recorder import shared
+from sloeferry.decision_log.versions import NEWER, OLDER, SAME, UNLIKE, List, Settings, compare, digest, of_files
 from tests.trace import Harbour, Lines, answer, play
 from tests.trace import compare as kept
 
@@ -48,13 +50,13 @@
 
         def of(*schemes, **more):
             lines = {f"schemes.{at}.{key}": said for at, scheme in enumerate(schemes) for key, said in scheme.items()}
-            return terms.complete({"schemes.count": len(schemes), **lines, **more})
+            return build_settings({"schemes.count": len(schemes), **lines, **more})
 
         a, b, c = ({"name": name, "gain": gain} for name, gain in (("a", 1.0), ("b", 2.0), ("c", 3.0)))
         started, former = of(a, b, ordinal=3, zone=1), of(c, b, a, ordinal=5)
-        self.assertEqual(shared(terms.aligned(of(a, b, ordinal=5), former)), shared(started))
-        self.assertNotEqual(shared(of(a, c)), shared(started))
-        self.assertNotEqual(shared(of(a, dict(b, gain=9.0))), shared(started))
+        self.assertEqual(shared(of(a, b, ordinal=5).aligned_with(former).canonical), shared(started.canonical))
+        self.assertNotEqual(shared(of(a, c).canonical), shared(started.canonical))
+        self.assertNotEqual(shared(of(a, dict(b, gain=9.0)).canonical), shared(started.canonical))
 
     def test_digests(self):
         self.assertEqual(digest({"a": 1, "b": [2, 3]}), digest({"b": [2, 3], "a": 1}))
@@ -224,14 +226,14 @@
                 "[versions",
             ):
                 path.write_text(text)
-                with self.assertRaises(terms.Fault) as caught:
-                    operators.read(path)
+                with self.assertRaises(ConfigError) as caught:
+                    read_features(path)
                 lines.lines.append(f"{text!r}  ->  {str(caught.exception).replace(folder, '')}")
             path.write_text("")
-            self.assertEqual(operators.read(path), {"versions": {"tell": False, "bring_up": False, "carry": False}})
-            self.assertTrue(operators.read(ROOT / "deploy" / "operator.toml")["versions"]["tell"])
-            with self.assertRaises(terms.Fault):
-                operators.read(pathlib.Path(folder, "none"))
+            self.assertEqual(read_features(path), Features(DecisionLogFeatures(tell=False, bring_up=False, carry=False)))
+            self.assertTrue(read_features(ROOT / "deploy" / "operator.toml").versions.tell)
+            with self.assertRaises(ConfigError):
+                read_features(pathlib.Path(folder, "none"))
         kept(self, lines, "versions_file")
 
     def test_signal_at_start(self):
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 from loguru import logger
 
-from sloeferry.core import decide, ports
-from sloeferry.core.staleness import ON_SOCKETS, SPREAD, CallEnd
-from sloeferry.net import http1
-from sloeferry.net.values import Values
+from sloeferry.network import http1
+from sloeferry.network.json_stream import JsonStream
+from sloeferry.policy.endpoint_staleness import ON_SOCKETS, WATCH_DELAY_MS, PollEnd
+from sloeferry.policy.interface import AttemptOutcome, ListScope
 from tests.test_crossings import Crossing, Opened, until
 from tests.trace import Printer, answer, compare, play
 
@@ -53,7 +53,7 @@
         wanted += [kinds["list"], kinds["nested"]]
         text += "".join(json.dumps(kind) + "\n" for kind in wanted[-2:])
         data, found = text.encode(), []
-        values, at = Values(), 0
+        values, at = JsonStream(), 0
         for cut in [*sorted(min(cut, len(data)) for cut in cuts), len(data)]:
             found += values.feed(data[at:cut])
             at = cut
@@ -66,7 +66,7 @@
         told = [{"id": 'a "}\\" { b', "umlaut": "ü}{", "n": None}, {"revision": 3, "members": [{"id": "b"}, {}]}]
         data = "".join(json.dumps(value, indent=1, ensure_ascii=False) + "\n" for value in told).encode()
         for cut in range(len(data)):
-            values = Values()
+            values = JsonStream()
             self.assertEqual(values.feed(data[:cut]) + values.feed(data[cut:]), told, cut)
 
     def test_indented(self):
@@ -112,9 +112,9 @@
         h = Opened({"b": answer()}, ask_in=400000)
         h.moods = list(moods)
         with (
-            mock.patch("sloeferry.core.facade.Facade.report_silent", lambda facade, by: said.append(by)),
-            mock.patch("sloeferry.net.discovery.SILENCE", 0.05),
-            mock.patch.object(decide.Discovery, "QUICK", 50.0),
+            mock.patch("sloeferry.dispatch.dispatcher.Facade.report_silent", lambda dispatcher, by: said.append(by)),
+            mock.patch("sloeferry.network.discovery_client.SILENCE", 0.05),
+            mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0),
         ):
             play(self, story, "crossing_silent", h)
 
@@ -140,26 +140,29 @@
             self.STREAM + b"3\r\nno\n\r\n",
             self.STREAM + b'1c\r\n{"revision": 7, "members":\n\r\n',
         ]
-        with mock.patch("sloeferry.net.discovery.SILENCE", 0.05), mock.patch.object(decide.Discovery, "QUICK", 50.0):
+        with (
+            mock.patch("sloeferry.network.discovery_client.SILENCE", 0.05),
+            mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0),
+        ):
             play(self, story, "crossing_blank", h)
 
     def test_what_a_silent_watch_missed(self):
         """From when it counts as told nothing goes out, whatever calls fail meanwhile; a list ends that."""
         host = Printer(discovery="subscribe", obligations__must_ask_in=40000.0, limits=ON_SOCKETS)
-        staleness = host.proxy.discovery.staleness
+        staleness = host.policy.polling.staleness
         host.list(("a",))
-        staleness.confirmed(SPREAD)  # what it says is true for certain until the beginning
+        staleness.confirmed(WATCH_DELAY_MS)  # what it says is true for certain until the beginning
         host.take(0)
-        host.end(0, 0, ports.SETTLED, 0)
+        host.end(0, 0, AttemptOutcome.SERVED, 0)
         host.until(2500.0)
-        staleness.watch_silent(SPREAD)
-        host.list(scope=ports.FAILED)
+        staleness.watch_silent(WATCH_DELAY_MS)
+        host.list(scope=ListScope.POLL_FAILED)
         host.until(5900.0)
         host.take(1)
-        host.end(1, 0, ports.SETTLED, 0)
+        host.end(1, 0, AttemptOutcome.SERVED, 0)
         host.until(6100.0)
-        staleness.call_failed(6100.0, CallEnd.REFUSED, 6100.0, 6100.0)
-        host.list(scope=ports.FAILED)
+        staleness.poll_failed(6100.0, PollEnd.REFUSED, 6100.0, 6100.0)
+        host.list(scope=ListScope.POLL_FAILED)
         host.take(2)
         host.until(9000.0)
         host.list(("a",))
@@ -172,7 +175,10 @@
 
         async def story(h):
             said = []
-            with mock.patch.object(h.facade, "report_silent", said.append), mock.patch("sloeferry.net.discovery.SILENCE", 0.05):
+            with (
+                mock.patch.object(h.dispatcher, "report_silent", said.append),
+                mock.patch("sloeferry.network.discovery_client.SILENCE", 0.05),
+            ):
                 h.list("b", complete=False)
                 await until(lambda: said)
                 h.say(f"the watch: {len(said)} silent")
@@ -183,7 +189,7 @@
                 await until(lambda: len(said) > 1)
                 h.say(f"the former one: {len(said)} silent")
 
-        with mock.patch.object(decide.Discovery, "QUICK", 50.0):
+        with mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0):
             play(self, story, "crossing_said_silent", Opened({"b": answer()}, ask_in=400000))
 
     def test_dials_until_it_is_through(self):
@@ -191,22 +197,22 @@
 
         async def story(h):
             failed, dials, dial, h.discovery.patience = [], [], http1.dial, 50.0
-            report = h.facade.report_no_list
+            report = h.dispatcher.report_no_list
 
             async def cut(loop, address, patience):
                 dials.append(address)
                 return None if len(dials) < 60 else await dial(loop, address, patience)
 
             with (
-                mock.patch.object(h.facade, "report_no_list", lambda: (failed.append(len(dials)), report())),
-                mock.patch("sloeferry.net.http1.dial", cut),
-                mock.patch("sloeferry.net.discovery.SILENCE", 0.05),
+                mock.patch.object(h.dispatcher, "report_no_list", lambda: (failed.append(len(dials)), report())),
+                mock.patch("sloeferry.network.http1.dial", cut),
+                mock.patch("sloeferry.network.discovery_client.SILENCE", 0.05),
             ):
                 h.list("b", complete=False)
                 await until(lambda: len(h.calls) == 2 and h.discovery.standing)
             h.say(f"failed calls, by dials before them: {failed}")
 
-        with mock.patch.object(decide.Discovery, "QUICK", 50.0):
+        with mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0):
             play(self, story, "crossing_dials", Opened({"b": answer()}, ask_in=400000, dial_timeout=5000))
 
     def test_pushed_and_a_new_process(self):
@@ -248,10 +254,13 @@
             loop, late = h.discovery.loop, mock.Mock(wraps=h.discovery.loop)
             late.call_later = lambda seconds, *what: (sleeps.append(seconds), loop.call_later(seconds, *what))
             h.discovery.loop = late
-            with mock.patch("sloeferry.net.discovery.asyncio.sleep", sleep), mock.patch("sloeferry.net.http1.dial", dial):
+            with (
+                mock.patch("sloeferry.network.discovery_client.asyncio.sleep", sleep),
+                mock.patch("sloeferry.network.http1.dial", dial),
+            ):
                 h.watches[0].close()
                 await until(lambda: len(dials) > 3)
-            grace = h.facade.proxy.term("obligations.drain_grace")
+            grace = h.dispatcher.policy.settings.obligations.drain_grace_ms
             h.say(f"a dial and two pauses within the grace of a drain: {dials[0] + 2000 * max(sleeps) <= grace}")
 
         play(
@@ -271,7 +280,7 @@
             await until(lambda: len(h.calls) == 3 and h.discovery.standing)
             h.say(f"{len(h.calls)} calls, {len(h.discovery.socks)} watches")
 
-        with mock.patch("sloeferry.net.discovery.SILENCE", 60.0):  # the former one is not to end by itself
+        with mock.patch("sloeferry.network.discovery_client.SILENCE", 60.0):  # the former one is not to end by itself
             play(self, story, "crossing_pushed_former", Opened({"b": answer()}, more={"discovery": "automatic"}))
 
     def test_discovery_begins_anew(self):
@@ -291,7 +300,10 @@
                 await until(lambda: len(h.calls) == there + 2 and h.discovery.standing)
                 h.say(f"calls after {mood[9:12].decode()}: {h.calls[there:]}")
 
-        with mock.patch("sloeferry.net.discovery.SILENCE", 0.3), mock.patch.object(decide.Discovery, "QUICK", 50.0):
+        with (
+            mock.patch("sloeferry.network.discovery_client.SILENCE", 0.3),
+            mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0),
+        ):
             play(self, story, "crossing_anew", Opened({"b": answer()}, ask_in=400000))
 
     def test_standstill_with_a_former_watch(self):
@@ -304,8 +316,8 @@
             pad = [dict(line, id=f"x{n}", phase="leaving") for n in range(900) for line in h.members("b")]
             h.tell(json.dumps({"revision": 9, "complete": False, "members": pad + h.members(("b", "leaving"))}))
             await asyncio.sleep(0)  # it is written; of its 150 KB a turn reads 16
-            h.facade.seen -= 1e6
-            await h.facade.turned()
+            h.dispatcher.seen -= 1e6
+            await h.dispatcher.loop_turned()
             h.say(f"known of b: {h.discovery.known['b'][4]}")
 
         play(self, story, "crossing_former", Opened({"b": answer()}))
--- a/tests/trace.py
+++ b/tests/trace.py
@@ -14,10 +14,12 @@
 import uvloop
 
 from sloeferry import __main__ as start
-from sloeferry import terms
-from sloeferry.core import decide, ports
-from sloeferry.core.staleness import Limits
-from sloeferry.net import backends
+from sloeferry.config.instance import read_instance_config
+from sloeferry.config.settings import build_settings
+from sloeferry.network import backends
+from sloeferry.policy.endpoint_staleness import StalenessLimits
+from sloeferry.policy.interface import AttemptOutcome, EndpointEntry, EndpointState, ListScope
+from sloeferry.policy.policy import Policy
 
 SETTLED = backends.SETTLED  # as it is outside the tests
 SCHEMES = [("retryable", "all"), ("dedup", "zone"), ("fragile", "all")]
@@ -35,7 +37,7 @@
 
     def __init__(self, **more):
         self.lines, self.now, self.wakes, self.sent = [], 0.0, [], {}
-        seed, limits = more.pop("seed", 7), more.pop("limits", Limits())
+        seed, limits = more.pop("seed", 7), more.pop("limits", StalenessLimits())
         told = {
             "schemes.count": len(SCHEMES),
             "instances": 1,
@@ -60,34 +62,31 @@
                 }
             )
         told.update({name.replace("__", "."): value for name, value in more.items()})
-        self.proxy = decide.Proxy(self, 0.0, seed, terms.complete(told), limits)
+        self.policy = Policy(self, 0.0, seed, build_settings(told), limits)
 
     def say(self, text):
         self.lines.append(f"{self.now:7.1f}  {text}")
 
-    def post(self, ref, backend, give_up_after):
+    def send_attempt(self, ref, backend):
         seq = self.sent[ref] = self.sent.get(ref, -1) + 1
         self.say(f"post {ref}/{seq} to {backend}")
 
-    def withdraw(self, ref, seq):
+    def cancel_attempt(self, ref, seq):
         self.say(f"withdraw {ref}/{seq}")
 
-    def decline(self, ref, pause):
+    def reject(self, ref, pause):
         self.say(f"decline {ref}, again after {pause:.0f}")
 
-    def reverse(self, ref):
+    def fail(self, ref):
         self.say(f"reverse {ref}")
 
-    def probe(self, backend):
+    def send_health_check(self, backend):
         self.say(f"probe {backend}")
 
-    def watch(self):
+    def poll_endpoints(self):
         self.say("watch")
 
-    def note(self, text):
-        self.say(f"note {text}")
-
-    def wake(self, at, token):
+    def schedule_wakeup(self, at, token):
         self.wakes.append((at, token))
 
     def until(self, now):
@@ -96,36 +95,37 @@
             at, token = min(self.wakes)
             self.wakes.remove((at, token))
             self.now = max(self.now, at)
-            self.proxy.woken(self.now, token)
+            self.policy.timer_fired(self.now, token)
         self.now = now
 
-    def list(self, *lines, scope=ports.WHOLE):
+    def list(self, *lines, scope=ListScope.COMPLETE):
         """Lines: name, then zone, standing and launched where they matter."""
-        full = [tuple(line) + (0, ports.READY, 0.0)[len(line) - 1 :] for line in lines]
-        self.proxy.listed(self.now, scope, [(n, z, 0, z, s, 1.0, at) for n, z, s, at in full])
+        full = [tuple(line) + (0, EndpointState.READY, 0.0)[len(line) - 1 :] for line in lines]
+        self.policy.endpoints_listed(self.now, scope, [EndpointEntry(n, z, 0, z, s, at) for n, z, s, at in full])
 
     def take(self, ref, scheme=0, left=1000.0, **more):
         self.say(f"   txn {ref} of scheme {scheme}")
-        self.proxy.take(self.now, ref, scheme, more.get("tenant", 0), 0, left, None, more.get("repeat", False))
+        self.policy.request_arrived(self.now, ref, scheme, more.get("tenant", 0), 0, left, None, more.get("repeat", False))
 
     def report(self, name, inflight):
         """What an answer to a probe brings."""
-        self.proxy.probed(self.now, name, ports.SETTLED, 0.5, (inflight,))
+        self.policy.health_check_ended(self.now, name, AttemptOutcome.SERVED, 0.5, (inflight,))
 
     def end(self, ref, seq, how, inflight=None, answered=None, took=50.0):
         self.say(f"   {ref}/{seq} ends: {NAMES[how]}" + ("" if inflight is None else f", reports {inflight}"))
-        self.proxy.ended(
+        self.policy.attempt_ended(
             self.now,
             ref,
             seq,
             how,
-            how == ports.SETTLED if answered is None else answered,
+            how == AttemptOutcome.SERVED if answered is None else answered,
             took,
             () if inflight is None else (inflight,),
         )
 
 
-NAMES = ["settled", "erred", "turned_away", "late", "unreached", "cut", "withdrawn", "never_sent", "unknown"]
+WORDS = ["settled", "erred", "turned_away", "late", "unreached", "cut", "withdrawn", "never_sent", "unknown"]
+NAMES = dict(zip(AttemptOutcome, WORDS, strict=True))
 
 
 def compare(test, printer, name):
@@ -212,20 +212,20 @@
         with tempfile.NamedTemporaryFile("w") as file:
             json.dump(told, file)
             file.flush()
-            berth = terms.read({"BALANCER_CONFIG": file.name})
-        self.proxy = asyncio.get_running_loop().create_task(
+            berth = read_instance_config({"BALANCER_CONFIG": file.name})
+        self.policy = asyncio.get_running_loop().create_task(
             start.serve(berth, {**os.environ, **self.environ} if self.environ else os.environ)
         )
         while "200" not in await self.ask("GET /ready HTTP/1.1\r\n\r\n", quiet=True):
-            if self.proxy.done():  # it will never be ready: its own exception says why
-                self.proxy.result()
+            if self.policy.done():  # it will never be ready: its own exception says why
+                self.policy.result()
                 raise AssertionError("the proxy ended before it was ready")
             await asyncio.sleep(0.01)
         return self
 
     async def __aexit__(self, *_):
-        self.proxy.cancel()
-        await asyncio.wait([self.proxy])
+        self.policy.cancel()
+        await asyncio.wait([self.policy])
         backends.SETTLED = SETTLED
         for end in (*self.servers, *self.writers, *self.watches):
             end.close()
