--- a/sloeferry/decision_log/decision_log.py
+++ b/sloeferry/decision_log/decision_log.py
@@ -171,7 +171,7 @@
 
         def recent(entries: list[LogEntry]) -> list[dict[str, Any]]:
             return [
-                entry.told(now) | {"against_newest": compare_versions(entry.version, entries[-1].version)}
+                entry.told(now) | {"against_newest": compare_versions(entry.version, entries[-1].version).value}
                 for entry in entries
                 if entry.open_requests or now - max(entry.heard_at, entry.last_act_at or 0.0) <= span_ms
             ]
--- a/sloeferry/fault_testing/cli.py
+++ b/sloeferry/fault_testing/cli.py
@@ -70,12 +70,12 @@
     """Plays PLAN (a shipped name, `drawn-` and a seed, or a path).  Exit 0: kept, 1: broken, 3: void, 2: can't be played."""
     told = p.altered(p.read(plan), proxies, nodes)
     if record and not record.parent.is_dir():
-        raise s.Fault(f"--record: {record.parent} is no folder")
+        raise s.ScenarioError(f"--record: {record.parent} is no folder")
     if virtual:
         from sloeferry.rehearsal.play import play as play_virtual
 
         if plant:
-            raise s.Fault("--plant: for real processes alone")
+            raise s.ScenarioError("--plant: for real processes alone")
         scenario, without = p.twin(told)
         said = play_virtual(scenario, seed)
         said["without"] = without
--- a/sloeferry/fault_testing/plan.py
+++ b/sloeferry/fault_testing/plan.py
@@ -12,7 +12,7 @@
 
 from sloeferry.fault_testing import draw, draw_soak
 from sloeferry.rehearsal import scenario as s
-from sloeferry.rehearsal.scenario import Above, Fault, From0, Part, Table
+from sloeferry.rehearsal.scenario import Above, From0, Part, ScenarioError, Table
 
 SHIPPED = pathlib.Path(__file__).parent / "plans"
 MOST = 400  # proxies on one machine
@@ -164,7 +164,7 @@
     told = s.checked(text, name, Plan)
 
     def no(key, why):
-        raise Fault(f"{name}: {key}: {why}")
+        raise ScenarioError(f"{name}: {key}: {why}")
 
     if told.bank.proxies > MOST:
         no("bank.proxies", f"{told.bank.proxies} are too many for one machine, {MOST} at most")
--- a/sloeferry/fault_testing/worker_processes.py
+++ b/sloeferry/fault_testing/worker_processes.py
@@ -446,7 +446,7 @@
             return socket.create_server((spot(30, 249), port)), port
         except OSError:
             continue
-    raise p.Fault("no ports are free for a play: eight go on at once")
+    raise p.ScenarioError("no ports are free for a play: eight go on at once")
 
 
 async def course(text, plan, seed, folder, proxies, nodes, tree, progress):
--- a/sloeferry/lifecycle/snapshot_store.py
+++ b/sloeferry/lifecycle/snapshot_store.py
@@ -156,7 +156,7 @@
         return Snapshot(snapshot["known"], snapshot["memory"])
 
     def close(self) -> None:
-        """This process is there no more."""
+        """The process is there no more."""
         with contextlib.suppress(OSError):
             os.unlink(self._process_path)
         os.close(self._lock_fd)
--- a/sloeferry/lifecycle/takeover.py
+++ b/sloeferry/lifecycle/takeover.py
@@ -37,7 +37,7 @@
 
 
 class Takeover:
-    """This process's part in a takeover.  Raises OSError where the folder cannot be used."""
+    """One process's part in a takeover.  Raises OSError where the folder cannot be used."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: InstanceConfig, folder: str):
         self._loop = loop
@@ -122,5 +122,5 @@
             logger.info("snapshots are written again")
 
     def close(self) -> None:
-        """This process ends."""
+        """The process ends."""
         self.store.close()
--- a/sloeferry/load_testing/cli.py
+++ b/sloeferry/load_testing/cli.py
@@ -59,7 +59,7 @@
 def laid(cores, daemons, workers, seed, retries, fresh, connections, work_ms, target):
     """Plan and rig of the common options."""
     if target and not target.startswith("127."):
-        raise p.Fault(f"--target: {target!r} is no loopback address")
+        raise p.LoadPlanError(f"--target: {target!r} is no loopback address")
     habits = p.Habits(retries=retries, fresh=fresh, connections=connections)
     return p.Plan(((1.0, 0.0),), seed, habits=habits), Rig(cores or None, daemons, workers, work_ms=work_ms, target=target)
 
@@ -97,7 +97,7 @@
     try:
         factors = [float(text) for text in factors.split(",")]
     except ValueError:
-        raise p.Fault(f"--factors: {factors!r} is no list of numbers") from None
+        raise p.LoadPlanError(f"--factors: {factors!r} is no list of numbers") from None
 
     def say(text):
         click.echo(text, err=as_json)
--- a/sloeferry/load_testing/day.py
+++ b/sloeferry/load_testing/day.py
@@ -15,7 +15,7 @@
 import tempfile
 from time import monotonic
 
-from sloeferry.load_testing.plan import Fault, Plan
+from sloeferry.load_testing.plan import LoadPlanError, Plan
 from sloeferry.load_testing.proxies import settings
 from sloeferry.stand_ins import platform, processes
 from sloeferry.stand_ins.processes import memory
@@ -115,7 +115,7 @@
             if b" 200 " in await self.call(ops):
                 return process, ops
             await asyncio.sleep(0.02)
-        raise Fault(f"a daemon was not ready in {READY:.0f} s")
+        raise LoadPlanError(f"a daemon was not ready in {READY:.0f} s")
 
     async def call(self, ops, name=b"GET /admin/health"):
         try:
--- a/sloeferry/load_testing/plan.py
+++ b/sloeferry/load_testing/plan.py
@@ -11,7 +11,7 @@
 from sloeferry.errors import UsageError
 
 
-class Fault(UsageError):
+class LoadPlanError(UsageError):
     """What was asked for can't be played; the text names the option."""
 
 
@@ -93,9 +93,9 @@
         try:
             pieces.append((float(length), float(rate)))
         except ValueError:
-            raise Fault(f"--curve: {piece!r} is not of the form seconds:rate") from None
+            raise LoadPlanError(f"--curve: {piece!r} is not of the form seconds:rate") from None
         if not (0 < pieces[-1][0] <= 3600 and 0 <= pieces[-1][1] <= 1e6):
-            raise Fault(f"--curve: {piece!r} has no length, or a rate that can't be played")
+            raise LoadPlanError(f"--curve: {piece!r} has no length, or a rate that can't be played")
     return tuple(pieces)
 
 
--- a/sloeferry/load_testing/play.py
+++ b/sloeferry/load_testing/play.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from time import monotonic, sleep
 
-from sloeferry.load_testing.plan import Fault, Plan
+from sloeferry.load_testing.plan import LoadPlanError, Plan
 from sloeferry.load_testing.proxies import Daemon, workshop
 from sloeferry.load_testing.tally import Tally
 from sloeferry.stand_ins.processes import free_ports
@@ -99,7 +99,7 @@
                     others,
                 )
                 if standins.stdout.readline().strip() != "ready":
-                    raise Fault("stand-ins: did not come up")
+                    raise LoadPlanError("stand-ins: did not come up")
 
                 def daemon(at):
                     return Daemon(
@@ -135,7 +135,7 @@
             for worker in workers:
                 text = worker.communicate(timeout=plan.seconds() + 60)[0]
                 if worker.returncode:
-                    raise Fault("callers: a worker failed")
+                    raise LoadPlanError("callers: a worker failed")
                 told = json.loads(text)
                 tally.add(told)
                 late = max(late, told["late"])
--- a/sloeferry/load_testing/proxies.py
+++ b/sloeferry/load_testing/proxies.py
@@ -9,7 +9,7 @@
 import threading
 from time import monotonic, sleep
 
-from sloeferry.load_testing.plan import Fault, Plan
+from sloeferry.load_testing.plan import LoadPlanError, Plan
 from sloeferry.stand_ins import platform, processes
 
 PATIENCE = 20.0  # seconds for a daemon to become ready
@@ -95,7 +95,7 @@
                 pass
             sleep(0.05)
         self.end()
-        raise Fault(f"daemon {self.name}: not ready in {PATIENCE:.0f} s: {self.log.read_text()[-300:]}")
+        raise LoadPlanError(f"daemon {self.name}: not ready in {PATIENCE:.0f} s: {self.log.read_text()[-300:]}")
 
     def memory(self):
         """Its largest resident size so far, MB."""
@@ -116,7 +116,7 @@
     target.mkdir()
     archive = subprocess.run(["git", "-C", str(root), "archive", "--format=tar", revision, "sloeferry"], capture_output=True)
     if archive.returncode:
-        raise Fault(f"--against: {revision!r} is no revision of this repository")
+        raise LoadPlanError(f"--against: {revision!r} is no revision of this repository")
     subprocess.run(["tar", "-x", "-C", str(target)], input=archive.stdout, check=True)
     return target
 
--- a/sloeferry/load_testing/step.py
+++ b/sloeferry/load_testing/step.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 from statistics import median
 
-from sloeferry.load_testing.plan import Fault, Plan
+from sloeferry.load_testing.plan import LoadPlanError, Plan
 from sloeferry.load_testing.play import Rig, play
 
 FACTORS = (0.5, 1.0, 1.5, 2.0, 4.0, 8.0)
@@ -38,7 +38,7 @@
         middle = (low + high) / 2
         low, high = (middle, high) if good(middle) else (low, middle)
     if not low:
-        raise Fault(f"saturation: fewer than {LEAST:.0f} txns a second are answered in time")
+        raise LoadPlanError(f"saturation: fewer than {LEAST:.0f} txns a second are answered in time")
     return low
 
 
--- a/sloeferry/network/admission_queue.py
+++ b/sloeferry/network/admission_queue.py
@@ -55,7 +55,7 @@
         return admitted
 
     def leave(self, connection: "ClientConnection") -> None:
-        """This connection ends: closing its socket takes it out of the epoll."""
+        """A connection ends: closing its socket takes it out of the epoll."""
         found = self._parked.get(connection.sock.fileno())
         if found and found[0] is connection:
             del self._parked[connection.sock.fileno()]
--- a/sloeferry/network/connection_sweeper.py
+++ b/sloeferry/network/connection_sweeper.py
@@ -4,10 +4,10 @@
 from typing import TYPE_CHECKING
 
 from sloeferry import environment
+from sloeferry.network import stall_accounting
 from sloeferry.network.client_connection import ClientConnection
 from sloeferry.network.limited_log import warn
 from sloeferry.network.sockets import is_quiet
-from sloeferry.network.stall_accounting import LOOP_TICK_SECONDS
 
 if TYPE_CHECKING:
     from sloeferry.network.client_server import ClientServer
@@ -77,7 +77,7 @@
         Should the decisions fail, which answer before the deadline, a request is ended here all the same.
         """
         while True:
-            await asyncio.sleep(LOOP_TICK_SECONDS)
+            await asyncio.sleep(stall_accounting.LOOP_TICK_SECONDS)
             self._server.dispatcher.loop_turned()
             self._server.stalls.loop_turned()
             now = environment.monotonic_ms()
@@ -87,7 +87,7 @@
     def _look_after(self, connection: ClientConnection, now: float) -> None:
         context = connection.carrier.context
         # Most are answered before the first look: a look at a socket costs as much as a small read.
-        if not context or context.is_answered or now <= context.arrived_at + 1000 * LOOP_TICK_SECONDS:
+        if not context or context.is_answered or now <= context.arrived_at + 1000 * stall_accounting.LOOP_TICK_SECONDS:
             return
         if now > context.deadline + OVERDUE_MS:
             warn("request", "no answer decided in time: request={}", context.request_id)
--- a/sloeferry/network/descriptor_budget.py
+++ b/sloeferry/network/descriptor_budget.py
@@ -34,14 +34,14 @@
         self.taken = 0
         self.idle: _Waiting = {}
         self._new: _Waiting = {}
-        self._partial: _Waiting = {}
+        self.partial: _Waiting = {}
 
     def take(self) -> bool:
         """Takes a place; False if there is none to be had."""
         if self.taken >= self.limit and not (
             self._close_oldest(self.idle, self.IDLE_SECONDS)
             or self._close_oldest(self._new, self.NEW_SECONDS)
-            or self._close_oldest(self._partial, self.PARTIAL_SECONDS)
+            or self._close_oldest(self.partial, self.PARTIAL_SECONDS)
         ):
             return False
         self.taken += 1
@@ -73,11 +73,11 @@
         self, connection: Connection, close: Callable[[], None], is_new: bool = False, is_partial: bool = False
     ) -> None:
         """The connection waits for what comes next: its first request (new), or the rest of a message (partial)."""
-        waiting = self._partial if is_partial else self._new if is_new else self.idle
+        waiting = self.partial if is_partial else self._new if is_new else self.idle
         waiting[connection] = environment.monotonic(), close
 
     def mark_active(self, connection: Connection) -> None:
         """The connection waits no more."""
         self.idle.pop(connection, None)
         self._new.pop(connection, None)
-        self._partial.pop(connection, None)
+        self.partial.pop(connection, None)
--- a/sloeferry/network/discovery_client.py
+++ b/sloeferry/network/discovery_client.py
@@ -12,11 +12,12 @@
 from sloeferry.dispatch.dispatcher import Dispatcher
 from sloeferry.dispatch.endpoint_events import ListedEndpoint
 from sloeferry.lifecycle.state import Lifecycle
+from sloeferry.network import discovery_watch
 from sloeferry.network.buffers import Buffers
 from sloeferry.network.connection_pool import ConnectionPool
 from sloeferry.network.descriptor_budget import DescriptorBudget
 from sloeferry.network.discovery_documents import DocumentReader
-from sloeferry.network.discovery_watch import SILENT_SECONDS, DiscoveryWatch, PollPhase
+from sloeferry.network.discovery_watch import DiscoveryWatch, PollPhase
 from sloeferry.network.sockets import is_quiet
 from sloeferry.policy.interface import EndpointState
 
@@ -62,7 +63,7 @@
         self.update_config(config)
         self.known: dict[str, ListedEndpoint] = {}
         self.revision: int | None = None  # None: the whole list is to be asked for
-        self._is_watching = False  # the current watch has told its list
+        self.is_watching = False  # the current watch has told its list
         self._watch_task: asyncio.Task | None = None
         self._former_watch: asyncio.Task | None = None  # after a move, until the current one has told its list
         self.open_sockets: dict[socket.socket, None] = {}  # of the watches that stand or begin: after a move there are two
@@ -92,7 +93,7 @@
         A poll may never take longer than a watch may be silent: before its first list it is none yet.
         """
         obligations, limits = config.settings.obligations, config.settings.limits
-        self.patience_ms = min(obligations.poll_within_ms * POLL_PATIENCE_RATIO, SILENT_SECONDS * 1000)
+        self.patience_ms = min(obligations.poll_within_ms * POLL_PATIENCE_RATIO, discovery_watch.SILENT_SECONDS * 1000)
         self.connect_timeout_ms = self.redial_pause_ms = limits.connect_timeout_ms
         if self._is_pushed:
             # What the platform's agent has counts as notified, watch or no watch.
@@ -113,7 +114,7 @@
             await self._dispatcher.poll_commands.next()
             if not self._watch_task or self._watch_task.done():
                 self._start_watch()
-            elif self._is_watching:  # it stands already, and all it said has been passed on
+            elif self.is_watching:  # it stands already, and all it said has been passed on
                 self.events.listed(False, ())
 
     def _start_watch(self) -> None:
@@ -136,7 +137,7 @@
         self._report_end(watch, reason)
         if not self.is_current_task():
             return  # its successor is on its way, and will say how that went
-        self._is_watching = False
+        self.is_watching = False
         self.list_is_late()
         self._lifecycle.list_arrived()
         has_watch_ended = watch.phase is PollPhase.WATCHING and watch.silent_since is None
@@ -151,7 +152,7 @@
         if watch.silent_since is not None:
             self.events.watch_silent(watch.silent_since)
         elif watch.phase is PollPhase.WATCHING:
-            if is_current or not self._is_watching:  # else its successor has told the list meanwhile
+            if is_current or not self.is_watching:  # else its successor has told the list meanwhile
                 self.events.watch_ended()
         elif is_current:
             self.events.poll_failed(watch.poll_end(now, self.patience_ms), watch.began_at, watch.tried_at)
@@ -185,15 +186,15 @@
         """
         self.revision = None
         self.events.discovery_moved()
-        if self._is_watching:
+        if self.is_watching:
             self._former_watch = self._watch_task
         elif self._watch_task:
             self._watch_task.cancel()
-        self._is_watching = False
+        self.is_watching = False
         self._start_watch()
 
     async def catch_up(self) -> None:
-        """This program stood still: goes on until what discovery wrote meanwhile is read and taken in."""
+        """The program stood still: goes on until what discovery wrote meanwhile is read and taken in."""
         quiet_turns = 0  # in a row: what was read last is yet to be taken in
         for _ in range(MAX_TURNS):
             await asyncio.sleep(0)
@@ -248,7 +249,7 @@
 
     def _newly_started(self, endpoints: Mapping[str, ListedEndpoint]) -> set[str]:
         """Told while the watch stood, a start is news; what its first document brings may be of any age."""
-        if not self._is_watching:
+        if not self.is_watching:
             return set()
         return {
             endpoint_id
@@ -259,7 +260,7 @@
     def _watch_told_list(self) -> None:
         if self._former_watch:
             self._former_watch.cancel()
-        self._former_watch, self._is_watching = None, True
+        self._former_watch, self.is_watching = None, True
         self._lifecycle.list_arrived()
 
 
--- a/sloeferry/policy/fleet.py
+++ b/sloeferry/policy/fleet.py
@@ -1,4 +1,4 @@
-"""This instance's place in the fleet, and its part of what all proxies together may do."""
+"""An instance's place in the fleet, and its part of what all proxies together may do."""
 
 from sloeferry.config.settings import Settings
 
--- a/sloeferry/policy/requests.py
+++ b/sloeferry/policy/requests.py
@@ -85,10 +85,8 @@
             self.request.request_class.attempt_ended(now, is_served)
         for tracker in self.request.trackers:
             tracker.attempt_ended(now, self, in_time if tells_of_kind else None)
-        if outcome is AttemptOutcome.REJECTED:
-            path_in_time = None
-        else:
-            path_in_time = outcome is AttemptOutcome.ERROR or in_time
+        is_answered = outcome is AttemptOutcome.ERROR or in_time
+        path_in_time = is_answered if outcome is not AttemptOutcome.REJECTED else None
         for tracker in self.endpoint.path_trackers:
             tracker.attempt_ended(now, self, path_in_time)
 
--- a/sloeferry/rehearsal/cli.py
+++ b/sloeferry/rehearsal/cli.py
@@ -78,7 +78,7 @@
         try:
             record.write_text(text)
         except OSError as fault:
-            raise s.Fault(f"--record: {record} can't be written: {fault.strerror}") from None
+            raise s.ScenarioError(f"--record: {record} can't be written: {fault.strerror}") from None
 
 
 @rehearse.command("run")
@@ -106,11 +106,11 @@
     """Plays SCENARIO (a shipped name, or a path).  Exit 0: rules kept, 1: one broken, 2: can't be played."""
     told, show = s.read(scenario), (lambda text: click.echo(text, err=True)) if log else None
     if live and policy != "design":
-        raise s.Fault("--policy: a live play has the design alone")
+        raise s.ScenarioError("--policy: a live play has the design alone")
     if live and chance:
-        raise s.Fault("--chance: a live play has luck of its own")
+        raise s.ScenarioError("--chance: a live play has luck of its own")
     if record and not record.parent.is_dir():
-        raise s.Fault(f"--record: {record.parent} is no folder")
+        raise s.ScenarioError(f"--record: {record.parent} is no folder")
     if live:
         from sloeferry.rehearsal.live import play
 
@@ -148,9 +148,9 @@
     try:
         seeds = range(int(first), int(last or first) + 1)
     except ValueError:
-        raise s.Fault(f"--seeds: {text!r} is not of the form 1-8") from None
+        raise s.ScenarioError(f"--seeds: {text!r} is not of the form 1-8") from None
     if not 1 <= len(seeds) <= 100:
-        raise s.Fault(f"--seeds: {text!r} are not 1 to 100 seeds")
+        raise s.ScenarioError(f"--seeds: {text!r} are not 1 to 100 seeds")
     return seeds
 
 
--- a/sloeferry/rehearsal/live.py
+++ b/sloeferry/rehearsal/live.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from sloeferry.rehearsal.proxy_fleet import LONGEST, READY, Bank, Berth
-from sloeferry.rehearsal.scenario import Fault
+from sloeferry.rehearsal.scenario import ScenarioError
 from sloeferry.stand_ins import processes
 from sloeferry.stand_ins.processes import Throttle, free_ports
 
@@ -138,9 +138,9 @@
 def check(scenario):
     """Whether this can be played live."""
     if scenario.bank.proxies > MOST:
-        raise Fault(f"bank.proxies: {scenario.bank.proxies} are too many for a live play, {MOST} at most")
+        raise ScenarioError(f"bank.proxies: {scenario.bank.proxies} are too many for a live play, {MOST} at most")
     if scenario.seconds > SECONDS:
-        raise Fault(f"seconds: {scenario.seconds:g} is too long for a live play, {SECONDS} at most")
+        raise ScenarioError(f"seconds: {scenario.seconds:g} is too long for a live play, {SECONDS} at most")
 
 
 async def course(scenario, seed, folder, progress):
--- a/sloeferry/rehearsal/scenario.py
+++ b/sloeferry/rehearsal/scenario.py
@@ -20,7 +20,7 @@
 Name = Annotated[str, Meta(pattern="^[A-Za-z0-9._-]{1,64}$")]
 
 
-class Fault(UsageError):
+class ScenarioError(UsageError):
     """What was asked for can't be played; the text names the key."""
 
 
@@ -363,7 +363,7 @@
         return path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as fault:
         why = getattr(fault, "strerror", None) or "is no UTF-8 text"
-        raise Fault(f"{path}: can't be read: {why}; shipped are {', '.join(names)}") from None
+        raise ScenarioError(f"{path}: can't be read: {why}; shipped are {', '.join(names)}") from None
 
 
 def checked(text, name="scenario", kind=None):
@@ -372,12 +372,12 @@
         told = msgspec.toml.decode(text, type=kind or Scenario)
     except msgspec.ValidationError as fault:
         what, _, where = str(fault).partition(" - at ")
-        raise Fault(f"{name}: {where.strip('`').removeprefix('$.') or 'top'}: {what}") from None
+        raise ScenarioError(f"{name}: {where.strip('`').removeprefix('$.') or 'top'}: {what}") from None
     except (msgspec.DecodeError, ValueError) as fault:
-        raise Fault(f"{name}: is no TOML: {fault}") from None
+        raise ScenarioError(f"{name}: is no TOML: {fault}") from None
 
     def no(key, why):
-        raise Fault(f"{name}: {key}: {why}")
+        raise ScenarioError(f"{name}: {key}: {why}")
 
     zones, schemes = told.network.zones, [scheme.name for scheme in told.scheme]
     for key, names in (("network.zones", zones), ("scheme", schemes), ("customer", [c.name for c in told.customer])):
--- a/sloeferry/stand_ins/platform.py
+++ b/sloeferry/stand_ins/platform.py
@@ -4,6 +4,7 @@
 
 
 def scheme(name, kind, sla_ms, expiry_ms, gain, group="all", window_ms=0.0):
+    """The settings of one request class."""
     return {
         "name": name,
         "idempotency": KINDS[kind],
@@ -85,4 +86,5 @@
 
 
 def place(address):
+    """An address as configurations spell it."""
     return address if isinstance(address, str) else "{}:{}".format(*address)
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -86,7 +86,7 @@
                     for b in host.policy.table.ready:
                         for _ in list(b.health_checks_out):
                             host.report(b.endpoint_id, 0)
-                    if txn.out():
+                    if txn.has_attempt_out():
                         host.until(host.now + took)
                         host.end(ref, len(txn.attempts) - 1, AttemptOutcome.SERVED, 1, took=took)
             out.lines.append(
@@ -127,7 +127,8 @@
             posting.endpoint.health_checks_out = [100.0] * probed
             host.end(1, 0, AttemptOutcome.TIMED_OUT, took=490.0)
             out.lines.append(
-                f"asked in vain {probed}: the scheme rests there alone {posting.endpoint.is_ejected_for(host.policy.classes.all[0], host.now)}"
+                f"asked in vain {probed}: the scheme rests there alone "
+                f"{posting.endpoint.is_ejected_for(host.policy.classes.all[0], host.now)}"
             )
         compare(self, out, "blame_silent")
 
@@ -138,10 +139,11 @@
         for at in range(50):
             one.attempt_ended(float(at), at < 20)
             if at % 4 == 0 or at > 30:
-                rare.ended(float(at), True)
+                rare.attempt_ended(float(at), True)
             if at % 3 == 0 or at > 30:
                 lines.append(
-                    f"at {at}: lost {one.lost:.2f} and {rare.loss_rate:.2f}; the rare one tells of it {rare.can_be_compared_with(one)}"
+                    f"at {at}: lost {one.loss_rate:.2f} and {rare.loss_rate:.2f}; "
+                    f"the rare one tells of it {rare.can_be_compared_with(one)}"
                 )
         host.lines = lines
         compare(self, host, "blame_rare")
@@ -165,9 +167,8 @@
         host.lines = []
         policy = host.policy
         host.say(f"postings of those that err: {posts[1::2]}")
-        host.say(
-            f"fails {[b.consecutive_failures for b in policy.table.ready]}, ghosts {[len(b.abandoned_until) for b in policy.table.ready]}"
-        )
+        fails = [b.consecutive_failures for b in policy.table.ready]
+        host.say(f"fails {fails}, ghosts {[len(b.abandoned_until) for b in policy.table.ready]}")
         for ref in range(100, 140):
             host.until(host.now + 20.0)
             host.take(ref)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,11 +16,19 @@
 
 from loguru import logger
 
-from sloeferry import __main__ as start
 from sloeferry.config.settings import REQUEST_CLASS_DEFAULTS, build_settings
-from sloeferry.network import admin_server as desk
-from sloeferry.network import backends, clients, http1
-from sloeferry.network.buffers import Buffers, DescriptorBudget
+from sloeferry.dispatch.attempt_end import AttemptEnd
+from sloeferry.lifecycle.proxy_process import ProxyProcess
+from sloeferry.network import admin_server, listener, sockets
+from sloeferry.network.backend_connection import BackendConnection
+from sloeferry.network.buffers import Buffers
+from sloeferry.network.client_connection import ClientConnection
+from sloeferry.network.connection_pool import ConnectionPool
+from sloeferry.network.deadline_timers import DeadlineTimers
+from sloeferry.network.descriptor_budget import DescriptorBudget
+from sloeferry.network.exchange import Exchange, ExchangePlan
+from sloeferry.network.request_carrier import RequestCarrier
+from sloeferry.policy.interface import EndpointState
 from tests.trace import Harbour, answer, play
 
 NEVER = 3600.0  # seconds: of a look that is not to come in a test
@@ -53,17 +61,13 @@
     """A harbour whose proxy's parts can be reached; its backends write down each head as it comes."""
 
     async def __aenter__(self):
-        def kept(name, part):
-            def make(*what, **more):
-                made = part(*what, **more)
-                setattr(self, name, made)
-                return made
+        def kept(*arguments):
+            process = ProxyProcess(*arguments)
+            self.dispatcher, self.clients, self.pool = process.dispatcher, process.clients, process.pool
+            self.discovery = process.discovery
+            return process
 
-            return make
-
-        with contextlib.ExitStack() as stack:
-            for name in ("Clients", "Backends", "Discovery", "Facade"):
-                stack.enter_context(mock.patch(f"sloeferry.__main__.{name}", kept(name.lower(), getattr(start, name))))
+        with mock.patch("sloeferry.lifecycle.proxy_process.ProxyProcess", kept):
             return await super().__aenter__()
 
     def head(self, ident="c0", scheme="safe", more="", size=0):
@@ -80,7 +84,7 @@
         name = sock.getsockname()
 
         def guest():
-            return next((one for one in self.clients.guests if one.sock.getpeername() == name), None)
+            return next((one for one in self.clients.connections if one.sock.getpeername() == name), None)
 
         return sock, guest
 
@@ -90,7 +94,7 @@
 
     async def told_to_end(self):
         os.kill(os.getpid(), signal.SIGTERM)
-        await until(lambda: self.clients.duty.leaving)
+        await until(lambda: self.clients.lifecycle.is_stopping)
 
     @staticmethod
     async def leaves(sock, there, end=socket.socket.close):
@@ -107,7 +111,7 @@
             gate.held.set()
             return None if gate.opened.is_set() else asyncio.ensure_future(gate.opened.wait())
 
-        with mock.patch.object(self.dispatcher, "turned", turned):
+        with mock.patch.object(self.dispatcher, "loop_turned", turned):
             yield gate
 
     def figures(self):
@@ -115,7 +119,7 @@
         own = {b.endpoint_id: b.own_in_flight for b in self.dispatcher.policy.table.by_id.values()}
         return (
             f"errands {len(self.dispatcher.requests)}, txns {len(self.dispatcher.policy.requests.by_id)}, open ids "
-            f"{len(self.clients.open_ids)}, out {own}"
+            f"{len(self.clients.open_requests)}, out {own}"
         )
 
 
@@ -144,7 +148,7 @@
             await until(lambda: not h.dispatcher.requests)
             h.say(h.figures())
 
-        with mock.patch("sloeferry.network.clients.LOOK", NEVER):
+        with mock.patch("sloeferry.network.stall_accounting.LOOP_TICK_SECONDS", NEVER):
             play(self, told, name, *(harbours or [Opened({"b": answer()})]), **more)
 
     def test_before_first_byte(self):
@@ -152,7 +156,7 @@
         byte or half a request, that reset, or that only ended its sending."""
 
         def reset(sock):
-            http1.reset(sock)
+            sockets.reset_on_close(sock)
             sock.close()
 
         async def story(h):
@@ -174,7 +178,7 @@
                     gate.opened.set()
                     await until(lambda: not h.dispatcher.requests)
                 sock.close()
-                await until(lambda: there not in h.clients.guests)
+                await until(lambda: there not in h.clients.connections)
 
         self.play(story, "crossing_first_byte")
 
@@ -182,15 +186,15 @@
         """Its backend's connection is still coming up."""
 
         async def story(h):
-            gate, dial = Gate(), http1.dial
+            gate, dial = Gate(), sockets.connect
 
             async def slow(*what):
                 await gate.passed()
                 return await dial(*what)
 
-            for link in list(h.backends.idle["b"]):
+            for link in list(h.pool.idle["b"]):
                 link.close()
-            with mock.patch("sloeferry.network.http1.dial", slow):
+            with mock.patch("sloeferry.network.sockets.connect", slow):
                 sock, guest = await h.sent(h.head() + b"x")
                 await gate.held.wait()
                 await h.leaves(sock, guest())
@@ -205,11 +209,11 @@
         async def story(h):
             h.dispatcher.overload.limit = 0.0
             sock, guest = await h.sent(h.head() + b"x")
-            await until(lambda: h.clients.lobby.waiting)
+            await until(lambda: h.clients.admission_queue.waiting)
             there = guest()
             await h.leaves(sock, there)
             h.dispatcher.overload.limit = float("inf")
-            await until(lambda: there not in h.clients.guests)
+            await until(lambda: there not in h.clients.connections)
 
         self.play(story, "crossing_door")
 
@@ -218,18 +222,18 @@
 
         async def story(h):
             for why in ("no seat", "another process's turn"):
-                most, h.clients.seats.most = h.clients.seats.most, 0 if why == "no seat" else h.clients.seats.most
+                most, h.clients.budget.limit = h.clients.budget.limit, 0 if why == "no seat" else h.clients.budget.limit
                 if why != "no seat":
-                    h.clients.hush()
+                    h.clients.listener.pause()
                 sock, _ = await h.sent(h.head() + b"x")
                 sock.close()
                 h.say(f"-- {why}")
-                guests = len(h.clients.guests)
-                h.clients.seats.most = most
+                guests = len(h.clients.connections)
+                h.clients.budget.limit = most
                 if why != "no seat":
-                    h.clients.open()
+                    h.clients.listener.open()
                 other = await h.open()  # let in behind the one that has left
-                await until(lambda: h.clients.guests and len(h.clients.guests) <= guests + 1)
+                await until(lambda: h.clients.connections and len(h.clients.connections) <= guests + 1)
                 await h.call("safe", X_Call_Id="c1", connection=other)
 
         self.play(story, "crossing_listener")
@@ -244,7 +248,7 @@
             there = guest()
             await h.leaves(sock, there)
             held.set()
-            await until(lambda: there not in h.clients.guests)
+            await until(lambda: there not in h.clients.connections)
 
         self.play(story, "crossing_ahead", Opened({"b": lambda n: held if n == 2 else answer()}))
 
@@ -257,7 +261,9 @@
                 await gate.held.wait()
                 out = []
                 await h.leaves(sock, guest())
-                with mock.patch.object(backends.Link, "done", lambda link, keep: (out.append(keep), link.close())):
+                with mock.patch.object(
+                    BackendConnection, "finish", lambda link, keep_alive: (out.append(keep_alive), link.close())
+                ):
                     gate.opened.set()
                     await until(lambda: not h.dispatcher.requests)
                 h.say(f"a connection untouched: {out}")
@@ -310,20 +316,20 @@
         ended with an order that nobody has begun: nothing of either is left behind."""
 
         async def story(h):
-            with mock.patch("sloeferry.network.clients.READING", 0.1):
+            with mock.patch("sloeferry.network.connection_sweeper.READ_SECONDS", 0.1):
                 sock, guest = await h.sent(h.head(size=200000) + b"x" * 100000)
-                await until(lambda: guest() and guest().pulling)
+                await until(lambda: guest() and guest().receiving_body_since)
                 there = guest()
-                await until(lambda: there not in h.clients.guests)
+                await until(lambda: there not in h.clients.connections)
             await until(lambda: not h.dispatcher.requests)
             h.say(f"in its body: {h.figures()}")
             sock.close()
             gate = Gate()
-            with mock.patch.object(clients.Guest, "carry", lambda *_: gate.passed()):
+            with mock.patch.object(RequestCarrier, "carry", lambda *_: gate.passed()):
                 sock, guest = await h.sent(h.head())
                 await gate.held.wait()  # taken, and its posting ordered
                 there = guest()
-                there.end()
+                there.close()
                 await asyncio.wait([there.task])
             h.say(f"with an order: {h.figures()}")
             sock.close()
@@ -334,17 +340,17 @@
         """Half a request's time is over just as it is told to go on: the word is not broken off, and its rest counts."""
 
         async def story(h):
-            gate, send = Gate(), clients.Guest.send
+            gate, send = Gate(), ClientConnection.send
 
             async def slow(guest, data):
                 if b"100" in data:
                     await gate.passed()
                 await send(guest, data)
 
-            with mock.patch.object(clients.Guest, "send", slow):
+            with mock.patch.object(ClientConnection, "send", slow):
                 sock, guest = await h.sent(h.head(more="Expect: 100-continue\r\n", size=4))
                 await gate.held.wait()
-                guest().hurry()
+                guest().time_out_request()
                 gate.opened.set()
                 await h.gets(sock, 999)
                 with contextlib.suppress(OSError):
@@ -359,19 +365,19 @@
         is unread the connection would be reset, and the rest of the answer lost."""
 
         async def story(h):
-            gate, send, loop, got = Gate(), clients.Guest.send, asyncio.get_running_loop(), b""
+            gate, send, loop, got = Gate(), ClientConnection.send, asyncio.get_running_loop(), b""
 
             async def slow(guest, data):
                 await gate.passed()
                 await send(guest, data)
 
-            with mock.patch.object(clients.Guest, "send", slow):
+            with mock.patch.object(ClientConnection, "send", slow):
                 sock, guest = await h.sent(h.head(more="Connection: close\r\n"))
                 await gate.held.wait()
                 there = guest()
                 await loop.sock_sendall(sock, b"more")
                 gate.opened.set()
-                await until(lambda: there.ended or h.clients.lingering)
+                await until(lambda: there.is_closed or h.clients.lingering)
             with contextlib.suppress(OSError):
                 while data := await loop.sock_recv(sock, 4096):
                     got += data
@@ -386,16 +392,19 @@
         held = asyncio.Event()
 
         async def story(h):
-            h.clients.seats.most = 1
-            await until(lambda: not h.clients.guests)
+            h.clients.budget.limit = 1
+            await until(lambda: not h.clients.connections)
             busy = asyncio.ensure_future(h.ask(h.head("c1"), quiet=True))
             await until(lambda: h.asked)
             sock, _ = await h.sent(h.head("last"))
-            with mock.patch("sloeferry.network.clients.STILL_COMING", 0.02), mock.patch("sloeferry.network.clients.LAST", 0.02):
+            with (
+                mock.patch("sloeferry.network.client_shutdown.NEW_CONNECTION_SECONDS", 0.02),
+                mock.patch("sloeferry.network.client_shutdown.LAST_REQUEST_SECONDS", 0.02),
+            ):
                 os.kill(os.getpid(), signal.SIGTERM)
-                accept, tries = h.clients.accept, []
-                with mock.patch.object(h.clients, "accept", lambda *most: (tries.append(most), accept(*most))[1]):
-                    await until(lambda: (clients.BACKLOG,) in tries)  # the last time that it lets anybody in
+                accept, tries = h.clients.listener.accept, []
+                with mock.patch.object(h.clients.listener, "accept", lambda *most: (tries.append(most), accept(*most))[1]):
+                    await until(lambda: (listener.BACKLOG,) in tries)  # the last time that it lets anybody in
                     held.set()
                     await busy
                     with contextlib.suppress(OSError):
@@ -411,13 +420,13 @@
         or it would go with the close."""
 
         async def story(h):
-            serve, found = desk.Desk.serve, []
+            serve, found = admin_server.AdminServer._serve, []
 
             def served(there, sock):
                 found.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) > 0)
                 return serve(there, sock)
 
-            with mock.patch.object(desk.Desk, "serve", served):
+            with mock.patch.object(admin_server.AdminServer, "_serve", served):
                 reader, writer = await asyncio.open_connection("127.0.0.1", h.ops)
                 writer.write(b"POST /admin/resume HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n")
                 h.say(f"caller gets: {await reader.readline()}")
@@ -432,16 +441,16 @@
         on its way.  What has its answer under way is not told another."""
 
         async def story(h):
-            await until(lambda: not h.clients.guests)
-            h.clients.seats.most = 1
-            with mock.patch("sloeferry.network.buffers.Seats.STUCK", 0.0):
+            await until(lambda: not h.clients.connections)
+            h.clients.budget.limit = 1
+            with mock.patch("sloeferry.network.descriptor_budget.DescriptorBudget.PARTIAL_SECONDS", 0.0):
                 sock, guest = await h.sent(h.head("c1", size=4) + b"bo")
-                await until(lambda: guest() in h.clients.seats.begun)
+                await until(lambda: guest() in h.clients.budget.partial)
                 await h.call("safe", X_Call_Id="c2")
                 await h.gets(sock, 28)
                 sock.close()
-            h.clients.seats.most = 9
-            with mock.patch("sloeferry.network.clients.READING", 0.1):
+            h.clients.budget.limit = 9
+            with mock.patch("sloeferry.network.connection_sweeper.READ_SECONDS", 0.1):
                 sock, guest = await h.sent(h.head("c3", size=200000) + b"x" * 100000)
                 await h.gets(sock, 28)
             sock.close()
@@ -475,14 +484,14 @@
             halves = []
             for size in (4, 200000):
                 sock, guest = await h.sent(h.head(f"c{size}", size=size) + b"x" * (size - 1))
-                await until(lambda: guest() and guest().wire.begun)
+                await until(lambda: guest() and guest().stream.has_begun)
                 halves.append(sock)
             await until(lambda: h.dispatcher.requests)
             budgets, take, whole = [], h.dispatcher.accept_request, h.dispatcher.body_received
             with (
-                mock.patch("sloeferry.network.clients.KILLED", -h.expiry / 2000),
-                mock.patch.object(h.dispatcher, "take", lambda *what: (budgets.append(what[2]), take(*what))[1]),
-                mock.patch.object(h.dispatcher, "whole", lambda *what: (budgets.append(what[1]), whole(*what))),
+                mock.patch("sloeferry.network.client_shutdown.KILL_SECONDS", -h.expiry / 2000),
+                mock.patch.object(h.dispatcher, "accept_request", lambda *what: (budgets.append(what[2]), take(*what))[1]),
+                mock.patch.object(h.dispatcher, "body_received", lambda *what: (budgets.append(what[1]), whole(*what))),
             ):
                 await h.told_to_end()
                 for sock in halves:
@@ -497,7 +506,7 @@
         """Its socket is spoilt as it is taken from the listener: its seat is free again, and the next one is let in."""
 
         async def story(h):
-            await until(lambda: not h.clients.guests)
+            await until(lambda: not h.clients.connections)
             option, spoilt = socket.socket.setsockopt, []
 
             def setsockopt(sock, *what):
@@ -512,8 +521,8 @@
                 await h.call("safe")
             sock.close()
             h.connections[-1][1].close()
-            await until(lambda: not h.clients.guests)
-            h.say(f"seats taken: {h.clients.seats.taken}")
+            await until(lambda: not h.clients.connections)
+            h.say(f"seats taken: {h.clients.budget.taken}")
 
         play(self, story, "crossing_let_in", Opened({"b": answer()}))
 
@@ -522,11 +531,11 @@
 
         async def story(h):
             sock, guest = await h.sent(h.head(size=4) + b"bod")
-            await until(lambda: guest() and guest().wire.message.size == 3 and guest().reading)
+            await until(lambda: guest() and guest().stream.message.body_bytes == 3 and guest()._is_reading)
             there = guest()
             sock.send(b"y")
             select.select([there.sock], [], [])  # it is there, and not read: not one turn of the loop in between
-            there.hurry()
+            there.time_out_request()
             await h.gets(sock, 28)
             sock.close()
 
@@ -542,7 +551,7 @@
                 file.flush()
                 h.dispatcher.overload.limit = 0.0
                 sock, _ = await h.sent(h.head())
-                await until(lambda: h.clients.lobby.waiting)
+                await until(lambda: h.clients.admission_queue.waiting)
                 for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
                     os.kill(os.getpid(), number)
                 await h.gets(sock, 15)
@@ -557,18 +566,23 @@
         not kept, and the next posting gets its own answer."""
 
         async def story(h):
-            told = types.SimpleNamespace(turned=lambda: None)
+            told = types.SimpleNamespace(loop_turned=lambda: None)
             loop = asyncio.get_running_loop()
-            bank = backends.Backends(loop, told, build_settings({"schemes.count": 1}), DescriptorBudget(9), Buffers())
-            bank.told("b", ("127.0.0.1", h.ports["b"]))
-            socks, dial = [], http1.dial
+            pool = ConnectionPool(loop, build_settings({"schemes.count": 1}), DescriptorBudget(9), Buffers())
+            pool.set_address("b", ("127.0.0.1", h.ports["b"]))
+
+            def exchange(request):
+                plan = ExchangePlan("b", 1e12, may_begin=lambda: True, make_request=lambda: request)
+                return Exchange(plan, told, pool, DeadlineTimers(loop)).run()
+
+            socks, dial = [], sockets.connect
 
             async def dialled(*what):
                 socks.append(await dial(*what))
                 return socks[-1]
 
-            with mock.patch("sloeferry.network.http1.dial", dialled):
-                task = bank.spawn(bank.exchange("b", 1e12, lambda: True, lambda: b"GET /x HTTP/1.1\r\n\r\n"))
+            with mock.patch("sloeferry.network.sockets.connect", dialled):
+                task = loop.create_task(exchange(b"GET /x HTTP/1.1\r\n\r\n"))
                 await until(lambda: h.asked == 1)
                 h.writers[-1].write(answer("first"))
                 while not select.select(socks, [], [], 0)[0]:
@@ -576,9 +590,10 @@
                 task.cancel()
                 task.cancel()
                 ended = await task
-                h.say(f"reached {ended.reached}, why {ended.why}, answer {ended.answer}, kept {len(bank.idle.get('b', ()))}")
-                ended = await bank.exchange("b", 1e12, lambda: True, lambda: b"GET /y HTTP/1.1\r\n\r\n")
-                h.say(f"the next one's: {ended.answer.body()}, seats {bank.seats.taken}")
+                why = list(AttemptEnd).index(ended.end)
+                h.say(f"reached {ended.progress}, why {why}, answer {ended.response}, kept {len(pool.idle.get('b', ()))}")
+                ended = await exchange(b"GET /y HTTP/1.1\r\n\r\n")
+                h.say(f"the next one's: {ended.response.body()}, seats {pool.budget.taken}")
 
         play(self, story, "crossing_cancels", Opened({"b": lambda n: None if n == 1 else answer("second")}))
 
@@ -586,7 +601,7 @@
         """A backend is listed elsewhere while its connection comes up: that address may be another's by now."""
 
         async def story(h):
-            gate, dial = Gate(), http1.dial
+            gate, dial = Gate(), sockets.connect
 
             async def slow(*what):
                 sock = await dial(*what)
@@ -594,10 +609,10 @@
                     await gate.passed()
                 return sock
 
-            with mock.patch("sloeferry.network.http1.dial", slow):
+            with mock.patch("sloeferry.network.sockets.connect", slow):
                 asked = asyncio.ensure_future(h.call("once"))
                 await gate.held.wait()
-                h.backends.told("b", ("127.0.0.1", h.ports["c"]))
+                h.pool.set_address("b", ("127.0.0.1", h.ports["c"]))
                 gate.opened.set()
                 await asked
 
@@ -609,18 +624,18 @@
         """A referenced txn's second posting is dialled as the window in which a repeat is known ends: not begun."""
 
         async def story(h):
-            gate, dial = Gate(), http1.dial
+            gate, dial = Gate(), sockets.connect
 
             async def slow(*what):
                 if h.asked:
                     await gate.passed()
                 return await dial(*what)
 
-            with mock.patch("sloeferry.network.http1.dial", slow):
+            with mock.patch("sloeferry.network.sockets.connect", slow):
                 asked = asyncio.ensure_future(h.call("keyed"))
                 await gate.held.wait()
                 [txn] = h.dispatcher.policy.requests.by_id.values()
-                txn.attempts[0].sent -= 2 * txn.request_class.window
+                txn.attempts[0].sent_at -= 2 * txn.request_class.deduplication_window_ms
                 gate.opened.set()
                 await asked
             h.say(h.figures().partition(", out")[0])
@@ -633,11 +648,11 @@
 
         async def story(h):
             sock, guest = await h.sent(h.head(size=200000) + b"x" * 100000)
-            await until(lambda: guest() and guest().pulling)
+            await until(lambda: guest() and guest().receiving_body_since)
             there = guest()
-            h.dispatcher.cancel_attempt(there.context.request_id, 0)
+            h.dispatcher.cancel_attempt(there.carrier.context.request_id, 0)
             await until(lambda: not h.dispatcher.requests)
-            h.say(f"its body is waited for still: {bool(there.pulling)}")
+            h.say(f"its body is waited for still: {bool(there.receiving_body_since)}")
             sock.close()
 
         play(self, story, "crossing_pull", Opened({"b": answer()}))
@@ -648,13 +663,13 @@
         async def story(h):
             await h.call("safe")
             h.list(("b", "leaving"))
-            await until(lambda: h.discovery.known["b"][4] == "draining")
+            await until(lambda: h.discovery.known["b"].state is EndpointState.DRAINING)
             await h.call("safe")
             h.ports["new"] = h.ports["b"]
             h.list("new")
             await until(lambda: "new" in h.discovery.known)
             await h.call("safe")
-            h.say(f"kept connections of {list(h.backends.idle)}; known {list(h.dispatcher.policy.table.by_id)}")
+            h.say(f"kept connections of {list(h.pool.idle)}; known {list(h.dispatcher.policy.table.by_id)}")
 
         play(self, story, "crossing_new", Opened({"b": answer()}, expiry=300))
 
@@ -691,13 +706,13 @@
 
         async def story(h):
             await h.call("safe", X_Call_Id="c1")
-            [link], first, sleep, gate = h.backends.idle["b"], h.writers[-1], asyncio.sleep, None
+            [link], first, sleep, gate = h.pool.idle["b"], h.writers[-1], asyncio.sleep, None
             with mock.patch("asyncio.sleep", lambda seconds: gate.passed() if seconds > 1 else sleep(seconds)):
                 gate = Gate()
                 asked = asyncio.ensure_future(h.call("safe", X_Call_Id="c2"))
                 await until(lambda: gate.held.is_set() or h.asked == 2)  # it rests, or it went out
                 first.write(answer("again"))
-                await until(lambda: link.sock.fileno() < 0 or not http1.quiet(link.sock))
+                await until(lambda: link.sock.fileno() < 0 or not sockets.is_quiet(link.sock))
                 gate.opened.set()
                 await asked
                 gate = Gate()
@@ -706,7 +721,7 @@
                 guest().task.cancel()  # it carries its posting itself
                 gate.opened.set()
                 await until(lambda: not h.dispatcher.requests)
-            h.say(f"kept: {len(h.backends.idle['b'])}")
+            h.say(f"kept: {len(h.pool.idle['b'])}")
             sock.close()
 
         class Unsettled(Opened):
@@ -756,13 +771,13 @@
                 first = await h.sent(h.head(size=4) + b"bo")
                 second = await h.sent(h.head("c1", "once", size=4) + b"bo")
                 third = await h.sent(h.head("c2", "keyed", "Idempotency-Key: k\r\n", size=4) + b"bo")
-                await until(lambda: all(one[1]() and one[1]().wire.message.asks for one in (first, second, third)))
+                await until(lambda: all(one[1]() and one[1]().stream.message.target for one in (first, second, third)))
                 told = json.loads(json.dumps(h.told))
                 told["settings"]["schemes"] = [dict(told["settings"]["schemes"][1], name=name) for name in ("safe", "keyed")]
                 json.dump(told, file)
                 file.flush()
                 os.kill(os.getpid(), signal.SIGHUP)
-                await until(lambda: len(h.clients.schemes) == 2)
+                await until(lambda: h.clients.intake.class_count == 2)
                 for sock, _ in (first, second, third):
                     await asyncio.get_running_loop().sock_sendall(sock, b"dy")
                     await h.gets(sock, 28)
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -23,8 +23,8 @@
 from sloeferry.config.instance import read_instance_config
 from sloeferry.config.settings import Idempotency
 from sloeferry.lifecycle.snapshot import restore_snapshot, take_snapshot
-from sloeferry.lifecycle.snapshot_store import SnapshotStore
-from sloeferry.lifecycle.state import CROSSING, Lifecycle
+from sloeferry.lifecycle.snapshot_store import SnapshotError, SnapshotStore
+from sloeferry.lifecycle.state import CLOSE_IDLE_AFTER_MS, Lifecycle
 from sloeferry.policy.interface import AttemptOutcome, EndpointState
 from tests.trace import Harbour, Lines, Printer, answer, compare, play
 
@@ -40,12 +40,12 @@
         """Whatever comes in whatever order, what is said of it: one line a step."""
         out = Lines()
         steps = {
-            "list": Lifecycle.list_came,
-            "quiesce": lambda d: d.quiesce(0.0),
+            "list": Lifecycle.list_arrived,
+            "quiesce": lambda d: d.drain(0.0),
             "resume": Lifecycle.resume,
-            "sigterm": Lifecycle.leave,
-            "another serves": lambda d: d.__dict__.update(companions=1),
-            "it ends": lambda d: d.__dict__.update(companions=0),
+            "sigterm": Lifecycle.stop,
+            "another serves": lambda d: setattr(d, "other_ready_processes", 1),
+            "it ends": lambda d: setattr(d, "other_ready_processes", 0),
         }
         for way in (
             "list",
@@ -64,7 +64,7 @@
                     said = steps[one](duty)
                     out.lines.append(
                         f"{one}: {'' if said is None else 'yes ' if said else 'no '}{duty.state(3)}, {duty.state(0)};"
-                        f" front {duty.ready()}, operators {duty.serves()}, takes in {duty.accepts()}"
+                        f" front {duty.answers_ready()}, operators {duty.is_ready()}, takes in {duty.accepts_connections()}"
                     )
         compare(self, out, "duty_states")
 
@@ -74,17 +74,17 @@
         duty = Lifecycle()
         for step in steps:
             {
-                "list": duty.list_came,
-                "quiesce": lambda: duty.quiesce(5.0),
+                "list": duty.list_arrived,
+                "quiesce": lambda: duty.drain(5.0),
                 "resume": duty.resume,
-                "leave": duty.leave,
-                "mate": lambda: duty.__dict__.update(companions=1),
-                "alone": lambda: duty.__dict__.update(companions=0),
+                "leave": duty.stop,
+                "mate": lambda: setattr(duty, "other_ready_processes", 1),
+                "alone": lambda: setattr(duty, "other_ready_processes", 0),
             }[step]()
-            self.assertEqual(duty.serves(), duty.state(1) == "serving")
-            self.assertFalse(duty.serves() and duty.sends_away())
-            self.assertTrue(duty.accepts() or duty.companions, "somebody takes clients in")
-            self.assertFalse(duty.lets_go(5.0 + CROSSING - 1))
+            self.assertEqual(duty.is_ready(), duty.state(1) == "serving")
+            self.assertFalse(duty.is_ready() and duty.closes_connections())
+            self.assertTrue(duty.accepts_connections() or duty.other_ready_processes, "somebody takes clients in")
+            self.assertFalse(duty.may_close_idle(5.0 + CLOSE_IDLE_AFTER_MS - 1))
 
 
 class Settings(unittest.TestCase):
@@ -254,7 +254,7 @@
             idle, used = await h.open(), await h.open()
             for connection in (idle, used):
                 await h.call("safe", connection=connection)
-            with mock.patch("sloeferry.lifecycle.state.CROSSING", 0.0):
+            with mock.patch("sloeferry.lifecycle.state.CLOSE_IDLE_AFTER_MS", 0.0):
                 await self.ops(h, "POST /admin/quiesce HTTP/1.1\r\n\r\n")
                 await h.ask("GET /ready HTTP/1.1\r\n\r\n")
                 h.say(f"the idle ones end: {await idle[0].read() == b''}, {await used[0].read() == b''}")
@@ -304,6 +304,14 @@
         play(self, story, "settings_while_serving", Harbour({"b": lambda n: held if n == 1 else answer()}))
 
 
+def read_snapshot(store, now):
+    """The list and what was learned, or why there is none."""
+    try:
+        return tuple(store.read(now))
+    except SnapshotError as error:
+        return str(error)
+
+
 class Handovers(unittest.TestCase):
     def test_folder(self):
         """Who lives is seen by a lock, however he ended; a snapshot is whole, of this proxy and of now, or none."""
@@ -311,16 +319,16 @@
         with tempfile.TemporaryDirectory() as path:
             first, second, other = SnapshotStore(path, "n", "s"), SnapshotStore(path, "n", "s"), SnapshotStore(path, "m", "s")
             second.show(True)
-            out.lines.append(f"others: {first.mates()}, {second.mates()}, {other.mates()}")
-            os.close(second.lock)  # it was killed: nothing is tidied up
-            out.lines.append(f"after one was killed: {first.mates()}")
-            out.lines.append(f"nothing yet: {first.read(0.0)}")
+            out.lines.append(f"others: {tuple(first.neighbours())}, {tuple(second.neighbours())}, {tuple(other.neighbours())}")
+            os.close(second._lock_fd)  # it was killed: nothing is tidied up
+            out.lines.append(f"after one was killed: {tuple(first.neighbours())}")
+            out.lines.append(f"nothing yet: {read_snapshot(first, 0.0)}")
             first.write(100.0, {"revision": 1}, {"x": [1.5]})
             third = SnapshotStore(path, "n", "s")
             for now in (200.0, 99.0, 1e6):
-                out.lines.append(f"at {now:.0f}: {third.read(now)}")
-            with mock.patch.object(third, "boot", "another"):
-                out.lines.append(f"at 200, the machine started anew: {third.read(200.0)}")
+                out.lines.append(f"at {now:.0f}: {read_snapshot(third, now)}")
+            with mock.patch.object(third, "_boot_id", "another"):
+                out.lines.append(f"at 200, the machine started anew: {read_snapshot(third, 200.0)}")
             file = f"{third.path}/snapshot"
             with open(file, "rb") as opened:
                 whole = opened.read()
@@ -332,7 +340,7 @@
             ):
                 with open(file, "wb") as opened:
                     opened.write(text)
-                out.lines.append(f"{name}: {third.read(200.0)}")
+                out.lines.append(f"{name}: {read_snapshot(third, 200.0)}")
             out.lines.append(f"no number: {third.write(1.0, {}, {'x': float('nan')})}")
             for folder in (first, third, other):
                 folder.close()
@@ -349,18 +357,18 @@
                 ident = [line.split()[-1] for line in host.lines if f"post {ref}/0" in line][0]
                 host.until(host.now + 20.0)
                 host.end(ref, 0, AttemptOutcome.SERVED, 0, took=200.0 if ident == "a" else 40.0)
-            return host.policy
+            return host
 
         def figures(proxy):
-            return [round(s.typical_ms(), 3) for s in proxy.schemes] + [round(b.slowdown, 3) for b in proxy.table.ready]
+            return [round(s.typical_ms(), 3) for s in proxy.classes.all] + [round(b.slowdown, 3) for b in proxy.table.ready]
 
         former, fresh, out = learned(), Printer(), Lines()
         fresh.list(("a",), ("b",), ("c",))
-        for host in (former.host, fresh):
+        for host in (former, fresh):
             settings = host.policy.settings
             named = [dataclasses.replace(one, name=f"s{at}") for at, one in enumerate(settings.request_classes)]
             host.policy.settings = dataclasses.replace(settings, request_classes=tuple(named))
-        said = json.loads(json.dumps(take_snapshot(former), allow_nan=False))
+        said = json.loads(json.dumps(take_snapshot(former.policy), allow_nan=False))
         before = figures(fresh.policy)
         for bad in (
             dict(said, curve=[]),
@@ -374,7 +382,9 @@
             self.assertEqual(figures(fresh.policy), before)
         restore_snapshot(fresh.policy, said)
         out.lines.append(f"before {before}")
-        out.lines.append(f"learned {figures(former)}, taken over the same: {figures(former) == figures(fresh.policy)}")
+        out.lines.append(
+            f"learned {figures(former.policy)}, taken over the same: {figures(former.policy) == figures(fresh.policy)}"
+        )
         compare(self, out, "handover_memory")
 
     def test_divided(self):
@@ -392,7 +402,7 @@
             host.list(("a", 0, EndpointState.READY, 1.0))
             cold, sent = host.policy.table.by_id["a"], 0
             while host.policy.slow_start.may_send(cold, 1000.0, 50.0):
-                cold.sent.append((1000.0, 50.0))
+                cold.recent_sends.append((1000.0, 50.0))
                 sent += 1
             out.lines.append(f"{processes}: {sent} at once")
         compare(self, out, "handover_divided")
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -46,7 +46,8 @@
         host.until(2000.0)
         host.lines[:-1] = []
         host.say(
-            f"{len(policy.table.by_id)} {len(policy.table.ready)} {len(policy.table.active)} backends, {len(proxy.requests.by_id)} txn, "
+            f"{len(policy.table.by_id)} {len(policy.table.ready)} {len(policy.table.active)} backends, "
+            f"{len(proxy.requests.by_id)} txn, "
             f"{len(proxy.timers)} timers"
         )
         compare(self, host, "forgotten")
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -10,10 +10,12 @@
 from hypothesis import strategies as st
 from loguru import logger
 
-from sloeferry.network import http1
-from sloeferry.network.body_stream import Upload
-from sloeferry.network.clients import ClientConnection
-from sloeferry.network.http1 import KEPT, Framing
+from sloeferry.config.settings import build_settings
+from sloeferry.network.body_stream import RequestBodyStream
+from sloeferry.network.http1 import writer
+from sloeferry.network.http1.framing import MAX_HELD_BODY_BYTES, MessageFraming
+from sloeferry.network.http1.message import HOP_BY_HOP_HEADERS, Message
+from sloeferry.network.request_intake import RequestIntake
 from tests.trace import Harbour, answer, play
 
 TOKEN = b"abcdefghijklmnopqrstuvwxyzABCXYZ0189-_"
@@ -70,11 +72,11 @@
 
 
 def ours(rng, wire, answers):
-    framing, found = Framing(answers), []
+    framing, found = MessageFraming(answers), []
     for piece in pieces(rng, wire):
         framing.feed(piece, len(piece))
     framing.feed(b"", 0)
-    for message in framing.whole:
+    for message in framing.completed:
         found.append(
             (
                 message.body(),
@@ -131,11 +133,11 @@
         wire[rng.randrange(len(wire))] = rng.choice(b"\r\n :,;0aZ\x00\x7f\xff")
         seen = []
         for _ in range(2):
-            framing = Framing(answers)
+            framing = MessageFraming(answers)
             for piece in pieces(rng, bytes(wire)):
                 if framing.feed(piece, len(piece)):
                     break
-            seen.append(([(m.body(), m.headers) for m in framing.whole], framing.fault))
+            seen.append(([(m.body(), m.headers) for m in framing.completed], framing.fault))
         self.assertEqual(*seen)
 
     @settings(max_examples=300, deadline=None)
@@ -144,17 +146,17 @@
         """A request read in any form goes on as exactly one message, with that body and none of its framing."""
         rng = random.Random(seed)
         wire, bodies = drawn(rng, False)
-        framing = Framing(False)
+        framing = MessageFraming(False)
         for piece in pieces(rng, wire):
             framing.feed(piece, len(piece))
-        for message, body in zip(framing.whole, bodies, strict=True):
-            headers = message.passed_on(http1.HOP)
+        for message, body in zip(framing.completed, bodies, strict=True):
+            headers = message.forwarded_headers(HOP_BY_HOP_HEADERS)
             chunked = rng.random() < 0.5
-            sent = http1.opening(message.method, b"/x", headers, None if chunked else message.size) + b"\r\n"
-            sent += b"".join(map(http1.chunk, filter(None, (body[:9], body[9:])))) + b"0\r\n\r\n" if chunked else body
+            sent = writer.request_head(message.method, b"/x", headers, None if chunked else message.body_bytes) + b"\r\n"
+            sent += b"".join(map(writer.chunk, filter(None, (body[:9], body[9:])))) + b"0\r\n\r\n" if chunked else body
             [(found, said)] = theirs(sent, False)
             self.assertEqual(found, body)
-            self.assertEqual([h for h in said if h[0] not in http1.HOP], headers)
+            self.assertEqual([h for h in said if h[0] not in HOP_BY_HOP_HEADERS], headers)
 
     @settings(max_examples=300, deadline=None)
     @given(st.integers(0, 2**32))
@@ -192,24 +194,21 @@
                 ),
             )
         text = b"\r\n".join(head) + b"\r\n\r\n" + b"b" * rng.choice((length, length, length + 1, 0))
-        door = types.SimpleNamespace(shut=lambda: True)
-        clients = types.SimpleNamespace(
-            dispatcher=types.SimpleNamespace(door=door, bars=lambda *_: 5.0),
-            duty=types.SimpleNamespace(leaving=False),
-            schemes={b"safe": 0},
-            tenant={b"acme": 0}.get,
-        )
-        if ClientConnection.glance(types.SimpleNamespace(clients=clients), bytearray(text), len(text)):
-            framing = Framing(False)
+        overload = types.SimpleNamespace(is_shedding=lambda: True)
+        dispatcher = types.SimpleNamespace(overload=overload, rejection_delay_ms=lambda *_: 5.0)
+        named = {"schemes.count": 1, "schemes.0.name": "safe", "tenants.count": 1, "tenants.0.name": "acme"}
+        intake = RequestIntake(dispatcher, types.SimpleNamespace(is_stopping=False), build_settings(named))
+        if intake.unparsed_rejection_delay_ms(bytearray(text), len(text)) is not None:
+            framing = MessageFraming(False)
             framing.feed(text, len(text))
-            self.assertEqual((len(framing.whole), framing.begun, framing.fault), (1, False, None))
+            self.assertEqual((len(framing.completed), framing.has_begun, framing.fault), (1, False, None))
 
 
 class Claims(unittest.TestCase):
     def test_one_at_a_time(self):
         """A second posting that is refused the body and ends leaves it to the first: nobody else gets it meanwhile."""
-        message = http1.Message()
-        upload = Upload(None, message, None, types.SimpleNamespace(ends=0.0))
+        message = Message()
+        upload = RequestBodyStream(None, message, None, types.SimpleNamespace(deadline=0.0))
         self.assertEqual((upload.claim(0), upload.claim(1)), (True, False))
         upload.release(1)
         self.assertFalse(upload.claim(2))
@@ -245,8 +244,8 @@
     def test_long_answers(self):
         """With a length, in chunks, to the end of the connection: passed on whole, to old clients too; cut off,
         the client can tell; the connection is used again where it may be."""
-        long, head = b"x" * (3 * KEPT), b"HTTP/1.1 200 X\r\n"
-        chunks = b"".join(b"%x\r\n%b\r\n" % (n, b"x" * n) for n in (1, 70000, 9, KEPT)) + b"0\r\nX-Late: 1\r\n\r\n"
+        long, head = b"x" * (3 * MAX_HELD_BODY_BYTES), b"HTTP/1.1 200 X\r\n"
+        chunks = b"".join(b"%x\r\n%b\r\n" % (n, b"x" * n) for n in (1, 70000, 9, MAX_HELD_BODY_BYTES)) + b"0\r\nX-Late: 1\r\n\r\n"
         said = [
             answer("x" * len(long)),
             head + b"Transfer-Encoding: chunked\r\n\r\n" + chunks,
@@ -289,7 +288,7 @@
         may break off; a backend may answer before it has all of it."""
 
         async def story(h):
-            body = "y" * (4 * KEPT)
+            body = "y" * (4 * MAX_HELD_BODY_BYTES)
             connection = await h.open()
             await h.call("once", body, connection)
             await h.call("once", "short", connection)
@@ -303,7 +302,7 @@
             await h.ask(head + "Transfer-Encoding: chunked\r\n\r\n" + parts + "0\r\n\r\n")
             h.say("-- the client breaks off")
             _, writer = await h.open()
-            writer.write((head + f"Content-Length: {len(body)}\r\n\r\n" + body[: 2 * KEPT]).encode())
+            writer.write((head + f"Content-Length: {len(body)}\r\n\r\n" + body[: 2 * MAX_HELD_BODY_BYTES]).encode())
             await writer.drain()
             while h.begun < 5:
                 await asyncio.sleep(0.01)
@@ -318,17 +317,17 @@
         """Answered before its body has come: the client gets it, and its connection ends."""
 
         async def story(h):
-            body = "y" * (2 * KEPT)
+            body = "y" * (2 * MAX_HELD_BODY_BYTES)
             reader, writer = await h.open()
             writer.write(
                 (
                     "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: c1\r\nX-Call-Class: keyed\r\nX-Caller: acme\r\n"
-                    f"Idempotency-Key: k1\r\nX-Budget-Ms: 3000\r\nContent-Length: {4 * KEPT}\r\n\r\n" + body
+                    f"Idempotency-Key: k1\r\nX-Budget-Ms: 3000\r\nContent-Length: {4 * MAX_HELD_BODY_BYTES}\r\n\r\n" + body
                 ).encode()
             )
             while h.begun < 1:
                 await asyncio.sleep(0.01)
-            writer.write(body[:KEPT].encode())
+            writer.write(body[:MAX_HELD_BODY_BYTES].encode())
             got = await reader.readuntil(b"\r\n\r\n")
             h.say(f"client gets: {got.split()[1].decode()}, {b'Connection: close' in got}")
             h.say("-- the next one goes on a connection of its own: what was left there is nobody's beginning")
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -30,7 +30,7 @@
     def test_curve(self):
         self.assertEqual(p.parse_curve("2:500,0.5:1500"), ((2.0, 500.0), (0.5, 1500.0)))
         for text in ("", "2", "x:1", "0:5", "1:-1", "1:nan,", "99999:1"):
-            with self.assertRaises(p.Fault, msg=text):
+            with self.assertRaises(p.LoadPlanError, msg=text):
                 p.parse_curve(text)
 
     def test_cases(self):
@@ -101,7 +101,7 @@
             (["load", "run", "--target", "10.0.0.1:80"], "--target"),
         ):
             said = CliRunner().invoke(main, words)
-            self.assertIsInstance(said.exception, p.Fault, words)
+            self.assertIsInstance(said.exception, p.LoadPlanError, words)
             self.assertIn(name, str(said.exception))
         for words in (["load", "case", "nothing", "--saturation", "5"], ["check-config", "/nowhere"]):
             self.assertEqual(CliRunner().invoke(main, words).exit_code, 2)
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from sloeferry.config.settings import build_settings
-from sloeferry.policy.interface import AttemptOutcome, EndpointState, ListScope
+from sloeferry.policy.interface import AttemptOutcome, EndpointEntry, EndpointState, ListScope
 from sloeferry.policy.policy import Policy
 from tests.trace import Harbour, Lines, answer, compare
 
@@ -97,7 +97,7 @@
             self.holds.setdefault(name, 0)
             self.free.setdefault(name, launched)
         for one in self.instances:
-            one.policy.endpoints_listed(self.now, scope, [(n, 0, 0, 0, standing, 1.0, at) for n, standing, at in lines])
+            one.policy.endpoints_listed(self.now, scope, [EndpointEntry(n, 0, 0, 0, state, at) for n, state, at in lines])
 
     def arrive(self, one, ref, seq, backend):
         self.posts.append((self.now, backend, one.shape))
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -11,12 +11,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from loguru import logger
-from sloeferry.policy.records import Txn
 
 from sloeferry.network.admission_queue import AdmissionQueue
 from sloeferry.network.buffers import Buffers
 from sloeferry.network.deadline_timers import DeadlineTimers
 from sloeferry.policy import overload_control as overload
+from sloeferry.policy.interface import AttemptOutcome
+from sloeferry.policy.requests import Request
 from tests.trace import Harbour, Lines, Printer, answer, compare
 
 TWO = {"tenants.count": 2, "tenants.0.share": 3.0, "tenants.1.share": 1.0, "limits.retry_after": True, "schemes.2.gain": 5.0}
@@ -25,17 +26,17 @@
 def door(**more):
     """A door in a module of its own; the schemes have an SLA time of 700 ms, the third one the most gain."""
     host = Printer(**{name.replace(".", "__"): value for name, value in (TWO | more).items()})
-    one = overload.Door(host.policy)
-    host.policy.stages.all.append(one)
+    one = overload.OverloadController(host.policy)
+    host.policy.extensions.install(one)
     return one, host
 
 
 def pressed(one, now, ended=60):
     """One window in which all beats are late and so many txns are served."""
-    one.ended = ended
+    one.ended_in_window = ended
     for _ in range(20):
-        now += one.every
-        one.beat(now, one.every * 2)
+        now += one.beat_interval_ms
+        one.beat(now, one.beat_interval_ms * 2)
     return now
 
 
@@ -46,55 +47,55 @@
         out, now = Lines(), 0.0
 
         def say(what):
-            out.lines.append(f"{what}: bound {one.limit:.1f}, {one.rate * 1000:.0f} a second")
+            out.lines.append(f"{what}: bound {one.limit:.1f}, {one.rate_per_ms * 1000:.0f} a second")
 
-        one.ended = 60
+        one.ended_in_window = 60
         for at in range(20):
-            now += one.every
-            one.beat(now, one.every * (2 if at else 0))
+            now += one.beat_interval_ms
+            one.beat(now, one.beat_interval_ms * (2 if at else 0))
         say("one beat in time")
         now = pressed(one, now)
         say("all late")
         now = pressed(one, now, 20)
         say("less served")
         for _ in range(12):
-            one.queued(0)
+            one.note_queued(0)
             for _ in range(17):
-                now += one.every
+                now += one.beat_interval_ms
                 one.beat(now, 0.0)
             say("beats in time")
         one.beat(now + 400, 400.0)
-        out.lines.append(f"after a stall: shut {one.shut()}")
+        out.lines.append(f"after a stall: shut {one.is_shedding()}")
         one.beat(now + 450, 1.0)
-        out.lines.append(f"a beat later: shut {one.shut()}")
+        out.lines.append(f"a beat later: shut {one.is_shedding()}")
         compare(self, out, "door_bound")
 
     def test_who_stays_outside(self):
         """Past half of the bound customers keep to their parts; repeats have less room, the best gain more."""
         one, host = door()
         out, now = Lines(), pressed(one, 0.0)
-        one.active = {0, 1}
+        one.active_tenants = {0, 1}
         now = pressed(one, now)
         schemes = host.policy.classes.all
         ref = 0
         for tenant in (1, 0):
             taken = 0
-            while one.bars(now, schemes[0], tenant, False, False) is None:
+            while one.rejection_delay_ms(now, schemes[0], tenant, False, False) is None:
                 ref, taken = ref + 1, taken + 1
-                one.taken(now, Txn(ref, schemes[0], now, 900.0, tenant))
-            out.lines.append(f"bound {one.limit:.0f}: customer {tenant} gets {taken}, open {one.open}")
+                one.request_taken(now, Request(ref, schemes[0], now, 900.0, tenant))
+            out.lines.append(f"bound {one.limit:.0f}: customer {tenant} gets {taken}, open {one.open_requests}")
         for name, scheme, repeat in (("usual", 0, False), ("best gain", 2, False), ("best gain again", 2, True)):
-            out.lines.append(f"{name}: {'outside' if one.bars(now, schemes[scheme], 0, repeat, False) else 'in'}")
+            out.lines.append(f"{name}: {'outside' if one.rejection_delay_ms(now, schemes[scheme], 0, repeat, False) else 'in'}")
         compare(self, out, "door_outside")
 
     def test_reposts(self):
         """Further postings have a budget while the bound stands, and none without it."""
         one, host = door()
-        self.assertTrue(all(one.may_repost(0.0, None) for _ in range(100)))
+        self.assertTrue(all(one.may_retry(0.0, None) for _ in range(100)))
         now = pressed(one, 0.0)
         for ref in range(20):
             host.policy.request_arrived(now, ref, 0, 0, 0, 900.0, None, False)
-        self.assertEqual(sum(one.may_repost(now, None) for _ in range(100)), int(20 * overload.RETRIES))
+        self.assertEqual(sum(one.may_retry(now, None) for _ in range(100)), int(20 * overload.RETRIES_PER_REQUEST))
 
     def test_nothing_learned_while_behind(self):
         """How long things take while this proxy is behind says nothing of its backends."""
@@ -104,7 +105,7 @@
             one.limit = 50.0 if behind else INF
             before = host.policy.latency.spread.count
             host.take(int(behind))
-            host.end(int(behind), 0, 0, 0, took=600.0)
+            host.end(int(behind), 0, AttemptOutcome.SERVED, 0, took=600.0)
             self.assertEqual(host.policy.latency.spread.count > before, not behind)
 
     @settings(max_examples=150, deadline=None)
@@ -121,25 +122,25 @@
         one, host = door()
         now, out, schemes = 0.0, [], host.policy.classes.all
         for what, scheme, tenant, figure in steps:
-            now += one.every / 2
+            now += one.beat_interval_ms / 2
             if what == "beat":
                 one.beat(now, figure)
             elif what == "stall":
                 one.beat(now, 10 * figure)
             elif what == "over" and out:
-                one.over(out.pop(), bool(scheme))
+                one.request_ended(out.pop(), bool(scheme))
             elif what == "take":
-                out.append(Txn(len(out), schemes[scheme], now, 900.0, tenant))
-                one.taken(now, out[-1])
-            said = [one.bars(now, s, tenant, False, False) for s in schemes]
-            if not one.shut():
+                out.append(Request(len(out), schemes[scheme], now, 900.0, tenant))
+                one.request_taken(now, out[-1])
+            said = [one.rejection_delay_ms(now, s, tenant, False, False) for s in schemes]
+            if not one.is_shedding():
                 self.assertEqual(said, [None] * 3)
             self.assertTrue(all(pause is None or pause >= 0 for pause in said))
             if said[2] is not None:
                 self.assertIsNotNone(said[0])
-            self.assertEqual((one.open, sum(one.by)), (len(out), len(out)))
-            self.assertGreaterEqual(one.limit, overload.LEAST)
-            if one.open < overload.LEAST and one.by[tenant] == 0 and not one.stale:
+            self.assertEqual((one.open_requests, sum(one.open_by_tenant)), (len(out), len(out)))
+            self.assertGreaterEqual(one.limit, overload.MIN_LIMIT)
+            if one.open_requests < overload.MIN_LIMIT and one.open_by_tenant[tenant] == 0 and not one.is_stalled:
                 self.assertIsNone(said[2])
 
 
@@ -159,14 +160,14 @@
             return types.SimpleNamespace(cancel=lambda: rung.append((name, round(now[0], 3))))
 
         kept = [alarms.set(at, task(at)) for at in (0.5, 0.1, 0.3, 0.2, 0.9)]
-        kept[2].off()
-        kept[4].off()
+        kept[2].cancel()
+        kept[4].cancel()
         while timers:
             self.assertEqual(len(timers), 1)
             now[0], do = timers.pop()
             do()
         self.assertEqual([name for name, _ in rung], [0.1, 0.2, 0.5])
-        self.assertEqual([alarm.rang for alarm in kept], [True, True, False, True, False])
+        self.assertEqual([alarm.has_expired for alarm in kept], [True, True, False, True, False])
 
 
 class Lobbies(unittest.TestCase):
@@ -176,15 +177,9 @@
         calls, out = [], Lines()
 
         class ClientConnection:
-            def __init__(self, name, clients):
-                self.name, self.clients, self.enrolled, self.since, self.fresh, self.barred = (
-                    name,
-                    clients,
-                    False,
-                    0.0,
-                    True,
-                    5.0,
-                )
+            def __init__(self, name):
+                self.name, self.is_queued_once, self.waiting_since = name, False, 0.0
+                self.is_new, self.rejection_delay_ms = True, 5.0
                 self.ours, self.theirs = socket.socketpair()
                 self.ours.setblocking(False)
                 self.sock = types.SimpleNamespace(
@@ -192,42 +187,41 @@
                     recv_into=lambda b: calls.append("read") or self.ours.recv_into(b),
                     send=lambda data: calls.append("write") or self.ours.send(data),
                 )
-                self.wire = types.SimpleNamespace(feed=lambda buffer, n: calls.append(f"{name} is parsed"))
+                self.stream = types.SimpleNamespace(feed=lambda buffer, n: calls.append(f"{name} is parsed"))
 
-            def glance(self, buffer, n, last):
-                return last and bytes(buffer[:n]).startswith(b"plain")
+            def reject_unparsed(self, buffer, n, has_waited):
+                return has_waited and bytes(buffer[:n]).startswith(b"plain")
 
         async def story():
             loop, room, open_, budget = asyncio.get_running_loop(), [0], [False], [True]
             gate = types.SimpleNamespace(
-                shut=lambda: not open_[0],
-                room=lambda: room[0],
-                patience=0.0,
-                longest=1e9,
-                may_dismiss=lambda now: budget[0],
-                queued=lambda n: None,
+                is_shedding=lambda: not open_[0],
+                free_places=lambda: room[0],
+                queue_patience_ms=0.0,
+                max_wait_ms=1e9,
+                may_reject=lambda now: budget[0],
+                note_queued=lambda n: None,
             )
-            lobby = AdmissionQueue(loop, types.SimpleNamespace(door=gate), Buffers())
-            clients = types.SimpleNamespace(pause_of=lambda ms: [(b"Retry-After", b"%d" % ms)])
-            guests = [ClientConnection(name, clients) for name in "abcdef"]
+            lobby = AdmissionQueue(loop, gate, Buffers())
+            guests = [ClientConnection(name) for name in "abcdef"]
             gates = {guest.name: lobby.park(guest) for guest in guests}
-            lobby.timer.cancel()
+            lobby._timer.cancel()
 
             def look(what):
-                lobby.look()
-                if lobby.timer:
-                    lobby.timer.cancel()
+                lobby._look()
+                if lobby._timer:
+                    lobby._timer.cancel()
                 on = "".join(sorted(name for name, one in gates.items() if one.done()))
                 out.lines.append(f"{what}: gone on {on or '-'}; {', '.join(calls) or 'no call'}")
                 calls.clear()
 
-            gate.patience = 1e9
+            gate.queue_patience_ms = 1e9
             for guest in guests[:3]:
                 guest.theirs.send(b"plain")
                 look(f"{guest.name} asks, no room")
             room[0] = 1
             look("room for one")
-            room[0], gate.patience = 0, -1.0
+            room[0], gate.queue_patience_ms = 0, -1.0
             look("the others have waited for too long")
             out.lines.append(f"b has {guests[1].theirs.recv(99)!r}")
             guests[3].theirs.send(b"odd")
@@ -238,16 +232,22 @@
             budget[0] = False
             guests[0].theirs.send(b"plain")
             look("a asks again, nothing left to turn it away with")
-            gate.longest = -1.0
+            gate.max_wait_ms = -1.0
             look("its time is nearly over")
             open_[0] = True
             look("the door is open")
             for guest in guests:
                 guest.ours.close()
                 guest.theirs.close()
-            lobby.epoll.close()
+            lobby._epoll.close()
 
-        with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        def retry_after(delay_ms):
+            return [(b"Retry-After", b"%d" % delay_ms)]
+
+        with (
+            mock.patch("sloeferry.network.client_replies.retry_after", retry_after),
+            asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
+        ):
             runner.run(story())
         compare(self, out, "lobby")
 
@@ -263,11 +263,11 @@
 
         async def story(h):
             with (
-                mock.patch.object(overload.Door, "beat"),
-                mock.patch.object(overload.Door, "shut", lambda self: True),
-                mock.patch.object(overload.Door, "room", lambda self: 1),
+                mock.patch.object(overload.OverloadController, "beat"),
+                mock.patch.object(overload.OverloadController, "is_shedding", lambda self: True),
+                mock.patch.object(overload.OverloadController, "free_places", lambda self: 1),
             ):
-                stay = mock.patch.object(overload.Door, "bars", lambda *_: 250.0)
+                stay = mock.patch.object(overload.OverloadController, "rejection_delay_ms", lambda *_: 250.0)
                 kept = await h.open()
                 stay.start()
                 await h.call("safe", connection=kept)
@@ -316,7 +316,7 @@
             return answer()
 
         harbour = Harbour({"b": script, "c": script}, second_copies=True, probing=True, expiry=3000)
-        harbour.proxy_tasks = lambda: [t for t in asyncio.all_tasks() if "exchange" in repr(t.get_coro())]
+        harbour.proxy_tasks = lambda: [t for t in asyncio.all_tasks() if "Exchange.run" in repr(t.get_coro())]
 
         async def day():
             async with harbour:
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -16,9 +16,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sloeferry.lifecycle import state as duty
-from sloeferry.network import clients, http1
-from sloeferry.network import discovery_client as discovery
+from sloeferry.lifecycle.state import Lifecycle
+from sloeferry.network import protocol
+from sloeferry.network.client_connection import ClientConnection
+from sloeferry.network.connection_sweeper import ConnectionSweeper
+from sloeferry.network.http1 import writer
+from sloeferry.network.http1.framing import MessageFraming
+from sloeferry.network.listener import Listener
+from sloeferry.network.stall_accounting import StallAccounting
+from sloeferry.policy.interface import EndpointState
 from sloeferry.policy.safety_rules import SafetyRules
 from sloeferry.policy.slow_start import SlowStart
 from sloeferry.rehearsal import faults as troubles
@@ -279,7 +285,7 @@
             ('what = "cuts"', 'what = "false-reports"\nshows = "nothing"'),
         ):
             self.assertIn(old, text)
-            with self.assertRaises(s.Fault) as caught:
+            with self.assertRaises(s.ScenarioError) as caught:
                 s.checked(text.replace(old, new, 1))
             lines.lines.append(f"{new.splitlines()[-1]}  ->  {caught.exception}")
         trace.compare(self, lines, "rehearsal_faults")
@@ -290,7 +296,7 @@
             ["run", "large", "--live"],
             ["run", "nobody", "--record", "/no/such/folder/file"],
         ):
-            self.assertIsInstance(CliRunner().invoke(rehearse, words).exception, s.Fault, words)
+            self.assertIsInstance(CliRunner().invoke(rehearse, words).exception, s.ScenarioError, words)
 
 
 class Blames(unittest.TestCase):
@@ -430,7 +436,7 @@
         on past its expiry."""
         told = s.read(HERE / "standstill.toml")
         self.assertEqual(self.broken(told), ({}, []))
-        with mock.patch.object(clients.Clients, "stood", lambda *_: None):
+        with mock.patch.object(StallAccounting, "_account", lambda *_: None):
             rules, texts = self.broken(told)
         self.assertIn("1", rules, texts)
         self.assertIn("past its expiry", texts[0])
@@ -438,32 +444,32 @@
     def test_crowd_outside(self):
         """Guards Guest.outside: of a crowd the last are let in late, and their time runs from when they asked.  Taken
         for new they were answered past their expiry."""
-        told, accept = s.read(HERE / "crowd.toml"), clients.Clients.accept
+        told, accept = s.read(HERE / "crowd.toml"), Listener.accept
 
         def forgets(door, *most):
-            door.crowd = None
+            door.crowded_since = None
             accept(door, *most)
 
         self.assertEqual(self.broken(told), ({}, []))
-        with mock.patch.object(clients.Clients, "accept", forgets):
+        with mock.patch.object(Listener, "accept", forgets):
             rules, texts = self.broken(told)
         self.assertIn("1", rules, texts)
 
     def test_full_after_a_stop(self):
         """Guards Clients.stalled: whoever found no place after a standstill is let in later, and has waited as long as the
         others.  Taken for new it was sent on a second past its expiry."""
-        told, accept = s.read(HERE / "full.toml"), clients.Clients.accept
+        told, accept = s.read(HERE / "full.toml"), Listener.accept
 
         def forgets(door, *most):
-            door.stalled = 0
+            door.waited_in_stall = 0
             accept(door, *most)
 
         self.assertEqual(self.broken(told), ({}, []))
         # These callers leave at their expiry, and a look at that before each first byte holds the same requests back: it
         # is taken out too, or this would no longer show what `stalled` alone keeps.
         with (
-            mock.patch.object(clients.Clients, "accept", forgets),
-            mock.patch.object(clients.Guest, "gone", lambda guest: guest.ended),
+            mock.patch.object(Listener, "accept", forgets),
+            mock.patch.object(ClientConnection, "has_client_left", lambda connection: connection.is_closed),
         ):
             rules, texts = self.broken(told)
         self.assertIn("1", rules, texts)
@@ -490,7 +496,7 @@
         of, late = sent_on()
         self.assertGreater(of, 100)
         self.assertEqual(late, 0)
-        with mock.patch.object(clients.Guest, "gone", lambda guest: guest.ended):
+        with mock.patch.object(ClientConnection, "has_client_left", lambda connection: connection.is_closed):
             self.assertGreater(sent_on()[1], 0)
 
     def test_untold(self):
@@ -509,8 +515,8 @@
         told = s.read("quiesce")
         self.assertEqual(self.broken(told), ({}, []))
         with (
-            mock.patch.object(duty.Duty, "sends_away", lambda self: self.leaving),
-            mock.patch.object(duty.Duty, "lets_go", lambda *_: False),
+            mock.patch.object(Lifecycle, "closes_connections", lambda self: self.is_stopping),
+            mock.patch.object(Lifecycle, "may_close_idle", lambda *_: False),
         ):
             self.assertEqual(set(self.broken(told)[0]), {"drain"})
 
@@ -520,58 +526,58 @@
         def on_header(framing, name, value):
             message = framing.message
             message.headers.append((name.lower(), value))
-            message.named[name.lower()] = value
-            message.size += len(name) + len(value) + 4
+            message.single_headers[name.lower()] = value
+            message.body_bytes += len(name) + len(value) + 4
 
         told = s.read("quiesce")
         self.assertGreater(play.play(told, 2, "design")["service"]["worst_scheme"], 0.95)
-        with mock.patch.object(http1.Framing, "on_header", on_header):  # nodes wait for bytes that never come
+        with mock.patch.object(MessageFraming, "on_header", on_header):  # nodes wait for bytes that never come
             self.assertLess(play.play(told, 2, "design")["service"]["worst_scheme"], 0.8)
 
     def test_sent_twice(self):
         """A body that flowed is taken for a new request once its last byte has come, as it once was."""
-        told, complete = s.read("bulk"), http1.Framing.on_message_complete
+        told, complete = s.read("bulk"), MessageFraming.on_message_complete
 
         def again(framing):
-            framing.message.flows = False
+            framing.message.is_streamed = False
             complete(framing)
 
         self.assertEqual(self.broken(told), ({}, []))
-        with mock.patch.object(http1.Framing, "on_message_complete", again):
+        with mock.patch.object(MessageFraming, "on_message_complete", again):
             rules, texts = self.broken(told)
         self.assertTrue(rules, texts)
 
     def test_answered_twice(self):
-        send, count = clients.Guest.send, [0]
+        send, count = ClientConnection.send, [0]
 
         async def twice(guest, data):
             count[0] += 1
             await send(guest, data * 2 if count[0] % 50 == 0 and b" 200 " in data else data)
 
-        with mock.patch.object(clients.Guest, "send", twice):
+        with mock.patch.object(ClientConnection, "send", twice):
             rules, texts = self.broken()
         self.assertIn("1", rules, texts)
 
     def test_never_answered(self):
-        send, count = clients.Guest.send, [0]
+        send, count = ClientConnection.send, [0]
 
         async def silent(guest, data):
             count[0] += 1
             if count[0] % 50:
                 await send(guest, data)
 
-        with mock.patch.object(clients.Guest, "send", silent):
+        with mock.patch.object(ClientConnection, "send", silent):
             rules, texts = self.broken()
         self.assertIn("1", rules, texts)
 
     def test_made_up(self):
         """Served with what no node made for it."""
-        answer = http1.answer
+        answer = writer.response
 
-        def other(status, body=b"", headers=(), keep=True):
-            return answer(status, b"0" * len(body), headers, keep)
+        def other(status, body=b"", headers=(), keep_alive=True):
+            return answer(status, b"0" * len(body), headers, keep_alive)
 
-        with mock.patch.object(http1, "answer", other):
+        with mock.patch.object(writer, "response", other):
             rules, texts = self.broken()
         self.assertIn("1", rules, texts)
 
@@ -597,14 +603,14 @@
     def test_declined_and_ran(self):
         def finish(rules, txn, pause=0.0):
             if not txn.is_answered:
-                rules.p.host.decline(txn.request_id, pause)
+                rules._host.reject(txn.request_id, pause)
 
         with mock.patch.object(SafetyRules, "give_up", finish):
             rules, texts = self.broken(squall(lines=self.LONG_STALLS))
         self.assertIn("2", rules, texts)
 
     def test_sent_to_one_that_drains(self):
-        with mock.patch.dict(discovery.PHASES, leaving="ready"):
+        with mock.patch.dict(protocol.ENDPOINT_STATES, leaving=EndpointState.READY):
             rules, texts = self.broken()
         self.assertIn("3", rules, texts)
 
@@ -615,14 +621,14 @@
 
     def test_crash(self):
         """A program that ends, be it by a part that should never end or by its own will."""
-        for part, code in (("sweep", 3), ("backstop", None)):
+        for part, code in (("sweep", 3), ("look_after_requests", None)):
 
             async def ends(self):
                 await asyncio.sleep(1)
                 if code:
                     sys.exit(code)
 
-            with mock.patch.object(clients.Clients, part, ends):
+            with mock.patch.object(ConnectionSweeper, part, ends):
                 rules, texts = self.broken(
                     squall(lines=[("seconds = 9", "seconds = 2"), ("proxies-roll", "proxies-stop"), *EARLY])
                 )
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -64,7 +64,7 @@
             "[expect]\nservice = 2",
             "clock",
         ):
-            with self.assertRaises(s.Fault) as caught:
+            with self.assertRaises(s.ScenarioError) as caught:
                 p.checked(SMALL + more, "small.toml")
             lines.lines.append(f"{more.splitlines()[-1]}  ->  {caught.exception}")
         trace.compare(self, lines, "rig_faults")
@@ -74,7 +74,7 @@
             ["run", "calm", "--record", "/no/such/folder/x"],
             ["run", "calm", "--plant", "nothing"],
         ):
-            self.assertIsInstance(CliRunner().invoke(rig, words).exception, s.Fault, words)
+            self.assertIsInstance(CliRunner().invoke(rig, words).exception, s.ScenarioError, words)
 
     def test_altered(self):
         told = p.altered(p.read("calm"), 40, 24)
@@ -97,19 +97,19 @@
             for confirmed in ("nothing", "a Date header", "news"):
                 starts = StartTimes(now, now + 5e9 + off)
                 if confirmed == "a Date header":
-                    starts.told_time(now, now + 5e9 - 300.0)
+                    starts.discovery_time(now, now + 5e9 - 300.0)
                 elif confirmed == "news":
-                    starts.taken(now, "first", now + 5e9 - 700.0, True)
+                    starts.started_at(now, "first", now + 5e9 - 700.0, True)
                 for ident, ago, news in (("old", 50_000.0, False), ("young", 400.0, False), ("new", 400.0, True)):
-                    at = starts.taken(now, ident, now + 5e9 - ago, news)
-                    same = starts.taken(now + 9.0, ident, now + 5e9 - ago, False) == at
+                    at = starts.started_at(now, ident, now + 5e9 - ago, news)
+                    same = starts.started_at(now + 9.0, ident, now + 5e9 - ago, False) == at
                     lines.lines.append(
                         f"clock off by {off / 3600e3:g} h, {confirmed} confirms it: {ident}, started {ago:g} ms "
                         f"ago, news {news}: taken for {now - at:.0f} ms ago, stays {same}"
                     )
-                starts.told_time(now, now + 5e9 - 300.0)
+                starts.discovery_time(now, now + 5e9 - 300.0)
                 lines.lines.append(f"confirmed then: {starts.confirmed_starts()}")
-                lines.lines.append(f"long ago stays so: {starts.taken(now, 'x', 0, True)}")
+                lines.lines.append(f"long ago stays so: {starts.started_at(now, 'x', 0, True)}")
         trace.compare(self, lines, "rig_clocks")
 
 
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -20,7 +20,7 @@
         self.guard = SendGuard(self.host.policy, SLACK)
 
     def context(self, ref=0, ends=1000.0, over=False):
-        return types.SimpleNamespace(ref=ref, ends=ends, over=over, gone=None)
+        return types.SimpleNamespace(request_id=ref, deadline=ends, is_answered=over, has_client_left=None)
 
     def test_refusals(self):
         """Each cause by itself; refused sends are counted by it, and by what made a list stale."""
@@ -28,9 +28,9 @@
         self.assertIsNone(guard.request_refusal(now, self.context(), 0) or guard.endpoint_refusal(now, "a"))
         self.assertEqual(guard.request_refusal(now, self.context(over=True), 0), Refusal.REQUEST_OVER)
         self.assertEqual(guard.request_refusal(now, self.context(ends=10.0), 0), Refusal.DEADLINE)
-        self.assertEqual(guard.endpoint_refusal(now, "nobody"), Refusal.BACKEND_LEAVING)
+        self.assertEqual(guard.endpoint_refusal(now, "nobody"), Refusal.ENDPOINT_LEAVING)
         self.host.list(("a", 0, EndpointState.DRAINING), scope=ListScope.CHANGES)
-        self.assertEqual(guard.endpoint_refusal(now, "a"), Refusal.BACKEND_LEAVING)
+        self.assertEqual(guard.endpoint_refusal(now, "a"), Refusal.ENDPOINT_LEAVING)
         stale = self.staleness.usable_until + 1
         self.assertEqual(guard.endpoint_refusal(stale, "b"), Refusal.LIST_STALE)
         for cause in Refusal:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -15,10 +15,15 @@
 from sloeferry.config.instance import InstanceConfig
 from sloeferry.config.settings import build_settings
 from sloeferry.dispatch import dispatcher as dispatcher
+from sloeferry.dispatch.attempt_end import AttemptEnd, AttemptProgress, attempt_outcome
 from sloeferry.lifecycle.state import Lifecycle
-from sloeferry.network.backends import Backends
-from sloeferry.network.buffers import Buffers, DescriptorBudget
-from sloeferry.network.discovery_client import Call, Discovery
+from sloeferry.network.buffers import Buffers
+from sloeferry.network.connection_pool import ConnectionPool
+from sloeferry.network.deadline_timers import DeadlineTimers
+from sloeferry.network.descriptor_budget import DescriptorBudget
+from sloeferry.network.discovery_client import DiscoveryClient
+from sloeferry.network.discovery_watch import DiscoveryWatch
+from sloeferry.network.exchange import Exchange, ExchangePlan
 from sloeferry.policy.policy import Policy
 from tests.trace import NAMES, Harbour, Lines, answer, compare, play
 
@@ -102,8 +107,8 @@
         """What the decisions are told of an ending, by how far it came."""
         out = Lines()
         reasons = ["SERVED", "ERRED", "REJECTED", "BROKEN", "LATE", "WITHDRAWN", "VOID", "SPOILT"]
-        for name in ("NOTHING", "PART", "WHOLE", "BEGUN"):
-            told = {why: NAMES[dispatcher.outcome(getattr(dispatcher, name), getattr(dispatcher, why))] for why in reasons}
+        for name, progress in zip(("NOTHING", "PART", "WHOLE", "BEGUN"), AttemptProgress, strict=True):
+            told = {why: NAMES[attempt_outcome(progress, end)] for why, end in zip(reasons, AttemptEnd, strict=True)}
             out.lines.append(f"{name}: {told}")
         compare(self, out, "outcomes")
 
@@ -164,7 +169,7 @@
             ):
                 h.say(f"client sends: {text[:30]!r} .. {text[-30:]!r}")
                 await h.ask(text)
-            with mock.patch("sloeferry.network.clients.READING", 0.1):
+            with mock.patch("sloeferry.network.connection_sweeper.READ_SECONDS", 0.1):
                 for part in ("", "GET /api HTTP/1.1\r\nX-Call"):
                     reader, writer = await h.open()
                     writer.write(part.encode())
@@ -197,7 +202,7 @@
         """Those who ask once and keep their connection leave three quarters of the seats to others, oldest first."""
 
         async def story(h):
-            with mock.patch("sloeferry.network.clients.CROWDED", 60.0):
+            with mock.patch("sloeferry.network.connection_sweeper.CROWDED_IDLE_SECONDS", 60.0):
                 first = await h.open()
                 await h.ask("GET /ready HTTP/1.1\r\n\r\n", first)
                 more = [await h.open() for _ in range(11)]
@@ -302,7 +307,7 @@
             b"\x00nonsense\r\n\r\n",
             stream + b'30\r\n{"revision":7,"complete":false,"members":[]}   \n\r\n',
         ]
-        with mock.patch("sloeferry.network.discovery_client.SILENCE", 0.1):
+        with mock.patch("sloeferry.network.discovery_watch.SILENT_SECONDS", 0.1):
             play(self, story, "sockets_rough_discovery", h)
 
     def test_discovery_back(self):
@@ -312,12 +317,12 @@
             loop, port = asyncio.get_running_loop(), await h.listen(None)
             told = build_settings({"schemes.count": 1, "limits.dial_timeout": 20.0})
             berth = InstanceConfig("n0", ("", 0), ("127.0.0.1", port), 7, 64, 1 << 27, {}, told)
-            seats = DescriptorBudget(9)
-            duty = Lifecycle()
-            discovery = Discovery(loop, None, berth, seats, Buffers(), Backends(loop, None, told, seats, None), duty)
+            seats, dispatcher = DescriptorBudget(9), types.SimpleNamespace(endpoint_events=None)
+            duty, pool = Lifecycle(), ConnectionPool(loop, told, seats, Buffers())
+            discovery = DiscoveryClient(loop, dispatcher, berth, seats, Buffers(), pool, duty)
             discovery.known = {"b": ()}
-            dialled = loop.create_task(discovery.dial(Call(1, 0.0, 0.0)))
-            while not duty.ready():
+            dialled = loop.create_task(DiscoveryWatch(discovery, 1)._dial())
+            while not duty.answers_ready():
                 await asyncio.sleep(0.01)
             h.say(f"ready, connected: {dialled.done()}")
             server = await asyncio.start_server(lambda *_: None, "127.0.0.1", port)
@@ -396,20 +401,24 @@
         """Rule 3 counts the first byte: a backend that left the list during the dial gets none."""
 
         async def story(h):
-            dispatcher = types.SimpleNamespace(turned=lambda: None)
-            backends = Backends(
-                asyncio.get_running_loop(), dispatcher, build_settings({"schemes.count": 1}), DescriptorBudget(9), Buffers()
-            )
-            backends.told("b", ("127.0.0.1", h.ports["b"]))
+            dispatcher = types.SimpleNamespace(loop_turned=lambda: None)
+            loop = asyncio.get_running_loop()
+            pool = ConnectionPool(loop, build_settings({"schemes.count": 1}), DescriptorBudget(9), Buffers())
+            pool.set_address("b", ("127.0.0.1", h.ports["b"]))
+
+            def exchange(request, wanted=True):
+                plan = ExchangePlan("b", 1e12, may_begin=lambda: wanted, make_request=lambda: request)
+                return Exchange(plan, dispatcher, pool, DeadlineTimers(loop)).run()
+
             for wanted in (True, False):
-                ended = await backends.exchange("b", 1e12, lambda: wanted, lambda: b"GET /x HTTP/1.1\r\n\r\n")
-                h.say(f"wanted {wanted}: reached {ended.reached}, why {ended.why}")
-            task = backends.spawn(backends.exchange("b", 1e12, lambda: True, lambda: b"GET /y HTTP/1.1\r\n\r\n"))
+                ended = await exchange(b"GET /x HTTP/1.1\r\n\r\n", wanted)
+                h.say(f"wanted {wanted}: reached {ended.progress}, why {list(AttemptEnd).index(ended.end)}")
+            task = loop.create_task(exchange(b"GET /y HTTP/1.1\r\n\r\n"))
             while h.asked < 2:
                 await asyncio.sleep(0.01)
             task.cancel()
             ended = await task
-            h.say(f"withdrawn: reached {ended.reached}, why {ended.why}, {len(backends.idle['b'])} kept")
+            h.say(f"withdrawn: reached {ended.progress}, why {list(AttemptEnd).index(ended.end)}, {len(pool.idle['b'])} kept")
 
         play(self, story, "sockets_withdrawn", Harbour({"b": lambda n: answer() if n < 2 else None}))
 
--- a/tests/test_stale_paths.py
+++ b/tests/test_stale_paths.py
@@ -7,14 +7,14 @@
 from unittest import mock
 
 from sloeferry.dispatch.send_guard import Refusal
-from sloeferry.network import http1
+from sloeferry.network import sockets
 from tests.test_crossings import Crossing, Opened, until
 from tests.trace import answer, play
 
 
 def make_stale(h):
     """The list counts as stale from now on."""
-    h.dispatcher.staleness.usable_until = 0.0
+    h.dispatcher.endpoint_events.staleness.usable_until = 0.0
 
 
 class Paths(Crossing):
@@ -32,14 +32,14 @@
         """It goes stale while the backend is dialled."""
 
         async def story(h):
-            dial = http1.dial
+            dial = sockets.connect
 
             async def slow(*what):
                 sock = await dial(*what)
                 make_stale(h)
                 return sock
 
-            with mock.patch("sloeferry.network.http1.dial", slow):
+            with mock.patch("sloeferry.network.sockets.connect", slow):
                 await h.call("once")
             h.say(f"asked {h.asked}, refused {h.dispatcher.guard.refusals[Refusal.LIST_STALE] > 0}")
 
@@ -101,7 +101,7 @@
         async def story(h):
             ended = []
             report = h.dispatcher.health_check_ended
-            with mock.patch.object(h.dispatcher, "report_probe", lambda *what: (ended.append(what), report(*what))):
+            with mock.patch.object(h.dispatcher, "health_check_ended", lambda *what: (ended.append(what), report(*what))):
                 make_stale(h)
                 h.dispatcher.send_health_check("b")
                 await until(lambda: ended)
@@ -118,8 +118,8 @@
             make_stale(h)
             policy, request = h.dispatcher.policy, next(iter(h.dispatcher.policy.requests.by_id.values()))
             policy.table.candidates_chosen_at = -1e9
-            now = request.attempts[0].overdue + 1
-            h.dispatcher.policy.reposting.review(now, request, request.attempts[0], True)
+            now = request.attempts[0].overdue_at + 1
+            h.dispatcher.policy.retries._review(now, request, request.attempts[0], True)
             h.say(f"attempts {len(request.attempts)}, asked {h.asked}")
             h.held.set()
             await call
--- a/tests/test_staleness.py
+++ b/tests/test_staleness.py
@@ -197,17 +197,21 @@
             with mock.patch.object(environment, "monotonic", lambda clock=clock: clock[0]):
                 dispatcher = Dispatcher(1, told, lambda at: None)
                 clock[0] += 2.0
-                dispatcher.seen = clock[0] * 1000
+                dispatcher.loop_monitor.last_turn = clock[0] * 1000
                 dispatcher.endpoint_events.watch_confirmed()
-                self.assertEqual(dispatcher.staleness.trusted_until, 1_002_000.0 - WATCH_DELAY_MS)
+                self.assertEqual(dispatcher.endpoint_events.staleness.trusted_until, 1_002_000.0 - WATCH_DELAY_MS)
                 clock[0] += 5.0
                 if timer_first:
-                    dispatcher.before_stall, dispatcher.seen, dispatcher.catching = dispatcher.seen, clock[0] * 1000, object()
+                    (
+                        dispatcher.loop_monitor.turn_before_stall,
+                        dispatcher.loop_monitor.last_turn,
+                        dispatcher.loop_monitor.catching_up,
+                    ) = dispatcher.loop_monitor.last_turn, clock[0] * 1000, object()
                 dispatcher.endpoint_events.watch_confirmed()
-                self.assertEqual(dispatcher.staleness.trusted_until, 1_002_000.0 - WATCH_DELAY_MS)
-                dispatcher.seen, dispatcher.catching = clock[0] * 1000, None
+                self.assertEqual(dispatcher.endpoint_events.staleness.trusted_until, 1_002_000.0 - WATCH_DELAY_MS)
+                dispatcher.loop_monitor.last_turn, dispatcher.loop_monitor.catching_up = clock[0] * 1000, None
                 dispatcher.endpoint_events.watch_confirmed()
-                self.assertEqual(dispatcher.staleness.trusted_until, 1_007_000.0 - WATCH_DELAY_MS)
+                self.assertEqual(dispatcher.endpoint_events.staleness.trusted_until, 1_007_000.0 - WATCH_DELAY_MS)
 
 
 class FailingCalls(unittest.TestCase):
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -4,13 +4,15 @@
 import json
 import os
 import tempfile
+import types
 from unittest import mock
 
 from sloeferry.lifecycle.snapshot_store import SnapshotStore
-from sloeferry.network import http1
-from sloeferry.network.discovery_client import Call
+from sloeferry.network import sockets
+from sloeferry.network.discovery_watch import DiscoveryWatch, PollPhase
 from sloeferry.policy.endpoint_staleness import PollEnd
 from tests.test_crossings import Crossing, Opened
+from tests.test_duty import read_snapshot
 from tests.trace import Lines, answer, compare, play
 
 
@@ -19,16 +21,18 @@
         """Connect fails on this machine for a while: the request is served all the same, and its backend not blamed."""
 
         async def story(h):
-            dial, failing = http1.dial, [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EINTR]
+            dial, failing = sockets.connect, [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EINTR]
 
             async def dialled(*what):
                 if failing:
                     raise OSError(failing.pop(), "no")
                 return await dial(*what)
 
-            with mock.patch("sloeferry.network.http1.dial", dialled):
+            with mock.patch("sloeferry.network.sockets.connect", dialled):
                 await h.call("once")
-            h.say(f"left to fail: {failing}; failures held against it: {h.dispatcher.policy.table.by_id['b'].consecutive_failures}")
+            h.say(
+                f"left to fail: {failing}; failures held against it: {h.dispatcher.policy.table.by_id['b'].consecutive_failures}"
+            )
 
         play(self, story, "system_connect", Opened({"b": answer()}))
 
@@ -39,7 +43,7 @@
             async def dialled(*what):
                 raise OSError(errno.EADDRNOTAVAIL, "no")
 
-            with mock.patch("sloeferry.network.http1.dial", dialled):
+            with mock.patch("sloeferry.network.sockets.connect", dialled):
                 await h.call("once")
 
         play(self, story, "system_connect_long", Opened({"b": answer()}, expiry=400))
@@ -47,11 +51,12 @@
     def test_whose_fault_it_is(self):
         """What connect(2) says of the other side, or of the way to it, is no want of this machine's."""
         for number in (errno.ECONNREFUSED, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET):
-            self.assertNotIn(number, http1.OWN_WANT)
-        call = Call(1, 0.0, 0.0)
-        self.assertEqual(call.end(10.0, 2500.0), PollEnd.NOT_MADE)
-        call.dialled = True
-        self.assertEqual(call.end(10.0, 2500.0), PollEnd.UNREACHABLE)
+            self.assertNotIn(number, sockets.LOCAL_CONNECT_ERRORS)
+        watch = DiscoveryWatch(types.SimpleNamespace(loop=None), 1)
+        now = watch.began_at + 10.0
+        self.assertEqual(watch.poll_end(now, 2500.0), PollEnd.NOT_MADE)
+        watch.phase = PollPhase.DIALED
+        self.assertEqual(watch.poll_end(now, 2500.0), PollEnd.UNREACHABLE)
 
 
 class Snapshots(Crossing):
@@ -67,12 +72,14 @@
                 for step in ("builtins.open", "os.replace"):
                     with mock.patch(step, side_effect=OSError(number, os.strerror(number))):
                         wrote = folder.write(200.0, {"revision": 2}, {})
-                    lines.lines.append(f"{errno.errorcode[number]} at {step}: written {wrote}, stands {folder.read(300.0)}")
+                    lines.lines.append(
+                        f"{errno.errorcode[number]} at {step}: written {wrote}, stands {read_snapshot(folder, 300.0)}"
+                    )
             kept = set()
             for cut in range(len(whole)):  # a machine that went down in the middle of a write
                 with open(f"{folder.path}/snapshot", "wb") as file:
                     file.write(whole[:cut])
-                kept.add(json.dumps(folder.read(300.0)))
+                kept.add(json.dumps(read_snapshot(folder, 300.0)))
             lines.lines.append(f"cut after each byte: {kept}")
             left = sorted(name.partition("-")[0] for name in os.listdir(folder.path))
             lines.lines.append(f"in the folder: {left}")
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -17,18 +17,24 @@
 from hypothesis import strategies as st
 from loguru import logger
 
-from sloeferry import __main__ as start
 from sloeferry.config.errors import ConfigError
 from sloeferry.config.features import DecisionLogFeatures, Features, read_features
 from sloeferry.config.settings import build_settings
-from sloeferry.decision_log.decision_log import MOST, Ledger
-from sloeferry.decision_log.recorder import shared
-from sloeferry.decision_log.versions import NEWER, OLDER, SAME, UNLIKE, List, Settings, compare, digest, of_files
+from sloeferry.decision_log.decision_log import MAX_ENTRIES, DecisionLog
+from sloeferry.decision_log.recorder import shared_settings
+from sloeferry.decision_log.versions import (
+    ListVersion,
+    SettingsVersion,
+    VersionOrder,
+    compare_versions,
+    digest_of,
+    digest_of_files,
+)
 from tests.trace import Harbour, Lines, answer, play
 from tests.trace import compare as kept
 
 ROOT = pathlib.Path(__file__).parents[1]
-VERSION = st.one_of(st.builds(List, st.integers(1, 3), st.integers(0, 4), st.sampled_from("ab")))
+VERSION = st.one_of(st.builds(ListVersion, st.integers(1, 3), st.integers(0, 4), st.sampled_from("ab")))
 
 
 class Orders(unittest.TestCase):
@@ -36,13 +42,18 @@
     @given(VERSION, VERSION, VERSION)
     def test_order(self, one, two, three):
         """Turned round it says the opposite; newer than a newer one is newer; nothing is said across two counts."""
-        turned = {NEWER: OLDER, OLDER: NEWER, SAME: SAME, UNLIKE: UNLIKE}
-        self.assertEqual(compare(one, two), turned[compare(two, one)])
-        self.assertEqual(compare(one, two) == SAME, one == two)
-        if compare(one, two) == compare(two, three) == NEWER:
-            self.assertEqual(compare(one, three), NEWER)
+        turned = {
+            VersionOrder.NEWER: VersionOrder.OLDER,
+            VersionOrder.OLDER: VersionOrder.NEWER,
+            VersionOrder.SAME: VersionOrder.SAME,
+            VersionOrder.NOT_COMPARABLE: VersionOrder.NOT_COMPARABLE,
+        }
+        self.assertEqual(compare_versions(one, two), turned[compare_versions(two, one)])
+        self.assertEqual(compare_versions(one, two) == VersionOrder.SAME, one == two)
+        if compare_versions(one, two) == compare_versions(two, three) == VersionOrder.NEWER:
+            self.assertEqual(compare_versions(one, three), VersionOrder.NEWER)
         if one.incarnation != two.incarnation:
-            self.assertEqual(compare(one, two), UNLIKE)
+            self.assertEqual(compare_versions(one, two), VersionOrder.NOT_COMPARABLE)
 
     def test_shared(self):
         """One version for all proxies that hold the same, whatever each held before: its own place, the order of
@@ -54,64 +65,66 @@
 
         a, b, c = ({"name": name, "gain": gain} for name, gain in (("a", 1.0), ("b", 2.0), ("c", 3.0)))
         started, former = of(a, b, ordinal=3, zone=1), of(c, b, a, ordinal=5)
-        self.assertEqual(shared(of(a, b, ordinal=5).aligned_with(former).canonical), shared(started.canonical))
-        self.assertNotEqual(shared(of(a, c).canonical), shared(started.canonical))
-        self.assertNotEqual(shared(of(a, dict(b, gain=9.0)).canonical), shared(started.canonical))
+        self.assertEqual(shared_settings(of(a, b, ordinal=5).aligned_with(former).canonical), shared_settings(started.canonical))
+        self.assertNotEqual(shared_settings(of(a, c).canonical), shared_settings(started.canonical))
+        self.assertNotEqual(shared_settings(of(a, dict(b, gain=9.0)).canonical), shared_settings(started.canonical))
 
     def test_digests(self):
-        self.assertEqual(digest({"a": 1, "b": [2, 3]}), digest({"b": [2, 3], "a": 1}))
-        self.assertNotEqual(digest({"a": 1}), digest({"a": 2}))
-        self.assertEqual(of_files([("a", b"x"), ("b", b"y")]), of_files([("b", b"y"), ("a", b"x")]))
-        self.assertNotEqual(of_files([("a", b"xb"), ("b", b"y")]), of_files([("a", b"x"), ("b", b"by")]))
-        self.assertEqual(compare(Settings(2, "a"), Settings(1, "b")), NEWER)  # a roll-back is the newer one
+        self.assertEqual(digest_of({"a": 1, "b": [2, 3]}), digest_of({"b": [2, 3], "a": 1}))
+        self.assertNotEqual(digest_of({"a": 1}), digest_of({"a": 2}))
+        self.assertEqual(digest_of_files([("a", b"x"), ("b", b"y")]), digest_of_files([("b", b"y"), ("a", b"x")]))
+        self.assertNotEqual(digest_of_files([("a", b"xb"), ("b", b"y")]), digest_of_files([("a", b"x"), ("b", b"by")]))
+        self.assertEqual(
+            compare_versions(SettingsVersion(2, "a"), SettingsVersion(1, "b")), VersionOrder.NEWER
+        )  # a roll-back is the newer one
 
 
 class Ledgers(unittest.TestCase):
     def test_course(self):
         """Settings, lists that go on, back and anew, a refusal, and txns that outlive their settings."""
-        lines, ledger = Lines(), Ledger(0.0, "program")
+        lines, ledger = Lines(), DecisionLog(0.0, "program")
 
         def say(what, now):
-            held, acted = ledger.now_held(now), ledger.acted(now, 1e9)
+            held, acted = ledger.current(now), ledger.acted_within(now, 1e9)
             lines.lines.append(f"{now:6.0f}  {what}: confirmed {held['confirmed_ms']} ms ago, {held['open']} open")
             for kind in ("settings", "lists"):
                 lines.lines += [f"          {kind[:4]} {one}" for one in acted[kind]]
             lines.lines += [f"          refused {one}" for one in acted["refused"]]
 
         def txn(ref):
-            return types.SimpleNamespace(ref=ref)
+            return types.SimpleNamespace(request_id=ref)
 
-        ledger.set(0.0, "s-a", "start")
-        ledger.list(10.0, 41, "l-a", "known")
-        ledger.taken(20.0, txn(1))
-        ledger.posted(20.0)
+        ledger.settings_applied(0.0, "s-a", "start")
+        ledger.list_applied(10.0, 41, "l-a", "known")
+        ledger.request_taken(20.0, txn(1))
+        ledger.attempt_sent(20.0)
         say("one txn", 25.0)
-        ledger.list(30.0, 42, "l-b", "discovery")
-        ledger.set(40.0, "s-b", "SIGHUP")
-        ledger.taken(50.0, txn(2))
-        ledger.posted(50.0)
-        ledger.over(txn(2), True)
+        ledger.list_applied(30.0, 42, "l-b", "discovery")
+        ledger.settings_applied(40.0, "s-b", "SIGHUP")
+        ledger.request_taken(50.0, txn(2))
+        ledger.attempt_sent(50.0)
+        ledger.request_ended(txn(2), True)
         say("newer ones of both; the first txn keeps its settings", 60.0)
-        ledger.refuse(70.0, "settings", "no JSON")
-        ledger.over(txn(1), True)
-        ledger.set(80.0, "s-a", "SIGHUP")
+        ledger.refused(70.0, "settings", "no JSON")
+        ledger.request_ended(txn(1), True)
+        ledger.settings_applied(80.0, "s-a", "SIGHUP")
         say("rolled back: an older digest, a newer generation", 90.0)
-        ledger.list(100.0, 42, "l-b", "discovery")
+        ledger.list_applied(100.0, 42, "l-b", "discovery")
         say("the same list again only confirms", 100.0)
-        ledger.list(110.0, 7, "l-c", "discovery")
+        ledger.list_applied(110.0, 7, "l-c", "discovery")
         say("the count goes back: lost, or a replica that lags", 120.0)
-        ledger.list(130.0, 7, "l-d", "discovery")
+        ledger.list_applied(130.0, 7, "l-d", "discovery")
         say("one revision that says two things", 140.0)
-        lines.lines.append(f"of the last 15 ms: {[one['revision'] for one in ledger.acted(140.0, 15.0)['lists']]}")
+        lines.lines.append(f"of the last 15 ms: {[one['revision'] for one in ledger.acted_within(140.0, 15.0)['lists']]}")
         kept(self, lines, "versions_ledger")
 
     def test_held_is_not_confirmed(self):
         """A list as last held is nobody's word that it stands: how long this process has been up tells nothing of it."""
-        ledger = Ledger(0.0, "program")
-        ledger.list(10.0, 41, "l-a", "known")
-        self.assertIsNone(ledger.now_held(20.0)["confirmed_ms"])
-        ledger.list(30.0, 41, "l-a", "discovery")
-        self.assertEqual(ledger.now_held(40.0)["confirmed_ms"], 10)
+        ledger = DecisionLog(0.0, "program")
+        ledger.list_applied(10.0, 41, "l-a", "known")
+        self.assertIsNone(ledger.current(20.0)["confirmed_ms"])
+        ledger.list_applied(30.0, 41, "l-a", "discovery")
+        self.assertEqual(ledger.current(40.0)["confirmed_ms"], 10)
 
     @settings(max_examples=60, deadline=None)
     @given(
@@ -119,28 +132,28 @@
     )
     def test_counts(self, course):
         """Whatever happens it stays bounded, and each txn and posting is counted once, where it belongs."""
-        ledger, now, taken, posted, open_ = Ledger(0.0, ""), 0.0, 0, 0, set()
-        ledger.set(0.0, "0", "start")
+        ledger, now, taken, posted, open_ = DecisionLog(0.0, ""), 0.0, 0, 0, set()
+        ledger.settings_applied(0.0, "0", "start")
         for what, number in course:
             now += 1.0
             if what == "set":
-                ledger.set(now, str(number), "x")
+                ledger.settings_applied(now, str(number), "x")
             elif what == "list":
-                ledger.list(now, number, str(number % 3), "x")
+                ledger.list_applied(now, number, str(number % 3), "x")
             elif what == "take" and now not in open_:
-                ledger.taken(now, types.SimpleNamespace(ref=now))
+                ledger.request_taken(now, types.SimpleNamespace(request_id=now))
                 open_.add(now)
                 taken += 1
             elif what == "end" and open_:
-                ledger.over(types.SimpleNamespace(ref=open_.pop()), True)
+                ledger.request_ended(types.SimpleNamespace(request_id=open_.pop()), True)
             elif what == "post" and ledger.lists:
-                ledger.posted(now)
+                ledger.attempt_sent(now)
                 posted += 1
             elif what == "refuse":
-                ledger.refuse(now, "settings", "x" * 1000)
-        self.assertEqual(sum(one.open for one in ledger.settings), len(open_))
-        self.assertLessEqual(len(ledger.refused), MOST)
-        self.assertLessEqual(sum(not one.open for one in ledger.settings), MOST)
+                ledger.refused(now, "settings", "x" * 1000)
+        self.assertEqual(sum(one.open_requests for one in ledger.settings), len(open_))
+        self.assertLessEqual(len(ledger.refusals), MAX_ENTRIES)
+        self.assertLessEqual(sum(not one.open_requests for one in ledger.settings), MAX_ENTRIES)
         if not ledger.dropped:
             self.assertEqual(sum(one.acts for one in ledger.settings), taken)
             self.assertEqual(sum(one.acts for one in ledger.lists), posted)
@@ -149,16 +162,16 @@
         )
 
     def test_bound(self):
-        """A thousand versions cost what MOST cost; who has open txns is kept."""
-        ledger = Ledger(0.0, "")
-        ledger.set(0.0, "first", "start")
-        ledger.taken(0.0, types.SimpleNamespace(ref=1))
+        """A thousand versions cost what MAX_ENTRIES cost; who has open txns is kept."""
+        ledger = DecisionLog(0.0, "")
+        ledger.settings_applied(0.0, "first", "start")
+        ledger.request_taken(0.0, types.SimpleNamespace(request_id=1))
         for at in range(1000):
-            ledger.set(float(at), str(at), "SIGHUP")
-            ledger.list(float(at), at, str(at), "discovery")
-        self.assertEqual((len(ledger.settings), len(ledger.lists)), (MOST, MOST))
+            ledger.settings_applied(float(at), str(at), "SIGHUP")
+            ledger.list_applied(float(at), at, str(at), "discovery")
+        self.assertEqual((len(ledger.settings), len(ledger.lists)), (MAX_ENTRIES, MAX_ENTRIES))
         self.assertEqual((ledger.settings[0].version.generation, ledger.settings[-1].version.generation), (1, 1001))
-        self.assertLess(len(json.dumps(ledger.acted(2000.0, 1e9))), 60_000)
+        self.assertLess(len(json.dumps(ledger.acted_within(2000.0, 1e9))), 60_000)
 
 
 class Told(unittest.TestCase):
@@ -254,14 +267,14 @@
                 h.say(f"generation {said['settings']['generation']} by {said['settings']['by']}, refused {len(said['refused'])}")
 
             on = {"SLOEFERRY_OPERATOR": str(path), "BALANCER_CONFIG": str(file)}
-            with mock.patch.object(start, "early", [True]):
+            with mock.patch.object(Harbour, "has_pending_reload", True):
                 play(self, story, "versions_early", Harbour({"b": answer()}, ops=True, environ=on))
 
     def test_off(self):
         """What is off is not imported."""
         code = (
-            "import sys, sloeferry.__main__ as m; m.operators_of({}); "
-            "print([name for name in sys.modules if 'versions' in name or 'operators' in name])"
+            "import sys; from sloeferry.lifecycle import proxy_process, startup; proxy_process._read_features({}); "
+            "print([name for name in sys.modules if 'decision_log' in name or 'features' in name])"
         )
         self.assertEqual(subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True).stdout, "[]\n")
 
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 from loguru import logger
 
-from sloeferry.network import http1
+from sloeferry.network import sockets
 from sloeferry.network.json_stream import JsonStream
 from sloeferry.policy.endpoint_staleness import ON_SOCKETS, WATCH_DELAY_MS, PollEnd
-from sloeferry.policy.interface import AttemptOutcome, ListScope
+from sloeferry.policy.interface import AttemptOutcome, EndpointState, ListScope
 from tests.test_crossings import Crossing, Opened, until
 from tests.trace import Printer, answer, compare, play
 
@@ -58,7 +58,7 @@
             found += values.feed(data[at:cut])
             at = cut
         self.assertEqual([value for value in found if value is not None], wanted)
-        self.assertEqual((values.held, found.count(None)), ("", bad))
+        self.assertEqual((values.pending, found.count(None)), ("", bad))
 
     def test_any_one_cut(self):
         """An object over many lines, in two pieces cut at each byte in turn, with what looks like an object's end and the
@@ -79,10 +79,10 @@
             for at in range(0, len(out), 40):
                 h.watches[0].write(b"%x\r\n%b\r\n" % (len(out[at : at + 40]), out[at : at + 40].encode()))
             h.tell("")
-            await until(lambda: h.discovery.known["b"][4] == "draining" or h.discovery.revision == 99)
+            await until(lambda: h.discovery.known["b"].state is EndpointState.DRAINING or h.discovery.revision == 99)
             await h.call("safe")
             h.list("b", complete=False)
-            await until(lambda: h.discovery.known["b"][4] == "ready")
+            await until(lambda: h.discovery.known["b"].state is EndpointState.READY)
             entry = dict(h.members(("b", "leaving"))[0], host_port="nowhere")
             h.tell(json.dumps({"revision": 7, "complete": False, "members": [entry]}))
             await until(lambda: h.discovery.revision == 7)
@@ -91,7 +91,7 @@
             logger.add(lambda message: said.append(message.record["message"]), level="WARNING")
             h.tell('{"revision": 8, "complete": true, "members": [')
             h.watches[0].write(b"0\r\n\r\n")
-            await until(lambda: not h.discovery.socks)
+            await until(lambda: not h.discovery.open_sockets)
             h.say(f"said: {said}")
 
         play(self, story, "crossing_indented", Opened({"b": answer()}))
@@ -105,15 +105,15 @@
         said = []
 
         async def story(h):
-            await until(lambda: len(h.calls) > len(moods) and h.discovery.standing)
+            await until(lambda: len(h.calls) > len(moods) and h.discovery.is_watching)
             h.say(f"{len(h.calls)} calls, {len(said)} silent")
             await h.call("safe")
 
         h = Opened({"b": answer()}, ask_in=400000)
         h.moods = list(moods)
         with (
-            mock.patch("sloeferry.dispatch.dispatcher.Facade.report_silent", lambda dispatcher, by: said.append(by)),
-            mock.patch("sloeferry.network.discovery_client.SILENCE", 0.05),
+            mock.patch("sloeferry.dispatch.endpoint_events.EndpointEvents.watch_silent", lambda events, by: said.append(by)),
+            mock.patch("sloeferry.network.discovery_watch.SILENT_SECONDS", 0.05),
             mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0),
         ):
             play(self, story, "crossing_silent", h)
@@ -130,7 +130,7 @@
                     await asyncio.sleep(0.01)
 
             beats = asyncio.ensure_future(beat())
-            await until(lambda: h.discovery.standing)
+            await until(lambda: h.discovery.is_watching)
             beats.cancel()
             h.say(f"{len(h.calls)} calls")
 
@@ -141,7 +141,7 @@
             self.STREAM + b'1c\r\n{"revision": 7, "members":\n\r\n',
         ]
         with (
-            mock.patch("sloeferry.network.discovery_client.SILENCE", 0.05),
+            mock.patch("sloeferry.network.discovery_watch.SILENT_SECONDS", 0.05),
             mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0),
         ):
             play(self, story, "crossing_blank", h)
@@ -176,15 +176,15 @@
         async def story(h):
             said = []
             with (
-                mock.patch.object(h.dispatcher, "report_silent", said.append),
-                mock.patch("sloeferry.network.discovery_client.SILENCE", 0.05),
+                mock.patch.object(h.dispatcher.endpoint_events, "watch_silent", said.append),
+                mock.patch("sloeferry.network.discovery_watch.SILENT_SECONDS", 0.05),
             ):
                 h.list("b", complete=False)
                 await until(lambda: said)
                 h.say(f"the watch: {len(said)} silent")
-                await until(lambda: len(h.calls) > 1 and h.discovery.standing)
+                await until(lambda: len(h.calls) > 1 and h.discovery.is_watching)
                 h.moods = [b""] * 99
-                h.discovery.again()  # as after a move
+                h.discovery.poll_anew()  # as after a move
                 h.watches[-1].write(b"1\r\n\n\r\n")
                 await until(lambda: len(said) > 1)
                 h.say(f"the former one: {len(said)} silent")
@@ -196,20 +196,26 @@
         """A watch fell silent, and no connection comes up: it goes on dialling, without the pauses of failed calls."""
 
         async def story(h):
-            failed, dials, dial, h.discovery.patience = [], [], http1.dial, 50.0
-            report = h.dispatcher.report_no_list
+            failed, dials, dial, h.discovery.patience_ms = [], [], sockets.connect, 50.0
+            events = h.dispatcher.endpoint_events
+            report = events.poll_is_due
+
+            def poll_is_due(has_watch_ended):
+                if not has_watch_ended:
+                    failed.append(len(dials))
+                report(has_watch_ended)
 
             async def cut(loop, address, patience):
                 dials.append(address)
                 return None if len(dials) < 60 else await dial(loop, address, patience)
 
             with (
-                mock.patch.object(h.dispatcher, "report_no_list", lambda: (failed.append(len(dials)), report())),
-                mock.patch("sloeferry.network.http1.dial", cut),
-                mock.patch("sloeferry.network.discovery_client.SILENCE", 0.05),
+                mock.patch.object(events, "poll_is_due", poll_is_due),
+                mock.patch("sloeferry.network.sockets.connect", cut),
+                mock.patch("sloeferry.network.discovery_watch.SILENT_SECONDS", 0.05),
             ):
                 h.list("b", complete=False)
-                await until(lambda: len(h.calls) == 2 and h.discovery.standing)
+                await until(lambda: len(h.calls) == 2 and h.discovery.is_watching)
             h.say(f"failed calls, by dials before them: {failed}")
 
         with mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0):
@@ -255,8 +261,8 @@
             late.call_later = lambda seconds, *what: (sleeps.append(seconds), loop.call_later(seconds, *what))
             h.discovery.loop = late
             with (
-                mock.patch("sloeferry.network.discovery_client.asyncio.sleep", sleep),
-                mock.patch("sloeferry.network.http1.dial", dial),
+                mock.patch("sloeferry.network.discovery_watch.asyncio.sleep", sleep),
+                mock.patch("sloeferry.network.sockets.connect", dial),
             ):
                 h.watches[0].close()
                 await until(lambda: len(dials) > 3)
@@ -276,11 +282,12 @@
 
         async def story(h):
             h.moods = [b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"]
-            h.discovery.again()
-            await until(lambda: len(h.calls) == 3 and h.discovery.standing)
-            h.say(f"{len(h.calls)} calls, {len(h.discovery.socks)} watches")
+            h.discovery.poll_anew()
+            await until(lambda: len(h.calls) == 3 and h.discovery.is_watching)
+            await until(lambda: len(h.discovery.open_sockets) == 1)  # the former one ends a turn of the loop later
+            h.say(f"{len(h.calls)} calls, {len(h.discovery.open_sockets)} watches")
 
-        with mock.patch("sloeferry.network.discovery_client.SILENCE", 60.0):  # the former one is not to end by itself
+        with mock.patch("sloeferry.network.discovery_watch.SILENT_SECONDS", 60.0):  # the former one is not to end by itself
             play(self, story, "crossing_pushed_former", Opened({"b": answer()}, more={"discovery": "automatic"}))
 
     def test_discovery_begins_anew(self):
@@ -297,11 +304,11 @@
                 for watch in h.watches:
                     watch.close()
                 h.watches.clear()
-                await until(lambda: len(h.calls) == there + 2 and h.discovery.standing)
+                await until(lambda: len(h.calls) == there + 2 and h.discovery.is_watching)
                 h.say(f"calls after {mood[9:12].decode()}: {h.calls[there:]}")
 
         with (
-            mock.patch("sloeferry.network.discovery_client.SILENCE", 0.3),
+            mock.patch("sloeferry.network.discovery_watch.SILENT_SECONDS", 0.3),
             mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0),
         ):
             play(self, story, "crossing_anew", Opened({"b": answer()}, ask_in=400000))
@@ -311,14 +318,14 @@
 
         async def story(h):
             h.moods = [b""] * 9
-            h.discovery.again()
+            h.discovery.poll_anew()
             await until(lambda: len(h.calls) == 2)
             pad = [dict(line, id=f"x{n}", phase="leaving") for n in range(900) for line in h.members("b")]
             h.tell(json.dumps({"revision": 9, "complete": False, "members": pad + h.members(("b", "leaving"))}))
             await asyncio.sleep(0)  # it is written; of its 150 KB a turn reads 16
-            h.dispatcher.seen -= 1e6
+            h.dispatcher.loop_monitor.last_turn -= 1e6
             await h.dispatcher.loop_turned()
-            h.say(f"known of b: {h.discovery.known['b'][4]}")
+            h.say(f"known of b: {h.discovery.known['b'].state.value}")
 
         play(self, story, "crossing_former", Opened({"b": answer()}))
 
--- a/tests/trace.py
+++ b/tests/trace.py
@@ -13,15 +13,15 @@
 
 import uvloop
 
-from sloeferry import __main__ as start
 from sloeferry.config.instance import read_instance_config
 from sloeferry.config.settings import build_settings
-from sloeferry.network import backends
+from sloeferry.lifecycle.proxy_process import serve
+from sloeferry.network import connection_pool
 from sloeferry.policy.endpoint_staleness import StalenessLimits
 from sloeferry.policy.interface import AttemptOutcome, EndpointEntry, EndpointState, ListScope
 from sloeferry.policy.policy import Policy
 
-SETTLED = backends.SETTLED  # as it is outside the tests
+SETTLED = connection_pool.SECOND_RESPONSE_SECONDS  # as it is outside the tests
 SCHEMES = [("retryable", "all"), ("dedup", "zone"), ("fragile", "all")]
 
 
@@ -157,6 +157,7 @@
     """
 
     SETTLED = 0.0  # seconds until a connection is used again
+    has_pending_reload = False  # a SIGHUP came before the proxy could act on it
     SCHEMES = [("safe", "retryable"), ("keyed", "dedup"), ("once", "fragile")]
 
     def __init__(self, backends, known=None, sockets=256, expiry=3000, ask_in=4000, more=None, ops=False, environ=(), **limits):
@@ -194,7 +195,7 @@
             **self.more,
         }
         # Which of its connections a backend is asked on must not hang on how long the call before took.
-        backends.SETTLED = self.SETTLED
+        connection_pool.SECOND_RESPONSE_SECONDS = self.SETTLED
         told = {
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
@@ -214,7 +215,11 @@
             file.flush()
             berth = read_instance_config({"BALANCER_CONFIG": file.name})
         self.policy = asyncio.get_running_loop().create_task(
-            start.serve(berth, {**os.environ, **self.environ} if self.environ else os.environ)
+            serve(
+                berth,
+                {**os.environ, **self.environ} if self.environ else os.environ,
+                has_pending_reload=lambda: self.has_pending_reload,
+            )
         )
         while "200" not in await self.ask("GET /ready HTTP/1.1\r\n\r\n", quiet=True):
             if self.policy.done():  # it will never be ready: its own exception says why
@@ -226,7 +231,7 @@
     async def __aexit__(self, *_):
         self.policy.cancel()
         await asyncio.wait([self.policy])
-        backends.SETTLED = SETTLED
+        connection_pool.SECOND_RESPONSE_SECONDS = SETTLED
         for end in (*self.servers, *self.writers, *self.watches):
             end.close()
         await asyncio.sleep(0.01)  # for the peers to see their connections end
