--- a/sloeferry/bench_adapter/adapter.py
+++ b/sloeferry/bench_adapter/adapter.py
@@ -6,7 +6,7 @@
 from sloeferry.bench_adapter import protocol
 from sloeferry.bench_adapter.protocol import US_PER_MS, Event, ProtocolError
 from sloeferry.bench_adapter.replies import BenchHost, FrameBuilder
-from sloeferry.config.settings import build_settings, flatten_lines
+from sloeferry.config.settings_reader import build_settings, flatten_lines
 from sloeferry.policy.interface import AttemptOutcome, EndpointEntry, EndpointState, ListScope
 from sloeferry.policy.policy import Policy
 
--- a/sloeferry/config/instance.py
+++ b/sloeferry/config/instance.py
@@ -6,7 +6,8 @@
 from typing import Any
 
 from sloeferry.config.errors import ConfigError
-from sloeferry.config.settings import Settings, build_settings, flatten_tree
+from sloeferry.config.settings import Settings
+from sloeferry.config.settings_reader import build_settings, flatten_tree
 
 Address = tuple[str, int]  # host, port
 
--- a/sloeferry/config/settings.py
+++ b/sloeferry/config/settings.py
@@ -1,85 +1,14 @@
-"""The platform's settings as a typed tree.
-
-The platform writes settings as nested JSON (for a proxy) or as lines of `path=value` (for the bench's adapter), times in
-microseconds.  Both are flattened to a map of dotted keys, times in milliseconds; `build_settings` checks that map, fills in
-the defaults and returns `Settings`.  This is the only module that spells a settings key.
-"""
+"""The platform's settings as a typed tree; `settings_reader.py` builds it from the platform's keys."""
 
 import dataclasses
 import enum
-import math
-from collections.abc import Iterator, Mapping
+from collections.abc import Mapping
 from dataclasses import dataclass
 from typing import Any
 
-from sloeferry.config.errors import ConfigError
-
-MICROSECONDS_PER_MS = 1000
-
-# Keys (the last part of a path) whose values the platform gives in microseconds.
-TIME_KEYS = {
-    "expiry",
-    "sla_time",
-    "dedup_window",
-    "conn_idle",
-    "dial_timeout",
-    "max_retry_after",
-    "cold",
-    "drain_grace",
-    "fall",
-    "grace_to_answer",
-    "must_ask_in",
-    "step",
-}
-# What holds where the platform says nothing; a value has to be of its default's type.
-DEFAULTS = {
-    "discovery": "automatic",
-    "gain_per": "request",
-    "instances": 1,
-    "kinds": "",
-    "ordinal": 0,
-    "step": 1.0,
-    "tenants.count": 0,
-    "zone": 0,
-    "zones": "",
-    "blend.log_loss_part": 0.0,
-    "blend.nines_wanted": 3.0,
-    "family_info.warm_keys": False,
-    "limits.cancel": False,
-    "limits.conn_idle": 10000.0,
-    "limits.dial_timeout": 250.0,
-    "limits.most_postings": 1,
-    "limits.probing": False,
-    "limits.retry_after": False,
-    "limits.second_copies": False,
-    "load_info.fields": "",
-    "load_info.via": "none",
-    "obligations.cold": 0.0,
-    "obligations.cold_from": 1.0,
-    "obligations.fall": 1000.0,
-    "obligations.fall_multiple": 1.0,
-    "obligations.drain_grace": 250.0,
-    "obligations.must_ask_in": 10000.0,
-    "obligations.only_draining_binds": False,
-    "tariffs.cross_zone": 0.0,
-    "tariffs.probe": 0.0,
-}
-# The same for each request class; the latency objective defaults to the class's deadline.
-REQUEST_CLASS_DEFAULTS = {"dedup_window": 0.0, "expiry": 1000.0, "gain": 1.0, "group": "all", "idempotency": ""}
-POSITIVE_KEYS = {
-    "expiry",
-    "sla_time",
-    "conn_idle",
-    "dial_timeout",
-    "must_ask_in",
-    "fall",
-    "step",
-    "instances",
-    "most_postings",
-    "cold_from",
-    "nines_wanted",
-}
-INTEGER_KEYS = {"most_postings", "count"}
+# The platform's words that a setting keeps.
+RESPONSES, HEALTH_CHECKS = "answers", "probe"  # where load reports come from
+POLLED = "subscribe"  # how discovery tells the endpoint list
 
 
 class Idempotency(enum.Enum):
@@ -90,9 +19,6 @@
     NON_IDEMPOTENT = "non-idempotent"  # harm
 
 
-IDEMPOTENCY_BY_KEY = {"retryable": Idempotency.IDEMPOTENT, "dedup": Idempotency.DEDUPLICATED}  # any other: non-idempotent
-
-
 class DeduplicationGroup(enum.Enum):
     """Which endpoints know each other's idempotency keys."""
 
@@ -101,9 +27,6 @@
     CELL = "cell"
 
 
-DEDUPLICATION_GROUP_BY_KEY = {"all": DeduplicationGroup.ALL, "zone": DeduplicationGroup.ZONE}  # any other: the cell
-
-
 @dataclass(frozen=True, slots=True)
 class RequestClassSettings:
     """What the operators promise for one class of requests."""
@@ -158,17 +81,17 @@
     """Whether and how endpoints report their load."""
 
     fields: tuple[str, ...]  # of a report, in their order
-    source: str  # "answers": with each response; "probe": with health checks; any other: there are none
+    source: str  # by the platform's word: `RESPONSES`, `HEALTH_CHECKS`; any other: there are none
 
     @property
     def come_with_responses(self) -> bool:
         """Whether each response carries a report."""
-        return self.source == "answers"
+        return self.source == RESPONSES
 
     @property
     def come_with_health_checks(self) -> bool:
         """Whether only health checks bring reports."""
-        return self.source == "probe"
+        return self.source == HEALTH_CHECKS
 
 
 @dataclass(frozen=True, slots=True)
@@ -189,7 +112,7 @@
     obligations: ObligationSettings
     load_reports: LoadReportSettings
     costs: CostSettings
-    discovery_mode: str  # "subscribe": the list is polled; any other: it is pushed
+    discovery_mode: str  # by the platform's word: `POLLED`; any other: the list is pushed
     is_weight_per_work: bool  # whether a priority weight is earned for each unit of work instead of each request
     has_affinity_keys: bool  # whether endpoints answer sooner that know a request's key
     instance_count: int  # proxies of the fleet
@@ -203,15 +126,15 @@
     @property
     def is_endpoint_list_polled(self) -> bool:
         """Whether this proxy has to poll discovery for the list; otherwise changes are pushed to it."""
-        return self.discovery_mode == "subscribe"
+        return self.discovery_mode == POLLED
 
     def class_indexes(self) -> dict[str, int]:
         """The index of each request class by its name, without removed ones."""
-        return {each.name: at for at, each in enumerate(self.request_classes) if not each.is_removed}
+        return {each.name: at for at, each in enumerate(self.request_classes) if each.name is not None and not each.is_removed}
 
     def tenant_indexes(self) -> dict[str, int]:
         """The index of each tenant by its name, without removed ones."""
-        return {each.name: at for at, each in enumerate(self.tenants) if not each.is_removed}
+        return {each.name: at for at, each in enumerate(self.tenants) if each.name is not None and not each.is_removed}
 
     def aligned_with(self, former: "Settings") -> "Settings":
         """These settings, each class and tenant at the index that it had in the former ones.
@@ -231,143 +154,3 @@
     former_names = {each.name for each in former}
     kept = [by_name.get(each.name) or dataclasses.replace(each, is_removed=True) for each in former]
     return (*kept, *(each for each in current if each.name not in former_names))
-
-
-# Reading
-
-
-def decode_value(key: str, text: Any) -> Any:
-    """A setting as number, truth value or text; times in milliseconds."""
-    if isinstance(text, str):
-        if text in ("true", "false"):
-            return text == "true"
-        try:
-            text = float(text)
-        except ValueError:
-            return text
-    if isinstance(text, bool) or text is None:
-        return text
-    return text / MICROSECONDS_PER_MS if key.rpartition(".")[2] in TIME_KEYS else text
-
-
-def flatten_lines(text: str) -> dict[str, Any]:
-    """Settings given as lines of `path=value`, as a map of dotted keys."""
-    pairs = (line.partition("=") for line in text.splitlines() if "=" in line)
-    return {key: decode_value(key, value) for key, _, value in pairs}
-
-
-def flatten_tree(node: Any, path: str = "") -> dict[str, Any]:
-    """Settings given as nested JSON, as a map of dotted keys; the length of a list of objects stands at `.count`."""
-    if isinstance(node, list) and not any(isinstance(item, (dict, list)) for item in node):
-        node = ",".join(str(item) for item in node)
-    if isinstance(node, (dict, list)):
-        flat = {f"{path}.count": len(node)} if isinstance(node, list) else {}
-        for name, below in node.items() if isinstance(node, dict) else enumerate(node):
-            flat.update(flatten_tree(below, f"{path}.{name}" if path else name))
-        return flat
-    if path.endswith(".name") or isinstance(node, str):  # JSON itself says what is a number
-        return {path: node}
-    return {path: decode_value(path, node)}
-
-
-# Checking
-
-
-def _checked(key: str, value: Any, default: Any) -> Any:
-    """A setting that has to be of its default's type; raises ConfigError."""
-    name = key.rpartition(".")[2]
-    if isinstance(default, str):
-        return str(value)
-    if isinstance(default, bool):
-        if not isinstance(value, bool):
-            raise ConfigError(f"settings.{key}", f"{value!r} is neither true nor false")
-    elif isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value) or value < 0:
-        raise ConfigError(f"settings.{key}", f"{value!r} is not a number from 0 up")
-    elif not value and name in POSITIVE_KEYS:
-        raise ConfigError(f"settings.{key}", "must be above 0")
-    elif name in INTEGER_KEYS and value != int(value):
-        raise ConfigError(f"settings.{key}", f"{value!r} is no whole number")
-    return value
-
-
-def _complete(flat: Mapping[str, Any]) -> dict[str, Any]:
-    """The map of dotted keys, checked and with defaults; raises ConfigError."""
-    given = {key: value for key, value in flat.items() if value is not None}
-    count = given.get("schemes.count")
-    if isinstance(count, bool) or not isinstance(count, (int, float)) or count < 1:
-        raise ConfigError("settings.schemes", "missing, or no list of one scheme or more")
-    defaults = dict(DEFAULTS)
-    for at in range(int(count)):
-        defaults.update({f"schemes.{at}.{name}": default for name, default in REQUEST_CLASS_DEFAULTS.items()})
-        deadline = f"schemes.{at}.expiry"
-        defaults[f"schemes.{at}.sla_time"] = _checked(deadline, given.get(deadline, REQUEST_CLASS_DEFAULTS["expiry"]), 0.0)
-    return given | {key: _checked(key, given.get(key, default), default) for key, default in defaults.items()}
-
-
-def _quota_weight(flat: Mapping[str, Any], at: int) -> float:
-    given = flat.get(f"tenants.{at}.share") or 1.0
-    try:
-        return float(given)
-    except (TypeError, ValueError):
-        raise ConfigError(f"settings.tenants.{at}.share", f"{given!r} is no number") from None
-
-
-def _request_classes(flat: Mapping[str, Any]) -> Iterator[RequestClassSettings]:
-    for at in range(int(flat["schemes.count"])):
-        key = f"schemes.{at}."
-        yield RequestClassSettings(
-            name=flat.get(key + "name"),
-            idempotency=IDEMPOTENCY_BY_KEY.get(flat[key + "idempotency"], Idempotency.NON_IDEMPOTENT),
-            deduplication_group=DEDUPLICATION_GROUP_BY_KEY.get(flat[key + "group"], DeduplicationGroup.CELL),
-            deduplication_window_ms=flat[key + "dedup_window"],
-            deadline_ms=flat[key + "expiry"],
-            latency_objective_ms=flat[key + "sla_time"],
-            priority_weight=flat[key + "gain"],
-        )
-
-
-def build_settings(flat: Mapping[str, Any]) -> Settings:
-    """The typed settings from a map of dotted keys, times in milliseconds; raises ConfigError."""
-    flat = _complete(flat)
-    tenants = range(int(flat["tenants.count"]))
-    return Settings(
-        request_classes=tuple(_request_classes(flat)),
-        tenants=tuple(TenantSettings(flat.get(f"tenants.{at}.name"), _quota_weight(flat, at)) for at in tenants),
-        limits=LimitSettings(
-            max_attempts=int(flat["limits.most_postings"]),
-            may_hedge=flat["limits.second_copies"],
-            may_cancel=flat["limits.cancel"],
-            may_health_check=flat["limits.probing"],
-            tells_retry_after=flat["limits.retry_after"],
-            idle_connection_ms=flat["limits.conn_idle"],
-            connect_timeout_ms=flat["limits.dial_timeout"],
-        ),
-        obligations=ObligationSettings(
-            slow_start_ms=flat["obligations.cold"],
-            slow_start_initial_ratio=flat["obligations.cold_from"],
-            overload_window_ms=flat["obligations.fall"],
-            overload_multiple=flat["obligations.fall_multiple"],
-            drain_grace_ms=flat["obligations.drain_grace"],
-            poll_within_ms=flat["obligations.must_ask_in"],
-            is_only_draining_binding=flat["obligations.only_draining_binds"],
-        ),
-        load_reports=LoadReportSettings(tuple(flat["load_info.fields"].split(",")), flat["load_info.via"]),
-        costs=CostSettings(cross_zone=flat["tariffs.cross_zone"], health_check=flat["tariffs.probe"]),
-        discovery_mode=flat["discovery"],
-        is_weight_per_work=flat["gain_per"] == "work",
-        has_affinity_keys=flat["family_info.warm_keys"],
-        instance_count=int(flat["instances"]),
-        instance_index=int(flat["ordinal"]),
-        tick_ms=flat["step"],
-        zone=flat["zone"],
-        zones=tuple(flat["zones"].split(",")),
-        machine_kinds=tuple(flat["kinds"].split(",")),
-        canonical=_canonical(flat),
-    )
-
-
-def _canonical(flat: Mapping[str, Any]) -> dict[str, Any]:
-    """The complete map; request classes' idempotency in the words that digests have always been made of."""
-    words = {"retryable": "repeatable", "dedup": "referenced"}
-    keys = [f"schemes.{at}.idempotency" for at in range(int(flat["schemes.count"]))]
-    return {**flat, **{key: words.get(flat[key], "once-only") for key in keys}}
--- a/sloeferry/fault_testing/planted_faults.py
+++ b/sloeferry/fault_testing/planted_faults.py
@@ -152,8 +152,8 @@
         (
             Edit(
                 "network/client_connection.py",
-                "        await self._loop.sock_sendall(self.sock, data)\n        self.sending_since = None",
-                '        await self._loop.sock_sendall(self.sock, data * (1 + (b" 504 " in data[:16])))\n'
+                "        await self.server.loop.sock_sendall(self.sock, data)\n        self.sending_since = None",
+                '        await self.server.loop.sock_sendall(self.sock, data * (1 + (b" 504 " in data[:16])))\n'
                 "        self.sending_since = None",
             ),
         ),
--- a/sloeferry/network/admission_queue.py
+++ b/sloeferry/network/admission_queue.py
@@ -44,11 +44,11 @@
         if self._epoll is None:
             self._epoll = environment.epoll()
         fd, admitted = connection.sock.fileno(), self._loop.create_future()
-        if connection.is_queued_once:
+        if connection.is_known_to_queue:
             self._epoll.modify(fd, ONE_READ)
         else:
             self._epoll.register(fd, ONE_READ)
-            connection.is_queued_once = True
+            connection.is_known_to_queue = True
         self._parked[fd] = connection, admitted
         if self._timer is None:
             self._timer = self._loop.call_later(LOOK_SECONDS, self._look)
@@ -110,8 +110,8 @@
         buffer = self._buffers.take()
         try:
             n = connection.sock.recv_into(buffer)
-            if n and connection.reject_unparsed(buffer, n, has_waited=True):
-                reply = client_replies.rejected(connection.rejection_delay_ms)
+            if n and connection.reader.reject_unparsed(buffer, n, has_waited=True):
+                reply = client_replies.rejected(connection.reader.rejection_delay_ms)
                 data = writer.response(reply.status, headers=reply.headers)
                 if connection.sock.send(data) == len(data):
                     connection.waiting_since, connection.is_new = environment.monotonic(), False
--- a/sloeferry/network/body_stream.py
+++ b/sloeferry/network/body_stream.py
@@ -5,6 +5,7 @@
 """
 
 import asyncio
+from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING
 
 from sloeferry import environment
@@ -22,7 +23,7 @@
 
 
 class BodyInterruptedError(Exception):
-    """The rest of a body will not come; the reason is its stream's `fault`."""
+    """The rest of a body will not come; its text says why."""
 
 
 class RequestBodyStream:
@@ -83,9 +84,9 @@
                     return part
                 self._completed()
                 return part if self._message.content_length is not None else part + writer.LAST_CHUNK
-            if self._connection.stream.fault:
-                raise BodyInterruptedError
-            await self._connection.receive_body()
+            if fault := self._connection.stream.fault:
+                raise BodyInterruptedError(fault.value)
+            await self._connection.reader.receive_body()
 
     def _completed(self) -> None:
         self.is_complete, self.last_byte_at, self.task = True, environment.monotonic_ms(), None
@@ -97,7 +98,7 @@
     """The body of a response on its way to the client; it holds the backend's connection until its end."""
 
     def __init__(self, backend: "BackendConnection", message: Message):
-        self.backend: BackendConnection | None = backend
+        self._backend: BackendConnection | None = backend  # None once it is done with
         self._message = message
         self._waiting_since = environment.monotonic()
         message.is_streamed = True
@@ -108,23 +109,26 @@
             return [b"Content-Length: %d" % self._message.content_length]
         return [] if is_http10 else [writer.CHUNKED]
 
-    async def forward(self, client: "ClientConnection", is_http10: bool) -> None:
+    async def forward(self, send: Callable[[bytes], Awaitable[None]], is_http10: bool) -> None:
         """Sends all of it; raises BodyInterruptedError where the backend breaks off."""
+        backend = self._backend
+        if backend is None:
+            raise BodyInterruptedError("closed")
         is_chunked = self._message.content_length is None and not is_http10
         while True:
             data = self._message.take_body()
             for at in range(0, len(data), SLICE_BYTES):
                 piece = data[at : at + SLICE_BYTES]
-                await client.send(writer.chunk(piece) if is_chunked else piece)
+                await send(writer.chunk(piece) if is_chunked else piece)
             if self._message.is_complete:
                 break
-            if self.backend.stream.fault:
-                raise BodyInterruptedError
+            if fault := backend.stream.fault:
+                raise BodyInterruptedError(fault.value)
             self._waiting_since = environment.monotonic()
-            await self.backend.stream.receive()
+            await backend.stream.receive()
         if is_chunked:
-            await client.send(writer.LAST_CHUNK)
-        backend, self.backend = self.backend, None
+            await send(writer.LAST_CHUNK)
+        self._backend = None
         backend.finish(self._message.keep_alive)
 
     def has_stalled(self, now: float) -> bool:
@@ -133,6 +137,6 @@
 
     def close(self) -> None:
         """Nobody takes the rest."""
-        if self.backend:
-            self.backend.close()
-            self.backend = None
+        if self._backend:
+            self._backend.close()
+            self._backend = None
--- a/sloeferry/network/client_server.py
+++ b/sloeferry/network/client_server.py
@@ -64,7 +64,7 @@
     def forget(self, connection: ClientConnection) -> None:
         """A connection ends."""
         self.connections.pop(connection, None)
-        if connection.is_queued_once:
+        if connection.is_known_to_queue:
             self.admission_queue.leave(connection)
         self.budget.mark_active(connection)
         self.budget.give()
--- a/sloeferry/network/connection_sweeper.py
+++ b/sloeferry/network/connection_sweeper.py
@@ -49,9 +49,9 @@
         now, stream = environment.monotonic(), connection.stream
         if connection.sending_since and now > connection.sending_since + WRITE_SECONDS:
             connection.close()
-        elif connection.receiving_body_since and now > connection.receiving_body_since + READ_SECONDS:
+        elif connection.reader.receiving_body_since and now > connection.reader.receiving_body_since + READ_SECONDS:
             connection.close_for_another()
-        elif connection.response_body and not connection.sending_since and connection.response_body.has_stalled(now):
+        elif connection.replies.body and not connection.sending_since and connection.replies.body.has_stalled(now):
             connection.close()
         elif not connection.is_busy and not stream.completed:
             allowed = idle_seconds
@@ -59,7 +59,7 @@
                 allowed = READ_SECONDS + stream.message.body_bytes / MIN_BODY_BYTES_PER_SECOND * stream.has_begun
             if environment.monotonic() > connection.waiting_since + allowed:
                 if stream.has_begun:
-                    connection.time_out_request()
+                    connection.reader.time_out()
                 else:
                     connection.close()
 
--- a/sloeferry/network/listener.py
+++ b/sloeferry/network/listener.py
@@ -107,9 +107,9 @@
     def _note_waiting(self, connection: ClientConnection) -> None:
         """For how long the connection has waited outside, as far as that is known."""
         if not self.waited_in_stall:
-            connection.queued_since = self.crowded_since
+            connection.reader.queued_since = self.crowded_since
             return
-        connection.unread_ms = environment.monotonic_ms() - self.crowded_since
+        connection.reader.unread_ms = environment.monotonic_ms() - self.crowded_since
         self.waited_in_stall -= 1
         if not self.waited_in_stall:  # whoever stood outside then has been let in
             self.crowded_since = environment.monotonic_ms()
--- /dev/null
+++ b/sloeferry/network/reply_writer.py
@@ -0,0 +1,113 @@
+"""Writes the replies of a client's connection."""
+
+import asyncio
+import socket
+from typing import TYPE_CHECKING
+
+from sloeferry.network import client_replies
+from sloeferry.network.body_stream import BodyInterruptedError, ResponseBodyStream
+from sloeferry.network.client_replies import Reply
+from sloeferry.network.http1 import writer
+from sloeferry.network.http1.message import Message
+from sloeferry.network.limited_log import warn
+from sloeferry.network.sockets import reset_on_close
+
+if TYPE_CHECKING:
+    from sloeferry.network.client_connection import ClientConnection
+
+# A refused sender has so long, and so many reads, to read why.
+LINGER_SECONDS, LINGER_READS = 0.5, 16
+LINGERING_RATIO = 8  # one in so many places of the budget may be held by those that linger
+
+
+class ReplyWriter:
+    """The sending side of a client's connection."""
+
+    def __init__(self, connection: "ClientConnection"):
+        self._connection = connection
+        self._server = connection.server
+        self.body: ResponseBodyStream | None = None  # of a response, on its way
+        self._has_lingered = False
+
+    async def reply(self, message: Message, reply: Reply, keep_alive: bool) -> bool:
+        """Writes the reply to a request; whether another request may follow."""
+        if 400 <= reply.status < 500:  # whoever asks so once does it again: not on a connection that is kept
+            return await self.refuse(reply.status)
+        if isinstance(reply.body, ResponseBodyStream):
+            keep_alive = await self._forward(message, reply, reply.body, keep_alive)
+        else:
+            await self._connection.send(writer.response(reply.status, reply.body, reply.headers, keep_alive))
+        if not message.is_complete:
+            await self.linger()  # answered before all of its body had come
+        self._connection.is_idle_from_now()
+        return keep_alive
+
+    async def _forward(self, message: Message, reply: Reply, body: ResponseBodyStream, keep_alive: bool) -> bool:
+        """Sends a response as it comes; whether another request may follow.
+
+        Where its backend breaks off the client can tell: the connection ends before the length that was said, or without
+        the last chunk; to one that knows neither it is reset.
+        """
+        self.body, framing = body, body.framing(message.is_http10)
+        keep_alive = keep_alive and bool(framing)
+        try:
+            head = writer.response(reply.status, b"", reply.headers, keep_alive, framing)
+            await self._connection.send(head)
+            await body.forward(self._connection.send, message.is_http10)
+            return keep_alive
+        except BodyInterruptedError as error:
+            warn("response", "broke off on its way: {}", error)
+            if not framing:
+                reset_on_close(self._connection.sock)
+            return False
+        finally:
+            self.body = None
+            body.close()
+
+    async def reject(self, delay_ms: float, keep_alive: bool = True) -> bool:
+        """Replies that a request is rejected before it was taken on; whether another request may follow."""
+        self._connection.is_new = False
+        reply = client_replies.rejected(delay_ms)
+        await self._connection.send(writer.response(reply.status, headers=reply.headers, keep_alive=keep_alive))
+        self._connection.is_idle_from_now()
+        return keep_alive
+
+    async def refuse(self, status: int | None) -> bool:
+        """The last word to one that cannot be read or is not wanted; nothing of what it sent goes on."""
+        if status:
+            stream = self._connection.stream
+            message, fault = stream.message, stream.fault
+            warn(
+                "refused",
+                "{} {}: {!r} {!r} {!r}",
+                status,
+                fault.value if fault else "",
+                message.method,
+                message.url[:80],
+                message.headers[:12],
+            )
+            await self._connection.send(writer.response(status, keep_alive=False))
+            await self.linger()
+        return False
+
+    async def linger(self) -> None:
+        """Reads on for a while: closed over unread bytes, a socket resets, and the reply is lost with it.
+
+        Few at a time do so, and not for long: they hold places of the budget, and one with 60 MB to send would take the time
+        of all others.
+        """
+        server, sock = self._server, self._connection.sock
+        if self._has_lingered or server.lingering >= server.budget.limit // LINGERING_RATIO:
+            return
+        self._has_lingered = True
+        server.lingering += 1
+        buffer = server.buffers.take()
+        try:
+            sock.shutdown(socket.SHUT_WR)
+            async with asyncio.timeout(LINGER_SECONDS):
+                for _ in range(LINGER_READS):
+                    if not await server.loop.sock_recv_into(sock, buffer):
+                        break
+        finally:
+            server.lingering -= 1
+            server.buffers.give(buffer)
--- a/sloeferry/network/stall_accounting.py
+++ b/sloeferry/network/stall_accounting.py
@@ -49,14 +49,14 @@
         server, listener = self._server, self._server.listener
         for connection in server.connections:
             has_nothing_unread = connection.is_busy or is_quiet(connection.sock)
-            connection.unread_ms = 0.0 if has_nothing_unread else stalled_ms
+            connection.reader.unread_ms = 0.0 if has_nothing_unread else stalled_ms
         if server.lifecycle.is_stopping:
             return
         before = dict(server.connections)  # not how many: who comes in may push out another who idles
         listener.accept(BACKLOG)  # those who came meanwhile
         for connection in server.connections:
             if connection not in before:
-                connection.unread_ms = stalled_ms
+                connection.reader.unread_ms = stalled_ms
         if listener.crowded_since is not None:  # there was no room for all: who is let in later has waited as long, too
             listener.crowded_since -= stalled_ms
             listener.waited_in_stall = BACKLOG
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,7 @@
 
 from loguru import logger
 
-from sloeferry.config.settings import REQUEST_CLASS_DEFAULTS, build_settings
+from sloeferry.config.settings_reader import REQUEST_CLASS_DEFAULTS, build_settings
 from sloeferry.dispatch.attempt_end import AttemptEnd
 from sloeferry.lifecycle.proxy_process import ProxyProcess
 from sloeferry.network import admin_server, listener, sockets
@@ -318,7 +318,7 @@
         async def story(h):
             with mock.patch("sloeferry.network.connection_sweeper.READ_SECONDS", 0.1):
                 sock, guest = await h.sent(h.head(size=200000) + b"x" * 100000)
-                await until(lambda: guest() and guest().receiving_body_since)
+                await until(lambda: guest() and guest().reader.receiving_body_since)
                 there = guest()
                 await until(lambda: there not in h.clients.connections)
             await until(lambda: not h.dispatcher.requests)
@@ -350,7 +350,7 @@
             with mock.patch.object(ClientConnection, "send", slow):
                 sock, guest = await h.sent(h.head(more="Expect: 100-continue\r\n", size=4))
                 await gate.held.wait()
-                guest().time_out_request()
+                guest().reader.time_out()
                 gate.opened.set()
                 await h.gets(sock, 999)
                 with contextlib.suppress(OSError):
@@ -531,11 +531,11 @@
 
         async def story(h):
             sock, guest = await h.sent(h.head(size=4) + b"bod")
-            await until(lambda: guest() and guest().stream.message.body_bytes == 3 and guest()._is_reading)
+            await until(lambda: guest() and guest().stream.message.body_bytes == 3 and guest().reader.is_reading)
             there = guest()
             sock.send(b"y")
             select.select([there.sock], [], [])  # it is there, and not read: not one turn of the loop in between
-            there.time_out_request()
+            there.reader.time_out()
             await h.gets(sock, 28)
             sock.close()
 
@@ -648,11 +648,11 @@
 
         async def story(h):
             sock, guest = await h.sent(h.head(size=200000) + b"x" * 100000)
-            await until(lambda: guest() and guest().receiving_body_since)
+            await until(lambda: guest() and guest().reader.receiving_body_since)
             there = guest()
             h.dispatcher.cancel_attempt(there.carrier.context.request_id, 0)
             await until(lambda: not h.dispatcher.requests)
-            h.say(f"its body is waited for still: {bool(there.receiving_body_since)}")
+            h.say(f"its body is waited for still: {bool(there.reader.receiving_body_since)}")
             sock.close()
 
         play(self, story, "crossing_pull", Opened({"b": answer()}))
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from loguru import logger
 
-from sloeferry.config.settings import build_settings
+from sloeferry.config.settings_reader import build_settings
 from sloeferry.network.body_stream import RequestBodyStream
 from sloeferry.network.http1 import writer
 from sloeferry.network.http1.framing import MAX_HELD_BODY_BYTES, MessageFraming
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -12,7 +12,7 @@
 import uvloop
 from loguru import logger
 
-from sloeferry.config.settings import build_settings
+from sloeferry.config.settings_reader import build_settings
 from sloeferry.policy.interface import AttemptOutcome, EndpointEntry, EndpointState, ListScope
 from sloeferry.policy.policy import Policy
 from tests.trace import Harbour, Lines, answer, compare
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -178,8 +178,8 @@
 
         class ClientConnection:
             def __init__(self, name):
-                self.name, self.is_queued_once, self.waiting_since = name, False, 0.0
-                self.is_new, self.rejection_delay_ms = True, 5.0
+                self.name, self.is_known_to_queue, self.waiting_since = name, False, 0.0
+                self.is_new, self.rejection_delay_ms, self.reader = True, 5.0, self
                 self.ours, self.theirs = socket.socketpair()
                 self.ours.setblocking(False)
                 self.sock = types.SimpleNamespace(
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from sloeferry.config.instance import InstanceConfig
-from sloeferry.config.settings import build_settings
+from sloeferry.config.settings_reader import build_settings
 from sloeferry.dispatch import dispatcher as dispatcher
 from sloeferry.dispatch.attempt_end import AttemptEnd, AttemptProgress, attempt_outcome
 from sloeferry.lifecycle.state import Lifecycle
--- a/tests/test_staleness.py
+++ b/tests/test_staleness.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from sloeferry import environment
-from sloeferry.config.settings import build_settings
+from sloeferry.config.settings_reader import build_settings
 from sloeferry.dispatch.dispatcher import Dispatcher
 from sloeferry.policy.endpoint_staleness import (
     ENDED_WATCH_NOTICE_MS,
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -19,7 +19,7 @@
 
 from sloeferry.config.errors import ConfigError
 from sloeferry.config.features import DecisionLogFeatures, Features, read_features
-from sloeferry.config.settings import build_settings
+from sloeferry.config.settings_reader import build_settings
 from sloeferry.decision_log.decision_log import MAX_ENTRIES, DecisionLog
 from sloeferry.decision_log.recorder import shared_settings
 from sloeferry.decision_log.versions import (
--- a/tests/trace.py
+++ b/tests/trace.py
@@ -14,7 +14,7 @@
 import uvloop
 
 from sloeferry.config.instance import read_instance_config
-from sloeferry.config.settings import build_settings
+from sloeferry.config.settings_reader import build_settings
 from sloeferry.lifecycle.proxy_process import serve
 from sloeferry.network import connection_pool
 from sloeferry.policy.endpoint_staleness import StalenessLimits
