--- a/sloeferry/config/instance.py
+++ b/sloeferry/config/instance.py
@@ -44,30 +44,30 @@
     former one had, so that a file cut short changes nothing.
     """
     is_reload = former is not None
-    told = _read_file(environ.get("BALANCER_CONFIG"))
-    file_keys = _keys_of_file(told)
+    content = _read_file(environ.get("BALANCER_CONFIG"))
+    file_keys = _keys_of_file(content)
     if former and (key := _first_missing_key(former.file_keys, file_keys)):
         raise ConfigError(key, "missing, the file before had it")
     for key in ("name", "listen", "discovery", "ops"):
-        choices = environ.get(f"BALANCER_{key.upper()}"), told.get(key)
-        told[key] = choices[is_reload] or choices[not is_reload] or ""
+        choices = environ.get(f"BALANCER_{key.upper()}"), content.get(key)
+        content[key] = choices[is_reload] or choices[not is_reload] or ""
     for key in ("settings", "known", "limits"):
-        if not isinstance(told.setdefault(key, {}), dict):
+        if not isinstance(content.setdefault(key, {}), dict):
             raise ConfigError(key, "is no object")
-    seed = _seed(told.get("seed", "0"))
-    max_descriptors, memory_mb = _limits(told["limits"])
-    settings = build_settings(flatten_tree(told["settings"]))
+    seed = _seed(content.get("seed", "0"))
+    max_descriptors, memory_mb = _limits(content["limits"])
+    settings = build_settings(flatten_tree(content["settings"]))
     _check_names(settings)
     return InstanceConfig(
-        name=str(told["name"]),
-        listen=parse_address("listen", told["listen"]),
-        discovery=parse_address("discovery", told["discovery"]),
+        name=str(content["name"]),
+        listen=parse_address("listen", content["listen"]),
+        discovery=parse_address("discovery", content["discovery"]),
         seed=seed,
         max_descriptors=max_descriptors,
         memory_limit_bytes=int(memory_mb * BYTES_PER_MB),
-        cached_endpoints=told["known"],
+        cached_endpoints=content["known"],
         settings=settings.aligned_with(former.settings) if former else settings,
-        admin_address=parse_address("ops", told["ops"]) if told["ops"] else None,
+        admin_address=parse_address("ops", content["ops"]) if content["ops"] else None,
         inherited_listener_fd=_inherited_listener_fd(environ),
         file_keys=file_keys,
     )
@@ -99,14 +99,14 @@
         raise ConfigError("BALANCER_CONFIG", "not set; it names the configuration file")
     try:
         with open(path, encoding="utf-8") as file:
-            told = json.load(file)
+            content = json.load(file)
     except OSError as error:
         raise ConfigError("BALANCER_CONFIG", f"{path} can't be read: {error.strerror}") from None
     except (ValueError, RecursionError) as error:
         raise ConfigError("BALANCER_CONFIG", f"{path} is not JSON: {error}") from None
-    if not isinstance(told, dict):
+    if not isinstance(content, dict):
         raise ConfigError("BALANCER_CONFIG", f"{path} holds no object")
-    return told
+    return content
 
 
 def _seed(text: Any) -> int:
@@ -151,7 +151,7 @@
 # What a later file may lack
 
 
-def _keys_of_file(told: Mapping[str, Any]) -> frozenset[str]:
+def _keys_of_file(content: Mapping[str, Any]) -> frozenset[str]:
     """The keys of a file as dotted paths.
 
     Of a list's objects those that all of them have (`*`), and for request classes those that all of one idempotency have.
@@ -174,7 +174,7 @@
             for group, sets in by_group.items():
                 keys.update(f"{path}{group}.{name}" for name in set.intersection(*sets))
 
-    walk({name: below for name, below in told.items() if name != "known"}, "")
+    walk({name: below for name, below in content.items() if name != "known"}, "")
     return frozenset(keys)
 
 
--- a/sloeferry/config/settings.py
+++ b/sloeferry/config/settings.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 import enum
-from collections.abc import Mapping
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 from typing import Any
 
@@ -130,11 +130,11 @@
 
     def class_indexes(self) -> dict[str, int]:
         """The index of each request class by its name, without removed ones."""
-        return {each.name: at for at, each in enumerate(self.request_classes) if each.name is not None and not each.is_removed}
+        return _indexes(self.request_classes)
 
     def tenant_indexes(self) -> dict[str, int]:
         """The index of each tenant by its name, without removed ones."""
-        return {each.name: at for at, each in enumerate(self.tenants) if each.name is not None and not each.is_removed}
+        return _indexes(self.tenants)
 
     def aligned_with(self, former: "Settings") -> "Settings":
         """These settings, each class and tenant at the index that it had in the former ones.
@@ -149,6 +149,10 @@
         )
 
 
+def _indexes(entries: Sequence[RequestClassSettings | TenantSettings]) -> dict[str, int]:
+    return {each.name: at for at, each in enumerate(entries) if each.name is not None and not each.is_removed}
+
+
 def _aligned(current: tuple, former: tuple) -> tuple:
     by_name = {each.name: each for each in current}
     former_names = {each.name for each in former}
--- a/sloeferry/config/settings_reader.py
+++ b/sloeferry/config/settings_reader.py
@@ -119,7 +119,7 @@
     if isinstance(node, (dict, list)):
         flat = {f"{path}.count": len(node)} if isinstance(node, list) else {}
         for name, below in node.items() if isinstance(node, dict) else enumerate(node):
-            flat.update(flatten_tree(below, f"{path}.{name}" if path else name))
+            flat.update(flatten_tree(below, f"{path}.{name}" if path else str(name)))
         return flat
     if path.endswith(".name") or isinstance(node, str):  # JSON itself says what is a number
         return {path: node}
--- a/sloeferry/decision_log/recorder.py
+++ b/sloeferry/decision_log/recorder.py
@@ -55,7 +55,7 @@
         self.log = DecisionLog(environment.monotonic_ms(), program_digest())
         self.settings_applied(config, "start")
         dispatcher.policy.extensions.install(self.log)
-        dispatcher.on_send_attempt = self._attempt_sent
+        dispatcher.host.on_send_attempt = self._attempt_sent
         self._poll_anew: Callable[[], None] | None = None
         self._reload: Callable[[], None] | None = None
 
--- a/sloeferry/dispatch/dispatcher.py
+++ b/sloeferry/dispatch/dispatcher.py
@@ -5,7 +5,6 @@
 """
 
 from collections.abc import Callable, Hashable, Sequence
-from heapq import heappop, heappush
 from math import inf
 from typing import Any
 
@@ -13,48 +12,34 @@
 from sloeferry.config.instance import InstanceConfig
 from sloeferry.config.settings import Settings
 from sloeferry.dispatch.attempt_end import AttemptEnd, AttemptProgress, attempt_outcome
+from sloeferry.dispatch.command_host import CommandHost
 from sloeferry.dispatch.endpoint_events import EndpointEvents
 from sloeferry.dispatch.limits import SOCKET_SLACK_MS
 from sloeferry.dispatch.loop_monitor import LoopMonitor
-from sloeferry.dispatch.request_context import CommandQueue, RequestContext
+from sloeferry.dispatch.request_context import RequestContext
 from sloeferry.dispatch.send_guard import Refusal, SendGuard
 from sloeferry.policy.endpoint_staleness import ON_SOCKETS
-from sloeferry.policy.interface import (
-    Abandon,
-    CancelAttempt,
-    Complete,
-    EndpointId,
-    Fail,
-    PollEndpoints,
-    Reject,
-    RequestCommand,
-    SendAttempt,
-    SendHealthCheck,
-)
+from sloeferry.policy.interface import Abandon, Complete, EndpointId, SendAttempt
 from sloeferry.policy.overload_control import OverloadController
 from sloeferry.policy.policy import Policy
 
 
 class Dispatcher:
-    """One instance of the policy, and its host (`PolicyHost`)."""
+    """One instance of the policy, and what the network tells it."""
 
     def __init__(self, seed: int, settings: Settings, request_wakeup: Callable[[float], None]):
         """`request_wakeup` is called with the time (ms) by which `run_due_timers` has to be called."""
-        self._request_wakeup = request_wakeup
-        self._timers: list[tuple[float, int]] = []  # (due, token), a heap
-        self.next_timer_at: float | None = None
-        self.requests: dict[int, RequestContext] = {}
+        self.host = CommandHost(request_wakeup)
+        self.requests = self.host.requests
         self._last_request_id = 0
-        self.health_check_commands = CommandQueue()
-        self.poll_commands = CommandQueue()
-        self.policy = Policy(self, environment.monotonic_ms(), seed, settings, ON_SOCKETS)
+        self.policy = Policy(self.host, environment.monotonic_ms(), seed, settings, ON_SOCKETS)
         self.overload = OverloadController(self.policy)
         self.policy.extensions.install(self.overload)
         self._is_beating = False
-        self.on_send_attempt: Callable[[RequestContext], None] | None = None  # told before each attempt, where set
         self.loop_monitor = LoopMonitor(settings)
         self.guard = SendGuard(self.policy, SOCKET_SLACK_MS)
         self.endpoint_events = EndpointEvents(self.policy, self.guard, self.loop_monitor)
+        self.host.on_reject = self._note_rejection
 
     def update_config(self, config: InstanceConfig) -> None:
         """Other settings, between two events: what is taken on from now on is under these."""
@@ -108,7 +93,7 @@
     def client_left(self, context: RequestContext) -> None:
         """The client has gone."""
         if not context.is_answered:
-            self._finish(context, Abandon())
+            self.host.finish(context, Abandon())
             self.policy.client_left(environment.monotonic_ms(), context.request_id)
 
     def abandon(self, context: RequestContext) -> list[Any]:
@@ -167,9 +152,9 @@
         took_ms = max(took_ms / 2, took_ms - self.policy.timers.lateness_ms)  # so much was this loop's doing
         is_served = end is AttemptEnd.SERVED and not context.is_answered
         if is_served:
-            self._finish(context, Complete(response))
-        elif context.is_answered and not context.attempts_out:
-            self.requests.pop(context.request_id, None)
+            self.host.finish(context, Complete(response))
+        else:
+            self.host.forget_if_over(context)
         self.policy.attempt_ended(
             environment.monotonic_ms(),
             context.request_id,
@@ -202,21 +187,9 @@
         return catching_up
 
     def run_due_timers(self) -> float | None:
-        """Fires what is due; the time of the next timer, or None."""
-        now, timers = environment.monotonic_ms(), self.policy.timers
-        try:
-            while self._timers and self._timers[0][0] <= now:
-                _, token = heappop(self._timers)
-                if timers.is_moot(token):
-                    timers.discard(token)
-                else:
-                    self.policy.timer_fired(now, token)
-        finally:
-            # What was set for requests that have been answered wakes nobody: it is most of all timers.
-            while self._timers and timers.is_moot(self._timers[0][1]):
-                timers.discard(heappop(self._timers)[1])
-            self.next_timer_at = self._timers[0][0] if self._timers else None
-        return self.next_timer_at
+        """Fires what is due; the time (ms) of the next timer, or None."""
+        self.host.run_due_timers(self.policy)
+        return self.host.next_timer_at
 
     def _schedule_beat(self, now: float) -> None:
         self._is_beating = True
@@ -230,53 +203,9 @@
         if self._is_beating:
             self._schedule_beat(now)
 
-    # PolicyHost
-
-    def _finish(self, context: RequestContext, command: RequestCommand) -> None:
-        context.is_answered = True
-        context.push(command)
-        if not context.attempts_out:
-            self.requests.pop(context.request_id, None)
-
-    def send_attempt(self, request_id: int, endpoint_id: EndpointId) -> None:
-        """`PolicyHost`."""
-        context = self.requests[request_id]
-        if self.on_send_attempt:
-            self.on_send_attempt(context)
-        context.push(SendAttempt(context.attempts_sent, endpoint_id))
-        context.attempts_sent += 1
-        context.attempts_out += 1
-
-    def cancel_attempt(self, request_id: int, attempt_number: int) -> None:
-        """`PolicyHost`."""
-        self.requests[request_id].push(CancelAttempt(attempt_number))
-
-    def reject(self, request_id: int, retry_after_ms: float) -> None:
-        """`PolicyHost`."""
+    def _note_rejection(self) -> None:
         if not self.endpoint_events.staleness.usable(environment.monotonic_ms()):
             self.guard.count_refusal(Refusal.LIST_STALE)
-        if request_id in self.requests:
-            self._finish(self.requests[request_id], Reject(retry_after_ms))
-
-    def fail(self, request_id: int) -> None:
-        """`PolicyHost`."""
-        if request_id in self.requests:
-            self._finish(self.requests[request_id], Fail())
-
-    def send_health_check(self, endpoint_id: EndpointId) -> None:
-        """`PolicyHost`."""
-        self.health_check_commands.push(SendHealthCheck(endpoint_id))
-
-    def poll_endpoints(self) -> None:
-        """`PolicyHost`."""
-        self.poll_commands.push(PollEndpoints())
-
-    def schedule_wakeup(self, at: float, token: int) -> None:
-        """`PolicyHost`."""
-        heappush(self._timers, (at, token))
-        if self.next_timer_at is None or at < self.next_timer_at:
-            self.next_timer_at = at
-            self._request_wakeup(at)
 
     # For operators
 
--- a/sloeferry/dispatch/loop_monitor.py
+++ b/sloeferry/dispatch/loop_monitor.py
@@ -5,7 +5,8 @@
 """
 
 import asyncio
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable, Coroutine
+from typing import Any
 
 from sloeferry import environment
 from sloeferry.config.settings import Settings
@@ -28,7 +29,7 @@
         self.turn_before_stall = self.last_turn
         self.catching_up: asyncio.Task | None = None
         # Set by the network: returns once what discovery wrote meanwhile is read and taken in.
-        self.catch_up: Callable[[], Awaitable[None]] | None = None
+        self.catch_up: Callable[[], Coroutine[Any, Any, None]] | None = None
         self.update(settings)
 
     def update(self, settings: Settings) -> None:
--- a/sloeferry/lifecycle/proxy_process.py
+++ b/sloeferry/lifecycle/proxy_process.py
@@ -51,12 +51,15 @@
 
     def _run(self) -> None:
         self._handle = None
+        if self.dispatcher is None:
+            return
         try:
             self.dispatcher.run_due_timers()
         except Exception as error:  # one decision that failed must not stop the clock of all others
             logger.opt(exception=True).error("timer failed: {!r}", error)
-        if self.dispatcher.next_timer_at is not None:
-            self.wake_at(self.dispatcher.next_timer_at)
+        next_timer_at = self.dispatcher.host.next_timer_at
+        if next_timer_at is not None:
+            self.wake_at(next_timer_at)
 
 
 class ProxyProcess:
@@ -158,7 +161,7 @@
         if features.versions.bring_up:
             recorder.allow_bring_up(self.discovery.poll_anew, self.reload)
         self.admin.calls.update(recorder.admin_calls())
-        if self.discovery.known:
+        if self.discovery.known and self.discovery.revision is not None:
             recorder.list_applied(self.discovery.revision, self.discovery.known)
 
     async def _shutdown(self) -> None:
--- a/sloeferry/lifecycle/snapshot.py
+++ b/sloeferry/lifecycle/snapshot.py
@@ -76,20 +76,20 @@
     """
     assignments: list[tuple[Any, dict[str, Any]]] = []
     for promised, request_class in zip(policy.settings.request_classes, policy.classes.all, strict=True):
-        if told := snapshot["schemes"].get(promised.name):
-            assignments.append((request_class, _read_request_class(told)))
+        if recorded := snapshot["schemes"].get(promised.name):
+            assignments.append((request_class, _read_request_class(recorded)))
     assignments.append((policy.latency, _read_latency(policy, snapshot)))
     assignments.append((policy.outliers, _read_figures(snapshot, OUTLIER_FIGURES)))
     assignments.append((policy.arrivals, {"mean_gap_ms": _number(snapshot["gap"])}))
     assignments.append((policy.classes, {"mean_weight": _number(snapshot["mean_gain"])}))
     sends: list[tuple[Endpoint, list[tuple[float, float]]]] = []
-    for endpoint_id, told in snapshot["backends"].items():
+    for endpoint_id, recorded in snapshot["backends"].items():
         endpoint = policy.table.by_id.get(endpoint_id)
-        if endpoint is None or abs(endpoint.started_at - _number(told["launched"])) > SAME_START_MS:
+        if endpoint is None or abs(endpoint.started_at - _number(recorded["launched"])) > SAME_START_MS:
             continue  # gone, or started anew: nothing of it holds
-        ratios = Histogram(1.0, ENDPOINT_COUNT).restore(told["slow"])
-        sends.append((endpoint, [(_number(at), _number(work)) for at, work in told["sent"]]))
-        assignments.append((endpoint, {"latency_ratios": ratios, **_read_figures(told, ENDPOINT_FIGURES)}))
+        ratios = Histogram(1.0, ENDPOINT_COUNT).restore(recorded["slow"])
+        sends.append((endpoint, [(_number(at), _number(work)) for at, work in recorded["sent"]]))
+        assignments.append((endpoint, {"latency_ratios": ratios, **_read_figures(recorded, ENDPOINT_FIGURES)}))
     for target, values in assignments:
         for name, value in values.items():
             setattr(target, name, value)
@@ -100,9 +100,9 @@
     policy.latency.refresh()
 
 
-def _read_request_class(told: Mapping[str, Any]) -> dict[str, Any]:
-    latency = Histogram(_number(told["unit"]), LATENCY_COUNT, (), MANY_BINS_BELOW_UNIT).restore(told["took"])
-    return {"idle_latency": latency, **_read_figures(told, REQUEST_CLASS_FIGURES)}
+def _read_request_class(recorded: Mapping[str, Any]) -> dict[str, Any]:
+    latency = Histogram(_number(recorded["unit"]), LATENCY_COUNT, (), MANY_BINS_BELOW_UNIT).restore(recorded["took"])
+    return {"idle_latency": latency, **_read_figures(recorded, REQUEST_CLASS_FIGURES)}
 
 
 def _read_latency(policy: Policy, snapshot: Mapping[str, Any]) -> dict[str, Any]:
@@ -114,8 +114,8 @@
     }
 
 
-def _read_figures(told: Mapping[str, Any], figures: Mapping[str, str]) -> dict[str, float]:
-    return {name: _number(told[key]) for key, name in figures.items()}
+def _read_figures(recorded: Mapping[str, Any], figures: Mapping[str, str]) -> dict[str, float]:
+    return {name: _number(recorded[key]) for key, name in figures.items()}
 
 
 def _finite_or_none(figure: float) -> float | None:
@@ -123,10 +123,10 @@
     return None if figure == NEVER else figure
 
 
-def _number(told: Any) -> float:
+def _number(recorded: Any) -> float:
     """A finite number, or the time that never was; raises ValueError where it is neither."""
-    if told is None:
+    if recorded is None:
         return NEVER
-    if isinstance(told, bool) or not isinstance(told, (int, float)) or not isfinite(told):
-        raise ValueError(f"{told!r} is no number")
-    return told
+    if isinstance(recorded, bool) or not isinstance(recorded, (int, float)) or not isfinite(recorded):
+        raise ValueError(f"{recorded!r} is no number")
+    return recorded
--- a/sloeferry/network/admission_queue.py
+++ b/sloeferry/network/admission_queue.py
@@ -109,16 +109,16 @@
             return
         buffer = self._buffers.take()
         try:
-            n = connection.sock.recv_into(buffer)
-            if n and connection.reader.reject_unparsed(buffer, n, has_waited=True):
+            length = connection.sock.recv_into(buffer)
+            if length and connection.reader.reject_unparsed(buffer, length, has_waited=True):
                 reply = client_replies.rejected(connection.reader.rejection_delay_ms)
                 data = writer.response(reply.status, headers=reply.headers)
                 if connection.sock.send(data) == len(data):
                     connection.waiting_since, connection.is_new = environment.monotonic(), False
                     self._epoll.modify(fd, ONE_READ)
                     return
-                n = 0  # it takes nothing more: it ends as one that has closed
-            connection.stream.feed(buffer, n)
+                length = 0  # it takes nothing more: it ends as one that has closed
+            connection.stream.feed(buffer, length)
         except (BlockingIOError, InterruptedError):
             pass  # nothing there after all: it reads as ever
         except OSError:
--- a/sloeferry/network/discovery_client.py
+++ b/sloeferry/network/discovery_client.py
@@ -53,7 +53,7 @@
         self.events = dispatcher.endpoint_events
         self.budget = budget
         self.buffers = buffers
-        self._dispatcher = dispatcher
+        self._host = dispatcher.host
         self._pool = pool
         self._lifecycle = lifecycle  # told once a list is at hand
         self.address = config.discovery
@@ -111,7 +111,7 @@
         if self._is_pushed or not self._lifecycle.has_list:
             self._start_watch()
         while True:
-            await self._dispatcher.poll_commands.next()
+            await self._host.poll_commands.next()
             if not self._watch_task or self._watch_task.done():
                 self._start_watch()
             elif self.is_watching:  # it stands already, and all it said has been passed on
@@ -143,7 +143,7 @@
         has_watch_ended = watch.phase is PollPhase.WATCHING and watch.silent_since is None
         self.events.poll_is_due(has_watch_ended)
         if self._is_pushed:  # the newest: a former one may stand on, and tells nothing of the new place
-            self.loop.call_later(self.redial_pause_ms / 1000, self._dispatcher.poll_endpoints)
+            self.loop.call_later(self.redial_pause_ms / 1000, self._host.poll_endpoints)
 
     def _report_end(self, watch: DiscoveryWatch, reason: str) -> None:
         """What the end of a poll or watch tells of the list's age."""
--- a/sloeferry/network/health_checker.py
+++ b/sloeferry/network/health_checker.py
@@ -34,7 +34,7 @@
     async def run(self) -> None:
         """Carries out commands for as long as the program runs."""
         while True:
-            command = await self._dispatcher.health_check_commands.next()
+            command = await self._dispatcher.host.health_check_commands.next()
             self._tasks.spawn(self._check(command.endpoint_id))
 
     async def _check(self, endpoint_id: str) -> None:
--- a/sloeferry/network/http1/framing.py
+++ b/sloeferry/network/http1/framing.py
@@ -141,16 +141,16 @@
 
     # For whoever reads
 
-    def feed(self, buffer: bytearray, n: int) -> StreamEnd | None:
-        """Takes in `n` bytes received; none are the end of the stream.  Why nothing more will come, or None."""
-        if not n:
+    def feed(self, buffer: bytearray, length: int) -> StreamEnd | None:
+        """Takes in `length` bytes received; none are the end of the stream.  Why nothing more will come, or None."""
+        if not length:
             self._end_of_stream()
             return self.fault
         # Counted as it comes: of a head, a chunk line or trailer without end the parser tells nothing,
         # it only grows; and 1xx responses may come for ever, each of them complete.
-        self._bytes_beside_body += n
+        self._bytes_beside_body += length
         try:
-            self._parser.feed_data(memoryview(buffer)[:n])
+            self._parser.feed_data(memoryview(buffer)[:length])
             if self._bytes_beside_body > MAX_HEAD_BYTES:
                 self.fault = StreamEnd.TOO_LARGE
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
--- a/sloeferry/network/http1/stream.py
+++ b/sloeferry/network/http1/stream.py
@@ -60,10 +60,10 @@
     async def _receive(self) -> StreamEnd | None:
         buffer = self._buffers.take()
         try:
-            n = await self._loop.sock_recv_into(self._sock, buffer)
-            if n and self._reject_unparsed and not self.has_begun and self._reject_unparsed(buffer, n):
+            length = await self._loop.sock_recv_into(self._sock, buffer)
+            if length and self._reject_unparsed and not self.has_begun and self._reject_unparsed(buffer, length):
                 return StreamEnd.REJECTED_UNPARSED
-            return self.feed(buffer, n)
+            return self.feed(buffer, length)
         except OSError:
             self.fault = StreamEnd.CLOSED
         finally:
--- a/sloeferry/network/request_carrier.py
+++ b/sloeferry/network/request_carrier.py
@@ -4,6 +4,7 @@
 import functools
 from typing import TYPE_CHECKING
 
+from sloeferry.dispatch.request_context import RequestContext
 from sloeferry.network import client_replies, protocol
 from sloeferry.network.attempt import OutgoingRequest
 from sloeferry.network.body_stream import RequestBodyStream
@@ -30,8 +31,8 @@
     def __init__(self, connection: "ClientConnection"):
         self._connection = connection
         self._server = connection.server
-        self.context = None  # of the request that is on its way
-        self._request_id: bytes | None = None  # as the client named it
+        self.context: RequestContext | None = None  # of the request that is on its way
+        self._request_id = b""  # as the client named it
         self.body_stream: RequestBodyStream | None = None  # a long body on its way
 
     async def start(self, message: Message, unread_ms: float) -> Reply | None:
@@ -42,7 +43,7 @@
         if message.target is None:
             is_ready = self._server.lifecycle.answers_ready()
             return Reply(client_replies.OK if is_ready else client_replies.SERVICE_UNAVAILABLE)
-        request_id = message.header(protocol.REQUEST_ID)
+        request_id = message.header(protocol.REQUEST_ID) or b""
         open_requests = self._server.open_requests
         if other := open_requests.get(request_id):
             if not other.has_client_left():  # another request's: backends and clients would take one for the other
@@ -51,20 +52,20 @@
             self._server.dispatcher.client_left(other.carrier.context)
         open_requests[request_id], self._request_id = self._connection, request_id
         try:
-            self.context = self._server.intake.accept(message, unread_ms)
+            context = self.context = self._server.intake.accept(message, unread_ms)
         except Exception as error:
             return self._failed(error)
-        self.context.has_client_left = self._connection.has_client_left
-        return await self.carry(self._outgoing(message), message)
+        context.has_client_left = self._connection.has_client_left
+        return await self.carry(self._outgoing(context, message), message)
 
-    def _outgoing(self, message: Message) -> OutgoingRequest:
+    def _outgoing(self, context: RequestContext, message: Message) -> OutgoingRequest:
         length = message.body_bytes if message.is_complete else message.content_length
         headers = message.forwarded_headers(REPLACED_HEADERS)
         head = writer.request_head(message.method, message.url, headers, length)
         self.body_stream = None
         if not message.is_complete:
-            self.body_stream = RequestBodyStream(self._connection, message, self._server.dispatcher, self.context)
-        return OutgoingRequest(self.context, head, self.body_stream or message.body())
+            self.body_stream = RequestBodyStream(self._connection, message, self._server.dispatcher, context)
+        return OutgoingRequest(context, head, self.body_stream or message.body())
 
     async def carry(self, request: OutgoingRequest, message: Message) -> Reply | None:
         """Carries the request to its reply; None if another task has taken it over meanwhile."""
@@ -120,7 +121,7 @@
         self.drop()
         return client_replies.FAILED
 
-    def _let_go(self):
+    def _let_go(self) -> RequestContext | None:
         """The request, if there is one, is none of this connection's any more."""
         context, self.context = self.context, None
         if self._server.open_requests.get(self._request_id) is self._connection:  # else another has come under that id
--- a/sloeferry/network/request_intake.py
+++ b/sloeferry/network/request_intake.py
@@ -121,11 +121,11 @@
         is_retry = message.header(protocol.IS_RETRY) == protocol.TRUE
         return self._dispatcher.rejection_delay_ms(class_index, tenant_index, is_retry, has_waited)
 
-    def unparsed_rejection_delay_ms(self, buffer: bytearray, n: int, has_waited: bool = False) -> float | None:
+    def unparsed_rejection_delay_ms(self, buffer: bytearray, length: int, has_waited: bool = False) -> float | None:
         """The same before anything is parsed, while requests are shed: for a complete request in its plainest form."""
         if not self._dispatcher.overload.is_shedding() or self._lifecycle.is_stopping:
             return None
-        headers = _plain_headers(bytes(memoryview(buffer)[:n]))
+        headers = _plain_headers(bytes(memoryview(buffer)[:length]))
         if headers is None:
             return None
         class_index = self._classes.get(headers.get(protocol.REQUEST_CLASS))
--- a/sloeferry/network/request_reader.py
+++ b/sloeferry/network/request_reader.py
@@ -116,12 +116,12 @@
             unread_ms, self.queued_since = max(unread_ms, min(most_ms, queued_ms)), None
         return unread_ms
 
-    def reject_unparsed(self, buffer: bytearray, n: int, has_waited: bool = False) -> bool:
+    def reject_unparsed(self, buffer: bytearray, length: int, has_waited: bool = False) -> bool:
         """Before anything is parsed, while requests are shed: whether a plain request is rejected here.
 
         It is for certain where it has waited for too long (`has_waited`).
         """
-        delay_ms = self._server.intake.unparsed_rejection_delay_ms(buffer, n, has_waited)
+        delay_ms = self._server.intake.unparsed_rejection_delay_ms(buffer, length, has_waited)
         if delay_ms is None:
             return False
         self.rejection_delay_ms = delay_ms
--- a/sloeferry/policy/admission.py
+++ b/sloeferry/policy/admission.py
@@ -2,16 +2,10 @@
 
 from math import inf
 
-from sloeferry.policy.arrivals import ArrivalRate
 from sloeferry.policy.endpoint_selection import EndpointSelector
-from sloeferry.policy.endpoint_table import EndpointTable
 from sloeferry.policy.endpoints import Endpoint
-from sloeferry.policy.health_checks import HealthCheckBudget
-from sloeferry.policy.latency_model import LatencyModel
-from sloeferry.policy.load_estimate import LoadEstimator
 from sloeferry.policy.load_refresh import LoadRefresher
-from sloeferry.policy.load_reporting import LoadReporting
-from sloeferry.policy.request_classes import RequestClasses
+from sloeferry.policy.models import Models
 from sloeferry.policy.request_table import RequestTable
 from sloeferry.policy.requests import Request
 from sloeferry.policy.retry_policy import RetryPolicy
@@ -37,28 +31,22 @@
         requests: RequestTable,
         retries: RetryPolicy,
         selector: EndpointSelector,
-        load: LoadEstimator,
-        latency: LatencyModel,
-        table: EndpointTable,
-        classes: RequestClasses,
-        arrivals: ArrivalRate,
-        reporting: LoadReporting,
+        models: Models,
         load_refresher: LoadRefresher,
-        budget: HealthCheckBudget,
-        check_timeout_ms: float,
     ):
         self._timers = timers
         self._requests = requests
         self._retries = retries
         self._selector = selector
-        self._load = load
-        self._latency = latency
-        self._table = table
-        self._classes = classes
-        self._arrivals = arrivals
+        self._load = models.load
+        self._latency = models.latency
+        self._table = models.table
+        self._classes = models.classes
+        self._arrivals = models.arrivals
         self._load_refresher = load_refresher
-        self._brings_news_by_asking = bool(budget.per_request) or reporting.comes_with_health_checks
-        self._max_lateness_ms = check_timeout_ms / 2
+        reporting = models.reporting
+        self._brings_news_by_asking = bool(reporting.health_checks_per_request) or reporting.comes_with_health_checks
+        self._max_lateness_ms = models.check_timeout_ms / 2
         self.held: list[Request] = []
         self._is_ticking = False
 
--- a/sloeferry/policy/attempt_feedback.py
+++ b/sloeferry/policy/attempt_feedback.py
@@ -2,13 +2,10 @@
 
 from collections.abc import Sequence
 
-from sloeferry.policy.endpoint_table import EndpointTable
 from sloeferry.policy.endpoints import Endpoint
-from sloeferry.policy.fault_attribution import FaultAttribution
 from sloeferry.policy.interface import AttemptOutcome
-from sloeferry.policy.latency_model import LatencyModel
-from sloeferry.policy.load_reporting import REPORT_MAX_AGE_MS, LoadReporting
-from sloeferry.policy.outlier_detection import OutlierDetector
+from sloeferry.policy.load_reporting import REPORT_MAX_AGE_MS
+from sloeferry.policy.models import Models
 from sloeferry.policy.requests import TELLS_NOTHING, Attempt, Request
 from sloeferry.policy.safety_rules import SafetyRules
 
@@ -21,21 +18,13 @@
 class AttemptFeedback:
     """Passes the ends of attempts and health checks on to the models."""
 
-    def __init__(
-        self,
-        table: EndpointTable,
-        latency: LatencyModel,
-        outliers: OutlierDetector,
-        attribution: FaultAttribution,
-        rules: SafetyRules,
-        reporting: LoadReporting,
-    ):
-        self._table = table
-        self._latency = latency
-        self._outliers = outliers
-        self._attribution = attribution
+    def __init__(self, models: Models, rules: SafetyRules):
+        self._table = models.table
+        self._latency = models.latency
+        self._outliers = models.outliers
+        self._attribution = models.attribution
+        self._reporting = models.reporting
         self._rules = rules
-        self._reporting = reporting
 
     def load_reported(self, endpoint: Endpoint, now: float, load_report: Sequence[float]) -> None:
         """The endpoint answered, with a load report or an empty one."""
--- a/sloeferry/policy/endpoint_selection.py
+++ b/sloeferry/policy/endpoint_selection.py
@@ -16,19 +16,11 @@
 from typing import NamedTuple
 
 from sloeferry.config.settings import Settings
-from sloeferry.policy.arrivals import ArrivalRate
-from sloeferry.policy.candidates import CandidateSet
-from sloeferry.policy.endpoint_table import EndpointTable
 from sloeferry.policy.endpoints import Endpoint
-from sloeferry.policy.key_affinity import KeyAffinity
-from sloeferry.policy.latency_model import LOAD_LEVEL_BOUNDS, LatencyModel
-from sloeferry.policy.load_estimate import LoadEstimator
-from sloeferry.policy.load_reporting import LoadReporting
-from sloeferry.policy.outlier_detection import OutlierDetector
-from sloeferry.policy.request_classes import RequestClasses
+from sloeferry.policy.latency_model import LOAD_LEVEL_BOUNDS
+from sloeferry.policy.models import Models
 from sloeferry.policy.requests import Request
 from sloeferry.policy.safety_rules import SafetyRules
-from sloeferry.policy.slow_start import SlowStart
 
 # Of the latency objective: an attempt expected to take longer only overloads its endpoint,
 # if it takes this many times as long as at an idle one.
@@ -62,35 +54,20 @@
 class EndpointSelector:
     """Chooses the endpoint of each attempt."""
 
-    def __init__(
-        self,
-        settings: Settings,
-        table: EndpointTable,
-        candidates: CandidateSet,
-        load: LoadEstimator,
-        latency: LatencyModel,
-        affinity: KeyAffinity,
-        slow_start: SlowStart,
-        rules: SafetyRules,
-        outliers: OutlierDetector,
-        classes: RequestClasses,
-        arrivals: ArrivalRate,
-        reporting: LoadReporting,
-        rng: Random,
-    ):
-        self.table = table
-        self.candidates = candidates
-        self.load = load
-        self.latency = latency
-        self.affinity = affinity
-        self.slow_start = slow_start
+    def __init__(self, settings: Settings, models: Models, rules: SafetyRules, rng: Random):
+        self.table = models.table
+        self.candidates = models.candidates
+        self.load = models.load
+        self.latency = models.latency
+        self.affinity = models.affinity
+        self.slow_start = models.slow_start
+        self.outliers = models.outliers
         self.rules = rules
-        self.outliers = outliers
         self.rng = rng
-        self.can_ask = bool(reporting.health_checks_per_request)
-        self._classes = classes
-        self._arrivals = arrivals
-        self._is_load_age_unknown = reporting.is_age_unknown
+        self.can_ask = bool(models.reporting.health_checks_per_request)
+        self._classes = models.classes
+        self._arrivals = models.arrivals
+        self._is_load_age_unknown = models.reporting.is_age_unknown
         self._cross_zone_cost = settings.costs.cross_zone
 
     def choose(self, request: Request, now: float, excluded: Collection[Endpoint] = ()) -> Choice:
--- a/sloeferry/policy/endpoint_table.py
+++ b/sloeferry/policy/endpoint_table.py
@@ -2,7 +2,7 @@
 
 import functools
 from collections import defaultdict
-from collections.abc import Sequence
+from collections.abc import Hashable, Sequence
 from math import inf
 
 from sloeferry.config.settings import Settings
@@ -22,11 +22,11 @@
         self.by_id: dict[EndpointId, Endpoint] = {}
         self.ready: list[Endpoint] = []
         self.active: dict[EndpointId, Endpoint] = {}  # those of which something was heard, or that have something out
-        self.zone_trackers: defaultdict[int, SuccessRateTracker] = defaultdict(SuccessRateTracker)
-        self.cell_trackers: defaultdict[int, SuccessRateTracker] = defaultdict(SuccessRateTracker)
-        self.health_check_trackers: defaultdict[int, SuccessRateTracker] = defaultdict(SuccessRateTracker)  # by zone
+        self.zone_trackers: defaultdict[Hashable, SuccessRateTracker] = defaultdict(SuccessRateTracker)
+        self.cell_trackers: defaultdict[Hashable, SuccessRateTracker] = defaultdict(SuccessRateTracker)
+        self.health_check_trackers: defaultdict[Hashable, SuccessRateTracker] = defaultdict(SuccessRateTracker)  # by zone
         new_kind = functools.partial(MachineKind, Histogram(1.0, ALL_MACHINES_COUNT, [1.0] * 4))
-        self._machine_kinds: defaultdict[int, MachineKind] = defaultdict(new_kind)
+        self._machine_kinds: defaultdict[Hashable, MachineKind] = defaultdict(new_kind)
         self.candidates_chosen_at = -inf  # when the candidates were last chosen from this table
 
     def update(self, scope: ListScope, entries: Sequence[EndpointEntry]) -> None:
--- a/sloeferry/policy/endpoints.py
+++ b/sloeferry/policy/endpoints.py
@@ -1,6 +1,7 @@
 """What a policy knows of one endpoint."""
 
 from collections import deque
+from collections.abc import Hashable
 from math import inf
 
 from sloeferry.policy.histogram import Histogram
@@ -37,7 +38,7 @@
 
     def __init__(self, endpoint_id: EndpointId):
         self.endpoint_id = endpoint_id
-        self.zone = 0
+        self.zone: Hashable = 0
         self.cell = 0
         self.state = EndpointState.READY
         self.started_at = 0.0  # 0: long ago
--- a/sloeferry/policy/histogram.py
+++ b/sloeferry/policy/histogram.py
@@ -31,7 +31,7 @@
         """Counts one value."""
         self._quantiles.clear()
         if self.count >= self.max_count:
-            self._bins = [n / 2 for n in self._bins]
+            self._bins = [bin_count / 2 for bin_count in self._bins]
             self.count /= 2
         at = int(BINS_PER_DOUBLING * log2(max(value, SMALLEST_VALUE) / self.unit) + self._bins_below + 0.5)
         at = max(0, min(self._size - 1, at))
@@ -47,10 +47,10 @@
 
     def _find(self, rank: float) -> float:
         for at in range(self._lowest, self._size):
-            n = self._bins[at]
-            if n and rank <= n:
-                return self.unit * 2 ** ((at + rank / n - self._bins_below - 0.5) / BINS_PER_DOUBLING)
-            rank -= n
+            bin_count = self._bins[at]
+            if bin_count and rank <= bin_count:
+                return self.unit * 2 ** ((at + rank / bin_count - self._bins_below - 0.5) / BINS_PER_DOUBLING)
+            rank -= bin_count
         return self.unit * 2 ** ((self._size - self._bins_below) / BINS_PER_DOUBLING)
 
     def fraction_below(self, value: float) -> float:
@@ -73,7 +73,7 @@
         self._bins = list(bins)
         self.count = float(sum(bins))
         self._quantiles = {}
-        self._lowest = next((at for at, n in enumerate(bins) if n), self._size)
+        self._lowest = next((at for at, bin_count in enumerate(bins) if bin_count), self._size)
         return self
 
     def _are_bins(self, bins: Any) -> bool:
@@ -81,5 +81,5 @@
             isinstance(bins, list)
             and len(bins) == self._size
             and sum(bins) > 0
-            and all(type(n) in (int, float) and 0 <= n < MAX_RESTORED_COUNT for n in bins)
+            and all(type(bin_count) in (int, float) and 0 <= bin_count < MAX_RESTORED_COUNT for bin_count in bins)
         )
--- a/sloeferry/policy/interface.py
+++ b/sloeferry/policy/interface.py
@@ -51,8 +51,8 @@
     """One entry of the endpoint list."""
 
     endpoint_id: EndpointId
-    zone: int
-    machine_kind: int
+    zone: Hashable  # an index into the settings, or a name that they do not know
+    machine_kind: Hashable  # the same
     cell: int
     state: EndpointState
     started_at: float  # ms; 0: long ago
--- a/sloeferry/policy/key_affinity.py
+++ b/sloeferry/policy/key_affinity.py
@@ -60,7 +60,7 @@
         if key not in self._ranked_by_key:
             if len(self._ranked_by_key) >= MAX_REMEMBERED_KEYS:  # keys are ever new
                 self._ranked_by_key.clear()
-            by_zone: dict[int, list[Endpoint]] = {}
+            by_zone: dict[Hashable, list[Endpoint]] = {}
             for endpoint in sorted(endpoints, key=lambda each: _rank(key, each)):
                 by_zone.setdefault(endpoint.zone, []).append(endpoint)
             self._ranked_by_key[key] = tuple(by_zone.values())
--- a/sloeferry/policy/load_estimate.py
+++ b/sloeferry/policy/load_estimate.py
@@ -94,7 +94,7 @@
             # Where crossing zones is dear they are loaded apart: a full home zone must not make the others look full.
             these = [each for each in reports if each[2] == is_home or not self._are_zones_apart]
             # Not heard of and never tried, a zone with room would stay so: it counts as empty until it reports.
-            these = these or (reports if is_home or not self._is_age_unknown else ())
+            these = these or (reports if is_home or not self._is_age_unknown else [])
             mean = 0.0
             if these:
                 mean = sum(weight * load for weight, load, _ in these) / sum(each[0] for each in these)
--- a/sloeferry/policy/load_refresh_stage.py
+++ b/sloeferry/policy/load_refresh_stage.py
@@ -7,11 +7,9 @@
 from typing import NamedTuple
 
 from sloeferry.policy.admission import AdmissionController
-from sloeferry.policy.arrivals import ArrivalRate
-from sloeferry.policy.endpoint_table import EndpointTable
 from sloeferry.policy.extension_points import ExtensionPoints
-from sloeferry.policy.health_checks import HealthCheckBudget
 from sloeferry.policy.load_refresh import LoadRefresher, PendingReport
+from sloeferry.policy.models import Models
 from sloeferry.policy.request_table import RequestTable
 from sloeferry.policy.requests import Request
 from sloeferry.policy.timers import Timers
@@ -38,22 +36,18 @@
         requests: RequestTable,
         admission: AdmissionController,
         load_refresher: LoadRefresher,
-        budget: HealthCheckBudget,
-        table: EndpointTable,
-        arrivals: ArrivalRate,
+        models: Models,
         extensions: ExtensionPoints,
-        check_timeout_ms: float,
         rng: Random,
     ):
         self._timers = timers
         self._requests = requests
         self._admission = admission
         self._load_refresher = load_refresher
-        self._budget = budget
-        self._table = table
-        self._arrivals = arrivals
+        self._table = models.table
+        self._arrivals = models.arrivals
+        self._check_timeout_ms = models.check_timeout_ms
         self._extensions = extensions
-        self._check_timeout_ms = check_timeout_ms
         self._rng = rng
         self._waiting: list[_Waiting] = []
 
@@ -62,7 +56,7 @@
         if self._sheds_for_lateness(request):
             self._requests.give_up(request, request.request_class.objective_ms)
             return
-        self._budget.earn()
+        self._load_refresher.budget.earn()
         # Where requests come faster than an answer, asking only adds to the work that keeps this proxy from them.
         self._ask(request, now, 0 if self._arrivals.is_rush() else MAX_WAVES)
 
--- a/sloeferry/policy/overload_control.py
+++ b/sloeferry/policy/overload_control.py
@@ -55,7 +55,12 @@
         self._retry_allowance = 0.0
         self._excess = 0.0  # requests rejected for each that ended, in the last window
         self._allowance_updated_at = 0.0
-        self._start_window(0.0)
+        self._window_began_at = 0.0
+        self._least_lateness_ms = inf
+        self.ended_in_window = 0
+        self._rejected = 0
+        self._least_queued: float = inf  # requests that waited to be admitted
+        self._spent_ms = 0.0  # by the requests that ended, all together
 
     def update(self) -> None:
         """The policy's settings as they are now; tenants keep their indexes."""
@@ -95,8 +100,8 @@
         self._window_began_at = now
         self._least_lateness_ms = inf
         self.ended_in_window = self._rejected = 0
-        self._least_queued = inf  # requests that waited to be admitted
-        self._spent_ms = 0.0  # by the requests that ended, all together
+        self._least_queued = inf
+        self._spent_ms = 0.0
 
     def _update_limit(self) -> None:
         """Sets the limit while beats are late, relaxes it while they are not."""
--- a/sloeferry/policy/policy.py
+++ b/sloeferry/policy/policy.py
@@ -10,31 +10,22 @@
 
 from sloeferry.config.settings import Settings
 from sloeferry.policy.admission import AdmissionController
-from sloeferry.policy.arrivals import QUESTION_TICKS, ArrivalRate
 from sloeferry.policy.attempt_feedback import AttemptFeedback
-from sloeferry.policy.candidates import CandidateSet
 from sloeferry.policy.endpoint_polling import EndpointPolling
 from sloeferry.policy.endpoint_selection import EndpointSelector
 from sloeferry.policy.endpoint_staleness import BY_SETTINGS_ALONE, StalenessLimits
-from sloeferry.policy.endpoint_table import EndpointTable
 from sloeferry.policy.extension_points import ExtensionPoints
-from sloeferry.policy.fault_attribution import FaultAttribution
 from sloeferry.policy.fleet import FleetShare
-from sloeferry.policy.health_checks import HealthCheckBudget, HealthChecks
+from sloeferry.policy.health_checks import HealthChecks
 from sloeferry.policy.interface import AttemptOutcome, EndpointEntry, EndpointId, ListScope, PolicyHost
-from sloeferry.policy.key_affinity import KeyAffinity
-from sloeferry.policy.latency_model import LatencyModel
-from sloeferry.policy.load_estimate import LoadEstimator
 from sloeferry.policy.load_refresh import LoadRefresher
 from sloeferry.policy.load_refresh_stage import LoadRefreshStage
-from sloeferry.policy.load_reporting import LoadReporting
-from sloeferry.policy.outlier_detection import OutlierDetector
+from sloeferry.policy.models import Models, build_models
 from sloeferry.policy.request_classes import RequestClasses
 from sloeferry.policy.request_table import RequestTable
 from sloeferry.policy.requests import AttemptState, Request
 from sloeferry.policy.retry_policy import RetryPolicy
 from sloeferry.policy.safety_rules import SafetyRules
-from sloeferry.policy.slow_start import SlowStart
 from sloeferry.policy.timers import Timers
 
 NO_LIST = (ListScope.POLL_FAILED, ListScope.WATCH_ENDED)
@@ -58,69 +49,30 @@
         self.fleet = FleetShare(settings)
         self.extensions = ExtensionPoints()  # the host installs other subsystems' decisions here
         self.classes = RequestClasses(settings)
-        self.arrivals = ArrivalRate(settings.tick_ms, now)
         self.timers.max_stall_ms = self.classes.shortest_objective_ms
         self.tick_ms = settings.tick_ms
-        self.polling = EndpointPolling(settings, host, self.timers, self.fleet, self.rng, now, staleness_limits)
-        self._build_models(settings, host)
-        self._build_stages(settings, host)
-
-    def _build_models(self, settings: Settings, host: PolicyHost) -> None:
-        """What is known of endpoints, classes and paths."""
-        rng, timers, fleet = self.rng, self.timers, self.fleet
-        self.reporting = LoadReporting.from_settings(settings)
-        self._check_timeout_ms = QUESTION_TICKS * settings.tick_ms
-        self.affinity = KeyAffinity()
         self._has_affinity_keys = settings.has_affinity_keys
-        self.table = EndpointTable(settings)
-        self.slow_start = SlowStart(settings, fleet, self.reporting)
-        self.latency = LatencyModel(self.classes, self.arrivals, self.slow_start, self.affinity, self.extensions, self.reporting)
-        self.load = LoadEstimator(
-            settings,
-            fleet,
-            self.table,
-            self.classes,
-            self.latency,
-            self.slow_start,
-            self.arrivals,
-            self.reporting,
-            rng,
-        )
-        self.outliers = OutlierDetector(timers, self.table, self.latency, self.reporting, self._check_timeout_ms, rng)
-        self.attribution = FaultAttribution(settings, host, self.classes, self.table)
-        self.health_checks = HealthChecks(settings, host, timers, self.table, self.arrivals, self.reporting, rng)
+        self.polling = EndpointPolling(settings, host, self.timers, self.fleet, self.rng, now, staleness_limits)
         staleness = self.polling.staleness
-        self.candidates = CandidateSet(settings, fleet, self.table, staleness, self.outliers, self.attribution, self.load, rng)
-
-    def _build_stages(self, settings: Settings, host: PolicyHost) -> None:
+        models = build_models(settings, host, self.timers, self.fleet, self.classes, staleness, self.extensions, self.rng, now)
+        self.arrivals = models.arrivals
+        self.affinity = models.affinity
+        self.table = models.table
+        self.slow_start = models.slow_start
+        self.latency = models.latency
+        self.load = models.load
+        self.outliers = models.outliers
+        self.attribution = models.attribution
+        self.candidates = models.candidates
+        self._build_stages(settings, host, models)
+
+    def _build_stages(self, settings: Settings, host: PolicyHost, models: Models) -> None:
         """What a request passes, the last stage first."""
-        rng, timers, reporting, timeout_ms = self.rng, self.timers, self.reporting, self._check_timeout_ms
-        self.rules = SafetyRules(
-            settings,
-            host,
-            timers,
-            self.table,
-            self.polling.staleness,
-            self.slow_start,
-            self.load,
-            self.latency,
-        )
-        self.selector = EndpointSelector(
-            settings,
-            self.table,
-            self.candidates,
-            self.load,
-            self.latency,
-            self.affinity,
-            self.slow_start,
-            self.rules,
-            self.outliers,
-            self.classes,
-            self.arrivals,
-            reporting,
-            rng,
-        )
-        self.requests = RequestTable(settings, timers, self.rules, self.extensions)
+        rng, timers, extensions = self.rng, self.timers, self.extensions
+        self.health_checks = HealthChecks(settings, host, timers, models.table, models.arrivals, models.reporting, rng)
+        self.rules = SafetyRules(settings, host, timers, self.polling.staleness, models)
+        self.selector = EndpointSelector(settings, models, self.rules, rng)
+        self.requests = RequestTable(settings, timers, self.rules, extensions)
         self.retries = RetryPolicy(
             settings,
             host,
@@ -128,45 +80,15 @@
             self.rules,
             self.requests,
             self.selector,
-            self.latency,
-            self.attribution,
-            self.outliers,
+            models,
             self.health_checks,
-            self.extensions,
-            reporting,
-            timeout_ms,
-            rng,
-        )
-        budget = HealthCheckBudget(reporting)
-        load_refresher = LoadRefresher(self.candidates, self.load, self.health_checks, budget, timeout_ms, rng)
-        self.admission = AdmissionController(
-            timers,
-            self.requests,
-            self.retries,
-            self.selector,
-            self.load,
-            self.latency,
-            self.table,
-            self.classes,
-            self.arrivals,
-            reporting,
-            load_refresher,
-            budget,
-            timeout_ms,
-        )
-        self.load_refresh = LoadRefreshStage(
-            timers,
-            self.requests,
-            self.admission,
-            load_refresher,
-            budget,
-            self.table,
-            self.arrivals,
-            self.extensions,
-            timeout_ms,
+            extensions,
             rng,
         )
-        self.feedback = AttemptFeedback(self.table, self.latency, self.outliers, self.attribution, self.rules, reporting)
+        refresher = LoadRefresher(models, self.health_checks, rng)
+        self.admission = AdmissionController(timers, self.requests, self.retries, self.selector, models, refresher)
+        self.load_refresh = LoadRefreshStage(timers, self.requests, self.admission, refresher, models, extensions, rng)
+        self.feedback = AttemptFeedback(models, self.rules)
 
     # Settings
 
--- a/sloeferry/policy/retry_policy.py
+++ b/sloeferry/policy/retry_policy.py
@@ -1,15 +1,15 @@
 """When a request gets another attempt: after one that failed, or beside or instead of one that is silent."""
 
+from random import Random
+
 from sloeferry.config.settings import Idempotency, Settings
 from sloeferry.policy.endpoint_selection import EndpointSelector
 from sloeferry.policy.endpoints import Endpoint
 from sloeferry.policy.extension_points import ExtensionPoints
-from sloeferry.policy.fault_attribution import FaultAttribution
 from sloeferry.policy.health_checks import HealthChecks
 from sloeferry.policy.interface import AttemptOutcome, PolicyHost
-from sloeferry.policy.latency_model import LatencyModel
-from sloeferry.policy.load_reporting import LoadReporting
-from sloeferry.policy.outlier_detection import MOSTLY_CURED, OutlierDetector
+from sloeferry.policy.models import Models
+from sloeferry.policy.outlier_detection import MOSTLY_CURED
 from sloeferry.policy.request_table import RequestTable
 from sloeferry.policy.requests import Attempt, AttemptState, Request
 from sloeferry.policy.safety_rules import SafetyRules
@@ -34,27 +34,23 @@
         rules: SafetyRules,
         requests: RequestTable,
         selector: EndpointSelector,
-        latency: LatencyModel,
-        attribution: FaultAttribution,
-        outliers: OutlierDetector,
+        models: Models,
         health_checks: HealthChecks,
         extensions: ExtensionPoints,
-        reporting: LoadReporting,
-        check_timeout_ms: float,
-        rng,
+        rng: Random,
     ):
         self._host = host
         self._timers = timers
         self._rules = rules
         self._requests = requests
         self._selector = selector
-        self._latency = latency
-        self._attribution = attribution
-        self._outliers = outliers
+        self._latency = models.latency
+        self._attribution = models.attribution
+        self._outliers = models.outliers
+        self._reporting = models.reporting
+        self._check_timeout_ms = models.check_timeout_ms
         self._health_checks = health_checks
         self._extensions = extensions
-        self._reporting = reporting
-        self._check_timeout_ms = check_timeout_ms
         self._rng = rng
         self._tick_ms = settings.tick_ms
         self.update(settings)
@@ -107,7 +103,7 @@
         if not (self._rules.may_attempt(request, now, instead_of=attempt) and self._extensions.may_retry(now, request)):
             return False
         choice = self._selector.choose(request, now, [each.endpoint for each in request.attempts])
-        if choice.odds <= MIN_HEDGE_ODDS:
+        if choice.endpoint is None or choice.odds <= MIN_HEDGE_ODDS:
             return False
         if self._rules.may_hedge:
             self.send(request, choice.endpoint, now, choice.expected_ms)
@@ -128,7 +124,12 @@
             self._requests.give_up(request)
             return False
         choice = self._selector.choose(request, now, [each.endpoint for each in request.attempts])
-        if choice.odds > MIN_RETRY_ODDS and self._rules.may_attempt(request, now) and self._extensions.may_retry(now, request):
+        if (
+            choice.endpoint is not None
+            and choice.odds > MIN_RETRY_ODDS
+            and self._rules.may_attempt(request, now)
+            and self._extensions.may_retry(now, request)
+        ):
             self.send(request, choice.endpoint, now, choice.expected_ms)
             return False
         if not request.attempts_that_may_have_run():
--- a/sloeferry/policy/safety_rules.py
+++ b/sloeferry/policy/safety_rules.py
@@ -8,13 +8,10 @@
 
 from sloeferry.config.settings import DeduplicationGroup, Idempotency, Settings
 from sloeferry.policy.endpoint_staleness import ListStaleness
-from sloeferry.policy.endpoint_table import EndpointTable
 from sloeferry.policy.endpoints import Endpoint
 from sloeferry.policy.interface import EndpointState, PolicyHost
-from sloeferry.policy.latency_model import LatencyModel
-from sloeferry.policy.load_estimate import LoadEstimator
+from sloeferry.policy.models import Models
 from sloeferry.policy.requests import Attempt, AttemptState, Request
-from sloeferry.policy.slow_start import SlowStart
 from sloeferry.policy.timers import Timers
 
 # Of the latency objective: what is back by then is in time, whatever was expected.
@@ -26,24 +23,14 @@
 class SafetyRules:
     """Guards each attempt and each final answer of one policy."""
 
-    def __init__(
-        self,
-        settings: Settings,
-        host: PolicyHost,
-        timers: Timers,
-        table: EndpointTable,
-        staleness: ListStaleness,
-        slow_start: SlowStart,
-        load: LoadEstimator,
-        latency: LatencyModel,
-    ):
+    def __init__(self, settings: Settings, host: PolicyHost, timers: Timers, staleness: ListStaleness, models: Models):
         self._host = host
         self._timers = timers
-        self._table = table
         self._staleness = staleness
-        self._slow_start = slow_start
-        self._load = load
-        self._latency = latency
+        self._table = models.table
+        self._slow_start = models.slow_start
+        self._load = models.load
+        self._latency = models.latency
         self._tick_ms = settings.tick_ms
         self.update(settings)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -650,7 +650,7 @@
             sock, guest = await h.sent(h.head(size=200000) + b"x" * 100000)
             await until(lambda: guest() and guest().reader.receiving_body_since)
             there = guest()
-            h.dispatcher.cancel_attempt(there.carrier.context.request_id, 0)
+            h.dispatcher.host.cancel_attempt(there.carrier.context.request_id, 0)
             await until(lambda: not h.dispatcher.requests)
             h.say(f"its body is waited for still: {bool(there.reader.receiving_body_since)}")
             sock.close()
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -317,7 +317,7 @@
             loop, port = asyncio.get_running_loop(), await h.listen(None)
             told = build_settings({"schemes.count": 1, "limits.dial_timeout": 20.0})
             berth = InstanceConfig("n0", ("", 0), ("127.0.0.1", port), 7, 64, 1 << 27, {}, told)
-            seats, dispatcher = DescriptorBudget(9), types.SimpleNamespace(endpoint_events=None)
+            seats, dispatcher = DescriptorBudget(9), types.SimpleNamespace(endpoint_events=None, host=None)
             duty, pool = Lifecycle(), ConnectionPool(loop, told, seats, Buffers())
             discovery = DiscoveryClient(loop, dispatcher, berth, seats, Buffers(), pool, duty)
             discovery.known = {"b": ()}
--- a/tests/test_stale_paths.py
+++ b/tests/test_stale_paths.py
@@ -103,7 +103,7 @@
             report = h.dispatcher.health_check_ended
             with mock.patch.object(h.dispatcher, "health_check_ended", lambda *what: (ended.append(what), report(*what))):
                 make_stale(h)
-                h.dispatcher.send_health_check("b")
+                h.dispatcher.host.send_health_check("b")
                 await until(lambda: ended)
             h.say(f"asked {h.asked}")
 
