--- a/sloeferry/bench_adapter/protocol.py
+++ b/sloeferry/bench_adapter/protocol.py
@@ -10,7 +10,7 @@
 from sloeferry.policy.interface import AttemptOutcome, EndpointState, ListScope
 
 EVENT_BYTES = 40  # of one record in
-MAX_TIME = 2**64 - 1  # the latest time that fits a record
+MAX_TIME_US = 2**64 - 1  # the latest time that fits a record
 US_PER_MS = 1000
 
 
--- a/sloeferry/bench_adapter/replies.py
+++ b/sloeferry/bench_adapter/replies.py
@@ -66,7 +66,7 @@
 
     def schedule_wakeup(self, at: float, token: int) -> None:
         """`PolicyHost`; rounded up, so that no timer is early."""
-        at_us = min(protocol.MAX_TIME, -int(-at * US_PER_MS // 1))
+        at_us = min(protocol.MAX_TIME_US, -int(-at * US_PER_MS // 1))
         self._builder.add(self._instance, protocol.SCHEDULE_WAKEUP.pack(Command.SCHEDULE_WAKEUP, at_us, token))
 
     def poll_endpoints(self) -> None:
--- a/sloeferry/config/instance.py
+++ b/sloeferry/config/instance.py
@@ -28,7 +28,7 @@
     discovery: Address
     seed: int
     max_descriptors: int
-    memory_limit_bytes: int
+    memory_limit_bytes: int  # checked, and compared on a reload; buffers and descriptors bound the memory in use
     cached_endpoints: Mapping[str, Any]  # the endpoint list as last held, in discovery's form; empty if there is none
     settings: Settings
     admin_address: Address | None = None
@@ -49,8 +49,8 @@
     if former and (key := _first_missing_key(former.file_keys, file_keys)):
         raise ConfigError(key, "missing, the file before had it")
     for key in ("name", "listen", "discovery", "ops"):
-        choices = environ.get(f"BALANCER_{key.upper()}"), content.get(key)
-        content[key] = choices[is_reload] or choices[not is_reload] or ""
+        variable, value = environ.get(f"BALANCER_{key.upper()}"), content.get(key)
+        content[key] = (value or variable if is_reload else variable or value) or ""
     for key in ("settings", "known", "limits"):
         if not isinstance(content.setdefault(key, {}), dict):
             raise ConfigError(key, "is no object")
--- a/sloeferry/config/settings.py
+++ b/sloeferry/config/settings.py
@@ -8,7 +8,9 @@
 
 # The platform's words that a setting keeps.
 RESPONSES, HEALTH_CHECKS = "answers", "probe"  # where load reports come from
-POLLED = "subscribe"  # how discovery tells the endpoint list
+# How discovery tells the endpoint list.  POLLED: the proxy itself asks for a watch, a poll that stays open; with any other
+# word an agent of the platform pushes it.
+POLLED = "subscribe"
 
 
 class Idempotency(enum.Enum):
@@ -69,8 +71,8 @@
 
     slow_start_ms: float  # for how long an endpoint that has started warms up
     slow_start_initial_ratio: float  # of its capacity, that it has at its start
-    overload_window_ms: float  # over which the work sent to an endpoint that warms up is counted
-    overload_multiple: float  # of its capacity over that window, which pushes it over
+    warm_up_window_ms: float  # over which the work sent to an endpoint that warms up is counted
+    warm_up_overload_multiple: float  # of its capacity over that window, which pushes it over
     drain_grace_ms: float  # after being notified of a drain, in which attempts may still begin
     poll_within_ms: float  # of the last poll the next one is due, where the list is polled
     is_only_draining_binding: bool  # an endpoint that is merely gone from the list may be used until it fails
@@ -139,8 +141,8 @@
     def aligned_with(self, former: "Settings") -> "Settings":
         """These settings, each class and tenant at the index that it had in the former ones.
 
-        Who is new stands behind; who is no longer named keeps what it had, marked as removed.  Whatever counts by index
-        goes on.
+        New ones are appended; one that is no longer named keeps its former settings, marked as removed.  So whatever is
+        counted by index stays valid.
         """
         return dataclasses.replace(
             self,
--- a/sloeferry/config/settings_reader.py
+++ b/sloeferry/config/settings_reader.py
@@ -74,6 +74,8 @@
 }
 # The same for each request class; the latency objective defaults to the class's deadline.
 REQUEST_CLASS_DEFAULTS = {"dedup_window": 0.0, "expiry": 1000.0, "gain": 1.0, "group": "all", "idempotency": ""}
+# Settings of the platform that nothing here reads are checked and kept for the canonical map: `blend`, `grace_to_answer`,
+# `max_retry_after`.
 POSITIVE_KEYS = {
     "expiry",
     "sla_time",
@@ -201,8 +203,8 @@
         obligations=ObligationSettings(
             slow_start_ms=flat["obligations.cold"],
             slow_start_initial_ratio=flat["obligations.cold_from"],
-            overload_window_ms=flat["obligations.fall"],
-            overload_multiple=flat["obligations.fall_multiple"],
+            warm_up_window_ms=flat["obligations.fall"],
+            warm_up_overload_multiple=flat["obligations.fall_multiple"],
             drain_grace_ms=flat["obligations.drain_grace"],
             poll_within_ms=flat["obligations.must_ask_in"],
             is_only_draining_binding=flat["obligations.only_draining_binds"],
--- a/sloeferry/decision_log/decision_log.py
+++ b/sloeferry/decision_log/decision_log.py
@@ -35,7 +35,7 @@
         self.last_act_at = now
         self.acts += 1
 
-    def told(self, now: float) -> dict[str, Any]:
+    def as_json(self, now: float) -> dict[str, Any]:
         """What operators are told of it."""
 
         def age_ms(at: float | None) -> float | None:
@@ -59,7 +59,7 @@
     what: str
     reason: str
 
-    def told(self, now: float) -> dict[str, Any]:
+    def as_json(self, now: float) -> dict[str, Any]:
         return {"ago_ms": round(now - self.at, 1), "what": self.what, "why": self.reason}
 
 
@@ -159,11 +159,11 @@
         return {
             "program": self._program,
             "up_ms": round(now - self._began_at),
-            "settings": self.settings[-1].told(now) if self.settings else None,
-            "list": self.lists[-1].told(now) if self.lists else None,
+            "settings": self.settings[-1].as_json(now) if self.settings else None,
+            "list": self.lists[-1].as_json(now) if self.lists else None,
             "confirmed_ms": self._confirmed_at and round(now - self._confirmed_at),
             "open": len(self._settings_by_request),
-            "refused": [refusal.told(now) for refusal in self.refusals[-1:]],
+            "refused": [refusal.as_json(now) for refusal in self.refusals[-1:]],
         }
 
     def acted_within(self, now: float, span_ms: float) -> dict[str, Any]:
@@ -171,12 +171,12 @@
 
         def recent(entries: list[LogEntry]) -> list[dict[str, Any]]:
             return [
-                entry.told(now) | {"against_newest": compare_versions(entry.version, entries[-1].version).value}
+                entry.as_json(now) | {"against_newest": compare_versions(entry.version, entries[-1].version).value}
                 for entry in entries
                 if entry.open_requests or now - max(entry.heard_at, entry.last_act_at or 0.0) <= span_ms
             ]
 
-        refusals = [refusal.told(now) for refusal in self.refusals]
+        refusals = [refusal.as_json(now) for refusal in self.refusals]
         return {
             "settings": recent(self.settings),
             "lists": recent(self.lists),
--- a/sloeferry/dispatch/attempt_end.py
+++ b/sloeferry/dispatch/attempt_end.py
@@ -23,7 +23,9 @@
     CONNECTION_LOST = "connection lost"
     TIMED_OUT = "timed out"
     CANCELLED = "cancelled"
-    NOT_WANTED = "not wanted"  # refused by the send guard, or for want of a descriptor: nobody's fault
+    # Not sent by this proxy's own doing: refused by the send guard, no descriptor, no address, a dial that this machine could
+    # not make, a client that broke off its body.  Never with COMPLETELY_WRITTEN.
+    NOT_WANTED = "not wanted"
     MALFORMED = "malformed response"  # one that cannot be read or does not end, on a connection that stands
 
 
@@ -41,7 +43,8 @@
 def attempt_outcome(progress: AttemptProgress, end: AttemptEnd) -> AttemptOutcome:
     """Rule 2 by bytes: a request never written completely has not run; one written completely may have.
 
-    A connection that did not come up in time is the endpoint's fault; one not wanted any more is nobody's.
+    A connection that did not come up in time is the endpoint's fault; an attempt not sent by this proxy's own doing tells
+    nothing of it.
     """
     is_written = progress >= AttemptProgress.COMPLETELY_WRITTEN
     if end is AttemptEnd.NOT_WANTED or end is AttemptEnd.CANCELLED and not is_written:
--- a/sloeferry/dispatch/dispatcher.py
+++ b/sloeferry/dispatch/dispatcher.py
@@ -4,6 +4,7 @@
 polls have a queue each that stands for as long as the program runs.
 """
 
+import asyncio
 from collections.abc import Callable, Hashable, Sequence
 from math import inf
 from typing import Any
@@ -91,7 +92,7 @@
         context.deadline = environment.monotonic_ms() + time_left_ms
 
     def client_left(self, context: RequestContext) -> None:
-        """The client has gone."""
+        """Ends a request without a decision: its client has gone, or no decision came in time."""
         if not context.is_answered:
             self.host.finish(context, Abandon())
             self.policy.client_left(environment.monotonic_ms(), context.request_id)
@@ -124,18 +125,18 @@
         """
         if not context.is_answered and context.has_client_left and context.has_client_left():
             self.client_left(context)
-            return self.guard.allow(Refusal.CLIENT_GONE)
+            return self.guard.record_refusal(Refusal.CLIENT_GONE)
         now = environment.monotonic_ms()
         refusal = self.guard.request_refusal(now, context, attempt_number)
-        return self.guard.allow(refusal or self.guard.endpoint_refusal(now, endpoint_id))
+        return self.guard.record_refusal(refusal or self.guard.endpoint_refusal(now, endpoint_id))
 
     def may_begin_health_check(self, endpoint_id: EndpointId) -> bool:
         """Rule 3, once more before a health check's first byte: a dial takes time, and the list may have changed."""
-        return self.guard.allow(self.guard.endpoint_refusal(environment.monotonic_ms(), endpoint_id))
+        return self.guard.record_refusal(self.guard.endpoint_refusal(environment.monotonic_ms(), endpoint_id))
 
-    def attempt_written(self, context: RequestContext, attempt_number: int, endpoint_id: EndpointId) -> None:
-        """An attempt's first bytes are being handed over: a look at the rules by facts of its own."""
-        self.guard.check_written(environment.monotonic_ms(), context, attempt_number, endpoint_id)
+    def attempt_begins(self, context: RequestContext, attempt_number: int, endpoint_id: EndpointId) -> None:
+        """An attempt's first byte is about to be written: the send guard audits it by facts of its own."""
+        self.guard.audit_attempt(environment.monotonic_ms(), context, attempt_number, endpoint_id)
 
     def attempt_ended(
         self,
@@ -180,16 +181,15 @@
 
     # The loop
 
-    def loop_turned(self) -> Any:
-        """The loop turns; the task that catches up after a stall, until whose end nothing may be sent."""
-        catching_up = self.loop_monitor.turned()
+    def loop_turned(self) -> asyncio.Task[None] | None:
+        """Notes a turn of the loop; the task that catches up after a stall, until whose end nothing may be sent."""
+        catching_up = self.loop_monitor.note_turn()
         self.endpoint_events.log_staleness(self.loop_monitor.last_turn)
         return catching_up
 
-    def run_due_timers(self) -> float | None:
-        """Fires what is due; the time (ms) of the next timer, or None."""
+    def run_due_timers(self) -> None:
+        """Fires the policy's timers that are due."""
         self.host.run_due_timers(self.policy)
-        return self.host.next_timer_at
 
     def _schedule_beat(self, now: float) -> None:
         self._is_beating = True
@@ -204,6 +204,7 @@
             self._schedule_beat(now)
 
     def _note_rejection(self) -> None:
+        """Counts the policy's own rejections while the list is stale, beside attempts refused at their first byte."""
         if not self.endpoint_events.staleness.usable(environment.monotonic_ms()):
             self.guard.count_refusal(Refusal.LIST_STALE)
 
--- a/sloeferry/dispatch/endpoint_events.py
+++ b/sloeferry/dispatch/endpoint_events.py
@@ -59,7 +59,7 @@
         now = environment.monotonic_ms()
         entries = [self._entry(now, endpoint, endpoint.endpoint_id in newly_started) for endpoint in endpoints]
         self._apply_confirmed_starts()
-        if is_complete:  # who is missing from a complete list is gone
+        if is_complete:  # an endpoint missing from a complete list is gone
             listed = {entry.endpoint_id for entry in entries}
             self._start_times.keep_only(listed)
             for endpoint_id in self._policy.table.by_id.keys() - listed:
@@ -104,7 +104,11 @@
         """A watch is given up that has said nothing since then."""
         self.staleness.watch_silent(since)
 
-    def poll_is_due(self, has_watch_ended: bool) -> None:
+    def watch_still_stands(self) -> None:
+        """Answers a poll for a watch that stands: all it said has been passed on."""
+        self.listed(False, ())
+
+    def watch_is_missing(self, has_watch_ended: bool) -> None:
         """There is no watch any more: the one that stood has ended, or the poll for one brought no list."""
         scope = ListScope.WATCH_ENDED if has_watch_ended else ListScope.POLL_FAILED
         self._policy.endpoints_listed(environment.monotonic_ms(), scope, ())
--- a/sloeferry/dispatch/loop_monitor.py
+++ b/sloeferry/dispatch/loop_monitor.py
@@ -33,10 +33,10 @@
         self.update(settings)
 
     def update(self, settings: Settings) -> None:
-        """Other settings."""
+        """Takes over for how long the loop may stand still."""
         self._threshold_ms = stall_threshold_ms(settings)
 
-    def turned(self) -> asyncio.Task | None:
+    def note_turn(self) -> asyncio.Task | None:
         """The loop turns, which is said again and again; the task that catches up after a stall, while it runs."""
         now = environment.monotonic_ms()
         if self.catch_up and not self.catching_up and now - self.last_turn > self._threshold_ms:
--- a/sloeferry/dispatch/send_guard.py
+++ b/sloeferry/dispatch/send_guard.py
@@ -1,7 +1,7 @@
-"""The one guard of sending: asked right before the first byte of each attempt and health check, and checked once it is written.
+"""The one guard of sending: asked right before the first byte of each attempt and health check.
 
 Whatever a request has waited for since its endpoint was chosen (the admission queue, a body, a dial, a failed attempt), its
-attempt begins only if nothing forbids it now.  Refusals are counted by cause.  `check_written` holds each attempt against the
+attempt begins only if nothing forbids it now.  Refusals are counted by cause.  `audit_attempt` holds each attempt against the
 safety rules once more, by facts of its own: what it counts is a defect, and is logged.  Free of I/O; times are float
 milliseconds, monotonic.
 """
@@ -88,8 +88,8 @@
         request = self._policy.requests.by_id.get(context.request_id)
         return request is None or self._policy.rules.may_repeat(request, now, attempt_number)
 
-    def allow(self, refusal: Refusal | None) -> bool:
-        """Whether the attempt may begin; a refusal is counted."""
+    def record_refusal(self, refusal: Refusal | None) -> bool:
+        """Counts a refusal; True if there is none."""
         if refusal is None:
             return True
         self.count_refusal(refusal)
@@ -101,10 +101,10 @@
         if refusal is Refusal.LIST_STALE:
             self.stale_refusals[self._policy.polling.staleness.cause.value] += 1
 
-    # Once it is written
+    # Audit
 
-    def check_written(self, at: float, context: RequestContext, attempt_number: int, endpoint_id: EndpointId) -> Violation | None:
-        """An attempt's first bytes were handed over at `at`: what that broke, None if nothing."""
+    def audit_attempt(self, at: float, context: RequestContext, attempt_number: int, endpoint_id: EndpointId) -> Violation | None:
+        """What an attempt whose first byte is written at `at` breaks, None if nothing; a violation is counted and logged."""
         grace_ms = self._policy.settings.obligations.drain_grace_ms + self._slack_ms
         violation = None
         if context.is_answered:
@@ -119,13 +119,19 @@
             violation = Violation.REPEATED
         if violation:
             self.violations[violation] += 1
-            logger.error("{}: request={} attempt={} backend={}", violation.value, context.request_id, attempt_number, endpoint_id)
+            logger.error(
+                "send guard violation: cause={!r} request={} attempt={} backend={}",
+                violation.value,
+                context.request_id,
+                attempt_number,
+                endpoint_id,
+            )
         return violation
 
     def closed_unanswered(self, context: RequestContext) -> None:
         """A client's connection ends from this side, its client there, its request complete and without an answer."""
         self.violations[Violation.CLOSED_UNANSWERED] += 1
-        logger.error("{}: request={}", Violation.CLOSED_UNANSWERED.value, context.request_id)
+        logger.error("send guard violation: cause={!r} request={}", Violation.CLOSED_UNANSWERED.value, context.request_id)
 
     def figures(self) -> dict[str, Any]:
         """The counters, for operators."""
--- a/sloeferry/fault_testing/planted_faults.py
+++ b/sloeferry/fault_testing/planted_faults.py
@@ -202,7 +202,7 @@
         (
             Edit(
                 "lifecycle/reload.py",
-                '            logger.error("SIGHUP, all stays as it was: {}", error)\n',
+                '            logger.error("SIGHUP, all stays as it was: error={!r}", str(error))\n',
                 '            __import__("os")._exit(3)\n',
             ),
         ),
--- a/sloeferry/lifecycle/proxy_process.py
+++ b/sloeferry/lifecycle/proxy_process.py
@@ -56,7 +56,7 @@
         try:
             self.dispatcher.run_due_timers()
         except Exception as error:  # one decision that failed must not stop the clock of all others
-            logger.opt(exception=True).error("timer failed: {!r}", error)
+            logger.opt(exception=True).error("timer failed: error={!r}", error)
         next_timer_at = self.dispatcher.host.next_timer_at
         if next_timer_at is not None:
             self.wake_at(next_timer_at)
@@ -142,7 +142,7 @@
             self.pool.sweep(),
             self.discovery.run(),
             self.clients.sweeper.sweep(),
-            self.clients.sweeper.look_after_requests(),
+            self.clients.sweeper.look_at_loop_and_requests(),
         ]
         self._tasks = [self._loop.create_task(each) for each in work]
         if features and features.versions.tell:
@@ -167,9 +167,9 @@
     async def _shutdown(self) -> None:
         for task in self._tasks:
             if task.done():
-                logger.error("ended by itself: {!r}", task)
+                logger.error("task ended by itself: task={!r}", task)
         await self.clients.shutdown.run()
-        logger.info("send guard: {}", self.dispatcher.guard_figures())
+        logger.info("shutdown ends: send_guard={}", self.dispatcher.guard_figures())
 
     def close(self) -> None:
         """Ends what is open."""
@@ -188,7 +188,7 @@
     try:
         return Takeover(loop, config, folder)
     except OSError as error:  # no folder to share: it serves alone
-        logger.warning("TMPDIR: {}", error)
+        logger.warning("no takeover, TMPDIR cannot be used: error={!r}", error)
         return None
 
 
--- a/sloeferry/lifecycle/reload.py
+++ b/sloeferry/lifecycle/reload.py
@@ -12,7 +12,8 @@
 if TYPE_CHECKING:
     from sloeferry.decision_log.recorder import DecisionRecorder
 
-# What a process keeps from its start to its end, by the words of its configuration.
+# What a process keeps from its start to its end, by the words of its log lines.  Compared with the file read before: a value
+# that stays changed is not warned of again.
 FIXED_CONFIG: dict[str, Callable[[InstanceConfig], Any]] = {
     "name": lambda config: config.name,
     "listen": lambda config: config.listen,
@@ -21,6 +22,7 @@
     "memory": lambda config: config.memory_limit_bytes,
 }
 # Settings by which parts were built: where load reports come from and what is in them, which of how many proxies this is, where.
+# Costs, health checks, affinity keys, the tick, zones and kinds are fixed as well, without a line (docs/operations.md).
 FIXED_SETTINGS: dict[str, Callable[[Settings], Any]] = {
     "discovery": lambda settings: settings.discovery_mode,
     "load_info.via": lambda settings: settings.load_reports.source,
@@ -64,7 +66,7 @@
         except Exception as error:
             if self.recorder:
                 self.recorder.refused("settings", error)
-            logger.error("SIGHUP, all stays as it was: {}", error)
+            logger.error("SIGHUP, all stays as it was: error={!r}", str(error))
             return
         self._warn_of_fixed(config)
         self._config = replace(config, cached_endpoints={})
--- a/sloeferry/lifecycle/snapshot.py
+++ b/sloeferry/lifecycle/snapshot.py
@@ -9,11 +9,11 @@
 from math import inf, isfinite
 from typing import Any
 
-from sloeferry.policy.endpoints import ENDPOINT_COUNT, Endpoint
+from sloeferry.policy.endpoints import ENDPOINT_SAMPLES, Endpoint
 from sloeferry.policy.histogram import MANY_BINS_BELOW_UNIT, Histogram
-from sloeferry.policy.latency_model import LEVEL_COUNT, SPREAD_COUNT
+from sloeferry.policy.latency_model import LEVEL_SAMPLES, SPREAD_SAMPLES
 from sloeferry.policy.policy import Policy
-from sloeferry.policy.request_classes import LATENCY_COUNT, RequestClass
+from sloeferry.policy.request_classes import LATENCY_SAMPLES, RequestClass
 
 SAME_START_MS = 500.0  # starts so near are one start, read off two processes' clocks
 NEVER = -inf
@@ -37,7 +37,10 @@
 
 
 def take_snapshot(policy: Policy) -> dict[str, Any]:
-    """All that makes the next process decide as this one does."""
+    """What the next process starts with: latency, slowdowns, load as last reported, rates of errors and arrivals.
+
+    Success rates of kinds and paths, ejections for one class, machine kinds and affinity keys are learned anew.
+    """
     names = [each.name for each in policy.settings.request_classes]
     return {
         "schemes": {
@@ -87,7 +90,7 @@
         endpoint = policy.table.by_id.get(endpoint_id)
         if endpoint is None or abs(endpoint.started_at - _number(recorded["launched"])) > SAME_START_MS:
             continue  # gone, or started anew: nothing of it holds
-        ratios = Histogram(1.0, ENDPOINT_COUNT).restore(recorded["slow"])
+        ratios = Histogram(1.0, ENDPOINT_SAMPLES).restore(recorded["slow"])
         sends.append((endpoint, [(_number(at), _number(work)) for at, work in recorded["sent"]]))
         assignments.append((endpoint, {"latency_ratios": ratios, **_read_figures(recorded, ENDPOINT_FIGURES)}))
     for target, values in assignments:
@@ -101,7 +104,7 @@
 
 
 def _read_request_class(recorded: Mapping[str, Any]) -> dict[str, Any]:
-    latency = Histogram(_number(recorded["unit"]), LATENCY_COUNT, (), MANY_BINS_BELOW_UNIT).restore(recorded["took"])
+    latency = Histogram(_number(recorded["unit"]), LATENCY_SAMPLES, (), MANY_BINS_BELOW_UNIT).restore(recorded["took"])
     return {"idle_latency": latency, **_read_figures(recorded, REQUEST_CLASS_FIGURES)}
 
 
@@ -109,8 +112,8 @@
     if len(snapshot["curve"]) != len(policy.latency.level_ratios):
         raise ValueError("curve: another number of levels")
     return {
-        "level_ratios": [Histogram(1.0, LEVEL_COUNT).restore(bins) for bins in snapshot["curve"]],
-        "spread": Histogram(1.0, SPREAD_COUNT).restore(snapshot["spread"]),
+        "level_ratios": [Histogram(1.0, LEVEL_SAMPLES).restore(bins) for bins in snapshot["curve"]],
+        "spread": Histogram(1.0, SPREAD_SAMPLES).restore(snapshot["spread"]),
     }
 
 
--- a/sloeferry/lifecycle/state.py
+++ b/sloeferry/lifecycle/state.py
@@ -1,10 +1,11 @@
-"""What this process is to its clients and its operators: one answer for all who ask.  Free of I/O.
+"""What this process is to its clients and its operators, from one place.  Free of I/O.
 
-`/ready`, the operators' calls, SIGTERM and a takeover ask here, so that no two of them disagree.  Three facts make the state:
-whether an endpoint list is at hand, whether operators drain this process, whether SIGTERM came; and how many other processes
-serve beside this one on the same listening socket.  Times in float ms, monotonic.
+`/ready`, the operators' calls, SIGTERM and a takeover ask here, so that no two of them disagree.  Four facts make the state:
+whether the first poll of discovery has ended, with a list or without one (READY does not mean that there is a list); whether
+operators drain this process; whether SIGTERM came; how many other processes serve on the same listening socket.  Times in
+float ms, monotonic.
 
-| state | list at hand | drained by operators | SIGTERM | beside others that serve |
+| state | discovery settled | drained by operators | SIGTERM | beside others that serve |
 | --- | --- | --- | --- | --- |
 | STARTING | no | no | no | |
 | READY | yes | no | no | |
@@ -38,7 +39,7 @@
     """The facts, and what follows from them."""
 
     def __init__(self):
-        self.has_list = False
+        self.is_discovery_settled = False
         self.is_stopping = False  # SIGTERM came
         self._draining_since: float | None = None
         self.other_ready_processes = 0  # of this proxy, on the same listening socket
@@ -46,10 +47,10 @@
 
     # Events
 
-    def list_arrived(self) -> None:
-        """An endpoint list is at hand, or none is to be had."""
-        if not self.has_list:
-            self.has_list = True
+    def discovery_settled(self) -> None:
+        """The first poll has ended: an endpoint list is at hand, or none is to be had."""
+        if not self.is_discovery_settled:
+            self.is_discovery_settled = True
             self._changed()
 
     def stop(self) -> None:
@@ -66,7 +67,7 @@
         return True
 
     def resume(self) -> bool:
-        """Operators end the drain.  Whether it is ended: not after SIGTERM, which has no end but one."""
+        """Operators end the drain.  Whether it is ended: not after SIGTERM, which cannot be taken back."""
         if self.is_stopping:
             return False
         if self._draining_since is not None:
@@ -86,11 +87,11 @@
             return LifecycleState.REPLACED if self.other_ready_processes else LifecycleState.STOPPING
         if self._draining_since is not None:
             return LifecycleState.DRAINING if connections else LifecycleState.DRAINED
-        return LifecycleState.READY if self.has_list else LifecycleState.STARTING
+        return LifecycleState.READY if self.is_discovery_settled else LifecycleState.STARTING
 
     def is_ready(self) -> bool:
         """Whether this process is ready to serve: what operators are told."""
-        return self.has_list and not self.closes_connections()
+        return self.is_discovery_settled and not self.closes_connections()
 
     def answers_ready(self) -> bool:
         """What the platform is told.
--- a/sloeferry/lifecycle/takeover.py
+++ b/sloeferry/lifecycle/takeover.py
@@ -42,13 +42,13 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, config: InstanceConfig, folder: str):
         self._loop = loop
         self.store = SnapshotStore(folder, config.name, site_digest(config.settings))
-        self._budget_window_seconds = config.settings.obligations.overload_window_ms / 1000
+        self._budget_window_seconds = config.settings.obligations.warm_up_window_ms / 1000
         self._alive = 0  # other processes
         self.snapshot: Snapshot | None = None
         try:
             self.snapshot = self.store.read(environment.monotonic_ms())
         except SnapshotError as error:
-            logger.info("no snapshot of an earlier process: {}", error)
+            logger.info("no snapshot of an earlier process: reason={!r}", str(error))
 
     def join(
         self,
@@ -68,9 +68,9 @@
         if self.snapshot:
             try:
                 restore_snapshot(dispatcher.policy, self.snapshot.learned)
-                logger.info("took over what the earlier process had learned")
+                logger.info("snapshot restored")
             except Exception as error:  # it is a help, and no more
-                logger.warning("snapshot not taken over: {!r}", error)
+                logger.warning("snapshot not restored: error={!r}", error)
         self.snapshot = None
         self.look()
         if lifecycle.other_ready_processes:
@@ -82,7 +82,7 @@
             self.store.show(self._lifecycle.is_ready())
             alive, ready = self.store.neighbours()
         except OSError as error:
-            warn("takeover", "{}", error)
+            warn("takeover folder failed", "error={!r}", error)
             return
         if alive != self._alive:
             logger.info("other processes of this proxy: alive={} ready={}", alive, ready)
@@ -106,7 +106,7 @@
             await asyncio.sleep(LOOK_SECONDS)
             self.look()
             now = environment.monotonic()
-            is_serving = self._lifecycle.has_list and not self._lifecycle.is_stopping
+            is_serving = self._lifecycle.is_discovery_settled and not self._lifecycle.is_stopping
             if now - written_at >= SNAPSHOT_SECONDS and is_serving:
                 written_at = now
                 self._write_snapshot(now * 1000)
@@ -117,9 +117,9 @@
         learned = take_snapshot(self._dispatcher.policy)
         is_written = self.store.write(now, self._discovery.document(), learned)
         if not is_written and not has_failed:
-            logger.warning("snapshots can't be written: {}", self.store.last_error)
+            logger.warning("snapshot not written: error={!r}", self.store.last_error)
         elif is_written and has_failed:
-            logger.info("snapshots are written again")
+            logger.info("snapshot written again")
 
     def close(self) -> None:
         """The process ends."""
--- a/sloeferry/network/admin_server.py
+++ b/sloeferry/network/admin_server.py
@@ -117,7 +117,7 @@
                 sock, _ = self._sock.accept()
             except OSError as error:
                 if not isinstance(error, (BlockingIOError, ConnectionAbortedError)):
-                    warn("operators", "{}", error)
+                    warn("admin accept failed", "error={!r}", error)
                 return
             if not prepare_accepted(sock):
                 continue
@@ -153,7 +153,7 @@
         except (OSError, TimeoutError):
             pass  # gone, or silent for too long
         except Exception as error:  # this call ends, nothing else
-            warn("operators", "call failed: {!r}", error)
+            warn("admin call failed", "error={!r}", error)
         finally:
             stream.close()
             sock.close()
--- a/sloeferry/network/attempt.py
+++ b/sloeferry/network/attempt.py
@@ -1,5 +1,6 @@
 """One attempt of a request, from the policy's command to the report of its end."""
 
+import asyncio
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
@@ -31,7 +32,7 @@
     context: RequestContext
     head: bytes
     body: bytes | RequestBodyStream
-    attempts: dict = field(default_factory=dict)  # the task of each attempt that is out
+    attempts: dict[int, asyncio.Task] = field(default_factory=dict)  # by number, of those that are out
 
 
 class AttemptRunner:
@@ -91,7 +92,7 @@
             context.deadline,
             may_begin,
             make_request,
-            on_first_byte=lambda: self._dispatcher.attempt_written(context, number, endpoint_id),
+            on_first_byte=lambda: self._dispatcher.attempt_begins(context, number, endpoint_id),
             body=body,
             attempt_number=number,
             waits_for_rested=True,
--- a/sloeferry/network/client_shutdown.py
+++ b/sloeferry/network/client_shutdown.py
@@ -27,18 +27,18 @@
 
     def __init__(self, server: "ClientServer"):
         self._server = server
-        self.is_over = False  # who never asked has had its time
+        self.is_grace_over = False  # connections that never asked have had their time
 
     async def run(self) -> None:
         """From SIGTERM to the end of the last connection."""
         server = self._server
-        server.lifecycle.stop()  # asks who else is there
+        server.lifecycle.stop()  # its listeners run now: the takeover looks for other processes
         longest_deadline_ms = server.intake.longest_deadline_ms()
         server.intake.answer_by = environment.monotonic_ms() + longest_deadline_ms + 1000 * KILL_SECONDS
         count = len(server.connections)
-        logger.info("{}: connections={}", server.lifecycle.state(count), count)
+        logger.info("shutdown begins: state={} connections={}", server.lifecycle.state(count), count)
         if not server.lifecycle.accepts_connections():
-            server.listener.pause()  # whoever connects now is the other process's
+            server.listener.pause()  # new connections are the other process's
         self.close_idle()
         await asyncio.sleep(NEW_CONNECTION_SECONDS)
         # What the machine has accepted and nobody has fetched yet is reset with the listener: with a full budget it
@@ -51,7 +51,7 @@
             await asyncio.sleep(LOOK_SECONDS)
         server.listener.close()
         await asyncio.sleep(LAST_REQUEST_SECONDS)
-        self.is_over = True
+        self.is_grace_over = True
         while server.connections:
             self.close_idle()
             await asyncio.sleep(LOOK_SECONDS)
@@ -65,12 +65,12 @@
     def is_done_with(self, connection: ClientConnection) -> bool:
         """Drained or stopping, whether a connection may be closed that waits for a request.
 
-        One that never asked has a little time; and so have all while another process takes over: each one closed from this
+        A connection without a request so far has a little time; and so have all while another process takes over: each one closed from this
         side may cross a request.
         """
         if connection.stream.has_begun:
             return False
-        if not self.is_over and not self._may_close(connection):
+        if not self.is_grace_over and not self._may_close(connection):
             return False
         return is_quiet(connection.sock)  # else a request, or an end, is there to be read
 
--- a/sloeferry/network/connection_pool.py
+++ b/sloeferry/network/connection_pool.py
@@ -1,6 +1,7 @@
 """The connections to backends: where each backend listens, which connections rest, and new ones."""
 
 import asyncio
+import socket
 
 from sloeferry import environment
 from sloeferry.config.instance import Address, InstanceConfig
@@ -34,7 +35,7 @@
         self._update(settings)
 
     def update_config(self, config: InstanceConfig) -> None:
-        """Other settings."""
+        """Takes over timeouts, from now on."""
         self._update(config.settings)
 
     def _update(self, settings: Settings) -> None:
@@ -96,26 +97,26 @@
         # No place, no socket: this proxy's own want, no word against the backend.
         if address is None or not self.budget.take():
             return AttemptEnd.NOT_WANTED
-        sock = None
+        sock: socket.socket | AttemptEnd = AttemptEnd.NOT_WANTED
         try:
-            sock, end = await self._dial_again_and_again(address, dial_until)
+            sock = await self._dial_with_retries(endpoint_id, address, dial_until)
         finally:
-            if sock is None:
+            if isinstance(sock, AttemptEnd):
                 self.budget.give()
-        return BackendConnection(self, endpoint_id, address, sock) if sock else end
+        return sock if isinstance(sock, AttemptEnd) else BackendConnection(self, endpoint_id, address, sock)
 
-    async def _dial_again_and_again(self, address: Address, dial_until: float):
-        """(socket, or None; why there is none)."""
+    async def _dial_with_retries(self, endpoint_id: str, address: Address, dial_until: float) -> socket.socket | AttemptEnd:
+        """A connected socket, or why there is none."""
         pause_ms = FIRST_REDIAL_MS
         while True:
             try:
                 # A backend that does not come up in that time has not run the request: another one still may, in time.
                 timeout_ms = min(self.connect_timeout_ms, self.max_pause_seconds * 1000)
-                return await sockets.connect(self.loop, address, timeout_ms), AttemptEnd.CONNECTION_LOST
+                return await sockets.connect(self.loop, address, timeout_ms) or AttemptEnd.CONNECTION_LOST
             except OSError as error:
-                warn("dial", "{}", error)
+                warn("dial failed", "backend={} address={}:{} error={!r}", endpoint_id, *address, error)
                 if environment.monotonic_ms() + pause_ms > dial_until:
-                    return None, AttemptEnd.NOT_WANTED
+                    return AttemptEnd.NOT_WANTED
                 await asyncio.sleep(pause_ms / 1000)
                 pause_ms = min(2 * pause_ms, MAX_REDIAL_MS)
 
--- a/sloeferry/network/connection_sweeper.py
+++ b/sloeferry/network/connection_sweeper.py
@@ -14,14 +14,14 @@
 
 IDLE_SECONDS = 60.0  # between two requests
 CROWDED_IDLE_SECONDS = 2.0  # the same where more than an eighth of the budget is taken
-CROWDED_RATIO = 1 / 8
+CROWDED_FRACTION = 1 / 8
 READ_SECONDS = 3.0  # for a head, the first from connecting
 MIN_BODY_BYTES_PER_SECOND = 32768  # that a body brings, over all of its time
 WRITE_SECONDS = 5.0  # for a slice of a response to go
 SWEEPS_PER_READ = 10
 # More idle connections than a quarter of the budget are closed after so many seconds.
 SPARE_IDLE_SECONDS = 0.2
-SPARE_IDLE_RATIO = 4
+MAX_IDLE_FRACTION = 1 / 4
 # Past a request's deadline, when its reply waits for no decision.
 OVERDUE_MS = 30.0
 
@@ -37,7 +37,7 @@
         while True:
             await asyncio.sleep(READ_SECONDS / SWEEPS_PER_READ)
             server = self._server
-            is_crowded = len(server.connections) > server.budget.limit * CROWDED_RATIO
+            is_crowded = len(server.connections) > server.budget.limit * CROWDED_FRACTION
             idle_seconds = CROWDED_IDLE_SECONDS if is_crowded else IDLE_SECONDS
             for connection in list(server.connections):
                 self._sweep_one(connection, idle_seconds)
@@ -64,22 +64,23 @@
                     connection.close()
 
     def _close_spare_idle(self) -> None:
-        """Some ask once and stay for good; those who let clients connect allow them only so many."""
+        """Closes idle connections beyond a quarter of the budget: some clients ask once and keep the connection."""
         budget = self._server.budget
         idle = list(budget.idle.items())
-        for connection, (since, close) in idle[: max(0, len(idle) - budget.limit // SPARE_IDLE_RATIO)]:
+        for connection, (since, close) in idle[: max(0, len(idle) - int(budget.limit * MAX_IDLE_FRACTION))]:
             if environment.monotonic() - since > SPARE_IDLE_SECONDS and is_quiet(connection.sock):
                 close()
 
-    async def look_after_requests(self) -> None:
-        """Tells the dispatcher of clients that have left.
+    async def look_at_loop_and_requests(self) -> None:
+        """Every 10 ms: notes the loop's turn for the three stall detectors, and looks at each request that is open.
 
-        Should the decisions fail, which answer before the deadline, a request is ended here all the same.
+        The dispatcher is told of clients that have left.  Should the policy fail to answer a request before its deadline, the
+        request is ended here all the same.
         """
         while True:
             await asyncio.sleep(stall_accounting.LOOP_TICK_SECONDS)
             self._server.dispatcher.loop_turned()
-            self._server.stalls.loop_turned()
+            self._server.stalls.note_turn()
             now = environment.monotonic_ms()
             for connection in list(self._server.connections):
                 self._look_after(connection, now)
@@ -90,7 +91,7 @@
         if not context or context.is_answered or now <= context.arrived_at + 1000 * stall_accounting.LOOP_TICK_SECONDS:
             return
         if now > context.deadline + OVERDUE_MS:
-            warn("request", "no answer decided in time: request={}", context.request_id)
+            warn("request overdue", "no answer decided in time: request={}", context.request_id)
             self._server.dispatcher.client_left(context)
         elif connection.has_client_left():
             self._server.dispatcher.client_left(context)
--- a/sloeferry/network/descriptor_budget.py
+++ b/sloeferry/network/descriptor_budget.py
@@ -21,7 +21,7 @@
     """One place for each connection.
 
     A full budget closes connections by what each has shown: first those idle longest that have had an answer, and may ask
-    anew elsewhere; then those that have said nothing yet, whose first request may be on its way; then those half way
+    anew elsewhere; then those that have sent nothing yet, whose first request may be on its way; then those half way
     through a message of which nothing more has come for longest.
     """
 
--- a/sloeferry/network/discovery_client.py
+++ b/sloeferry/network/discovery_client.py
@@ -85,7 +85,7 @@
         self.take_in(cached, is_cached=True)
         is_any_ready = any(each.state is EndpointState.READY for each in self.known.values())
         if is_any_ready and not is_another_serving:
-            self._lifecycle.list_arrived()
+            self._lifecycle.discovery_settled()
 
     def update_config(self, config: InstanceConfig) -> None:
         """The settings, at the start and as they are from now on.
@@ -108,14 +108,14 @@
 
         Then one whenever the policy polls; where the list is pushed, always.
         """
-        if self._is_pushed or not self._lifecycle.has_list:
+        if self._is_pushed or not self._lifecycle.is_discovery_settled:
             self._start_watch()
         while True:
             await self._host.poll_commands.next()
             if not self._watch_task or self._watch_task.done():
                 self._start_watch()
             elif self.is_watching:  # it stands already, and all it said has been passed on
-                self.events.listed(False, ())
+                self.events.watch_still_stands()
 
     def _start_watch(self) -> None:
         self._watch_task = self.loop.create_task(self._watch())
@@ -139,9 +139,9 @@
             return  # its successor is on its way, and will say how that went
         self.is_watching = False
         self.list_is_late()
-        self._lifecycle.list_arrived()
+        self._lifecycle.discovery_settled()
         has_watch_ended = watch.phase is PollPhase.WATCHING and watch.silent_since is None
-        self.events.poll_is_due(has_watch_ended)
+        self.events.watch_is_missing(has_watch_ended)
         if self._is_pushed:  # the newest: a former one may stand on, and tells nothing of the new place
             self.loop.call_later(self.redial_pause_ms / 1000, self._host.poll_endpoints)
 
@@ -169,7 +169,7 @@
         if self._held:
             self.take_in(self._held, is_cached=True)
         if self.known:
-            self._lifecycle.list_arrived()
+            self._lifecycle.discovery_settled()
 
     def move(self, address: Address) -> None:
         """Discovery is somewhere else: the whole list is asked for there, since its revisions are its own."""
@@ -261,7 +261,7 @@
         if self._former_watch:
             self._former_watch.cancel()
         self._former_watch, self.is_watching = None, True
-        self._lifecycle.list_arrived()
+        self._lifecycle.discovery_settled()
 
 
 def _log_list(poll: int, revision: int, is_complete: bool, endpoints: Mapping[str, ListedEndpoint]) -> None:
--- a/sloeferry/network/discovery_watch.py
+++ b/sloeferry/network/discovery_watch.py
@@ -33,7 +33,7 @@
 class PollPhase(enum.IntEnum):
     """How far a poll came."""
 
-    NO_DESCRIPTOR = 0  # this machine had no socket for it
+    NOT_DIALED = 0  # this machine could not dial: no descriptor, or another local error
     DIALED = 1
     CONNECTED = 2
     ANSWERED = 3  # a response with status 200 has begun
@@ -47,7 +47,7 @@
         self._client = client
         self._loop = client.loop
         self.number = number  # in the log
-        self.phase = PollPhase.NO_DESCRIPTOR
+        self.phase = PollPhase.NOT_DIALED
         self.began_at = environment.monotonic_ms()
         self.tried_at = self.began_at  # when its last dial began, or its request was written
         self.silent_since: float | None = None  # when it was last heard, if it was given up as silent
@@ -58,7 +58,7 @@
 
     def poll_end(self, now: float, patience_ms: float) -> PollEnd:
         """How it failed, if it brought no list; `patience_ms` is for how long a poll may take."""
-        if self.phase is PollPhase.NO_DESCRIPTOR:
+        if self.phase is PollPhase.NOT_DIALED:
             return PollEnd.NOT_MADE
         if self.phase is PollPhase.DIALED:
             return PollEnd.UNREACHABLE
@@ -113,8 +113,8 @@
         try:
             sock = await sockets.connect(self._loop, self._client.address, self._client.connect_timeout_ms)
         except OSError as error:
-            warn("dial", "discovery: {}", error)
-            self.phase = PollPhase.NO_DESCRIPTOR
+            warn("dial failed", "discovery={}:{} error={!r}", *self._client.address, error)
+            self.phase = PollPhase.NOT_DIALED
             return None
         self.phase = PollPhase.DIALED
         return sock
--- a/sloeferry/network/exchange.py
+++ b/sloeferry/network/exchange.py
@@ -24,7 +24,7 @@
 
 
 class ExchangeEnd(NamedTuple):
-    """How far an exchange came, why it ended there, and the response if one came."""
+    """How far an exchange came, and why it ended there; where a response came, its reader says how that counts."""
 
     progress: AttemptProgress
     end: AttemptEnd
@@ -74,10 +74,10 @@
         except OSError:
             pass
         except asyncio.CancelledError:
-            self._task.uncancel()  # it goes on: whoever it is a part of was not meant
+            self._task.uncancel()  # the cancellation ends this exchange only; the task goes on
             self._end = self._cancelled_end()
         except Exception as error:  # whatever it was, it has ended, and may have run
-            warn("exchange", "failed: {!r}", error)
+            warn("exchange failed", "backend={} error={!r}", plan.endpoint_id, error)
             self._progress = AttemptProgress.COMPLETELY_WRITTEN
         self._timer.cancel()
         self._release_connection()
--- a/sloeferry/network/health_checker.py
+++ b/sloeferry/network/health_checker.py
@@ -38,7 +38,8 @@
             self._tasks.spawn(self._check(command.endpoint_id))
 
     async def _check(self, endpoint_id: str) -> None:
-        # It waits for no connection to have rested: it would pass for unanswered, and does no harm with another's response.
+        # It does not wait for a rested connection: the wait could exceed the policy's own patience (`check_timeout_ms`), and a
+        # second response to an earlier request does no harm here.  The connect timeout bounds the whole check.
         began_at = environment.monotonic_ms()
         plan = ExchangePlan(
             endpoint_id,
--- a/sloeferry/network/http1/framing.py
+++ b/sloeferry/network/http1/framing.py
@@ -101,7 +101,7 @@
     def _check_length(self, message: Message) -> None:
         headers = message.single_headers
         if b"transfer-encoding" in headers:
-            # Another coding, or one twice, or chunks to one who cannot know of them: where it ends is anybody's guess.
+            # Another coding, or one twice, or chunks to one who cannot know of them: where it ends cannot be known.
             coding = (headers[b"transfer-encoding"] or b"").lower()
             if coding != b"chunked" or message.is_http10:
                 self._fail(StreamEnd.MALFORMED)
--- a/sloeferry/network/http1/stream.py
+++ b/sloeferry/network/http1/stream.py
@@ -1,4 +1,7 @@
-"""Messages that come in on a socket.  Nothing is read that nobody asked for: who does not take holds the sender back."""
+"""Messages that come in on a socket.
+
+Nothing is read before it is asked for, so that a reader that does not take holds the sender back (backpressure).
+"""
 
 import asyncio
 import socket
--- a/sloeferry/network/limited_log.py
+++ b/sloeferry/network/limited_log.py
@@ -13,11 +13,14 @@
 
 
 def warn(kind: str, text: str, *values: Any) -> None:
-    """Logs a warning of that kind; how many were left out is said with the first of the next span."""
+    """Logs a warning of that kind.
+
+    How many were suppressed is logged with the first warning of the kind after the span; if none follows, never.
+    """
     now = environment.monotonic()
     if now - _span_began.get(kind, -SPAN_SECONDS) >= SPAN_SECONDS:
         if _count.get(kind, 0) > LINES_PER_SPAN:
-            logger.warning("{}: {} more in the last minute", kind, _count[kind] - LINES_PER_SPAN)
+            logger.warning("{}: suppressed={} span_s={:.0f}", kind, _count[kind] - LINES_PER_SPAN, now - _span_began[kind])
         _span_began[kind], _count[kind] = now, 0
     _count[kind] += 1
     if _count[kind] <= LINES_PER_SPAN:
--- a/sloeferry/network/listener.py
+++ b/sloeferry/network/listener.py
@@ -45,7 +45,7 @@
     def open(self) -> None:
         """Takes in whoever connects, where that is this process's to do."""
         is_open = self.sock and self.sock.fileno() >= 0
-        if not is_open or self._is_listening or self._server.shutdown.is_over:
+        if not is_open or self._is_listening or self._server.shutdown.is_grace_over:
             return
         if self._server.lifecycle.accepts_connections():
             self._is_listening = True
@@ -100,7 +100,7 @@
             self.crowded_since, self.waited_in_stall = None, 0
             return True
         if not isinstance(error, ConnectionAbortedError):
-            warn("accept", "{}", error)
+            warn("accept failed", "error={!r}", error)
             self._pause_for_a_while()
         return False
 
--- a/sloeferry/network/reply_writer.py
+++ b/sloeferry/network/reply_writer.py
@@ -4,7 +4,7 @@
 import socket
 from typing import TYPE_CHECKING
 
-from sloeferry.network import client_replies
+from sloeferry.network import client_replies, protocol
 from sloeferry.network.body_stream import BodyInterruptedError, ResponseBodyStream
 from sloeferry.network.client_replies import Reply
 from sloeferry.network.http1 import writer
@@ -17,7 +17,7 @@
 
 # A refused sender has so long, and so many reads, to read why.
 LINGER_SECONDS, LINGER_READS = 0.5, 16
-LINGERING_RATIO = 8  # one in so many places of the budget may be held by those that linger
+MAX_LINGERING_FRACTION = 1 / 8  # of the budget's places, that may be held by those that linger
 
 
 class ReplyWriter:
@@ -56,7 +56,7 @@
             await body.forward(self._connection.send, message.is_http10)
             return keep_alive
         except BodyInterruptedError as error:
-            warn("response", "broke off on its way: {}", error)
+            warn("response broke off", "request={!r} reason={!r}", message.header(protocol.REQUEST_ID), str(error))
             if not framing:
                 reset_on_close(self._connection.sock)
             return False
@@ -78,8 +78,8 @@
             stream = self._connection.stream
             message, fault = stream.message, stream.fault
             warn(
-                "refused",
-                "{} {}: {!r} {!r} {!r}",
+                "request refused",
+                "status={} fault={!r} method={!r} url={!r} headers={!r}",
                 status,
                 fault.value if fault else "",
                 message.method,
@@ -97,7 +97,7 @@
         of all others.
         """
         server, sock = self._server, self._connection.sock
-        if self._has_lingered or server.lingering >= server.budget.limit // LINGERING_RATIO:
+        if self._has_lingered or server.lingering >= int(server.budget.limit * MAX_LINGERING_FRACTION):
             return
         self._has_lingered = True
         server.lingering += 1
--- a/sloeferry/network/request_carrier.py
+++ b/sloeferry/network/request_carrier.py
@@ -1,4 +1,14 @@
-"""Carries one request of a client from its acceptance to its reply: the policy's commands, one after the other."""
+"""Carries one request of a client from its acceptance to its reply: the policy's commands, one after the other.
+
+Most requests need no task but their connection's own:
+
+1. The connection's task takes the request on and runs its only attempt itself, inline; `RequestContext.on_command` is set to
+   `ClientConnection.hand_over`.
+2. A command that comes meanwhile (a hedge, a rejection) calls it, once: a new task takes the request and the connection over,
+   and the former task is kept until its attempt has ended.
+3. When the inline attempt ends, a cleared `on_command` tells `AttemptRunner.run` that this has happened; it reports the end,
+   and the former task returns without a reply (`None` up to `ClientConnection.serve`).
+"""
 
 import asyncio
 import functools
@@ -22,11 +32,7 @@
 
 
 class RequestCarrier:
-    """The request that a client's connection has taken on, if it has one.
-
-    Most requests need no task but their connection's: it runs the one attempt itself.  A command that comes meanwhile calls
-    another task (`RequestContext.on_command`), which takes the request and the connection over.
-    """
+    """The request that a client's connection has taken on, if it has one."""
 
     def __init__(self, connection: "ClientConnection"):
         self._connection = connection
@@ -96,7 +102,7 @@
                 return client_replies.served(command.response)
             elif isinstance(command, Reject):
                 return client_replies.rejected(command.retry_after_ms)
-            else:
+            else:  # Fail, or Abandon with the client still there
                 return client_replies.FAILED
 
     async def _start_attempt(self, request: OutgoingRequest, message: Message, command: SendAttempt) -> bool:
@@ -117,7 +123,7 @@
 
     def _failed(self, error: Exception) -> Reply:
         # In a few words: a stall brings many at once, and their stacks would make it longer.
-        warn("request", "failed: {!r}", error)
+        warn("request failed", "id={!r} error={!r}", self._request_id, error)
         self.drop()
         return client_replies.FAILED
 
@@ -136,4 +142,4 @@
                     if response.body_stream:
                         response.body_stream.close()
             except Exception as error:  # a decision that failed must not keep a connection from its end
-                warn("request", "dropped: {!r}", error)
+                warn("request dropped", "request={} error={!r}", context.request_id, error)
--- a/sloeferry/network/request_intake.py
+++ b/sloeferry/network/request_intake.py
@@ -47,7 +47,8 @@
     def __init__(self, dispatcher: Dispatcher, lifecycle: Lifecycle, settings: Settings):
         self._dispatcher = dispatcher
         self._lifecycle = lifecycle
-        self._was_admitted_unparsed = False  # asked and let in: not asked again once it is parsed
+        # Admitted before it was parsed, and so not asked for again: set and used within one receive, without an await between.
+        self._was_admitted_unparsed = False
         self.answer_by = float("inf")  # ms; whatever is taken on has its answer by then
         self.update(settings)
 
@@ -61,11 +62,6 @@
         self._deadline_ms = {at: classes[at].deadline_ms for at in self._classes.values()}
         self._tells_retry_after = settings.limits.tells_retry_after
 
-    @property
-    def class_count(self) -> int:
-        """How many spellings of classes are known."""
-        return len(self._classes)
-
     def longest_deadline_ms(self) -> float:
         """Of all request classes."""
         return max(self._deadline_ms.values())
@@ -82,7 +78,10 @@
     # Heads
 
     def is_wanted(self, message: Message) -> bool:
-        """Whether a head is that of a request which can be taken on, or of one to /ready; its target is noted on it."""
+        """Whether a head is that of a request which can be taken on, or of one to /ready.
+
+        Notes on the message what it is (`target`) and, while requests are shed, whether it is rejected.
+        """
         was_admitted, self._was_admitted_unparsed = self._was_admitted_unparsed, False
         if message.method not in METHODS:
             return False
--- a/sloeferry/network/request_reader.py
+++ b/sloeferry/network/request_reader.py
@@ -108,7 +108,7 @@
 
     def take_unread_ms(self, message: Message) -> float:
         """For how long the request lay unread: while this program stood still, or outside with others."""
-        unread_ms, self.unread_ms = max(self.unread_ms, self._server.stalls.loop_turned()), 0.0
+        unread_ms, self.unread_ms = max(self.unread_ms, self._server.stalls.note_turn()), 0.0
         if self.queued_since is not None:
             # Not known to the ms: half of its time at the most, or a long crowded listener would reject all.
             most_ms = message.target.time_left_ms / 2 if message.target else 0.0
--- a/sloeferry/network/sockets.py
+++ b/sloeferry/network/sockets.py
@@ -62,7 +62,7 @@
 
 
 async def connect(loop: asyncio.AbstractEventLoop, address: Address, timeout_ms: float) -> socket.socket | None:
-    """A connected socket, or None if it did not come up in time.
+    """A connected socket, or None if it was refused or did not come up in time.
 
     Raises OSError if this machine has none to give, or cannot reach anybody now.
     """
--- a/sloeferry/network/stall_accounting.py
+++ b/sloeferry/network/stall_accounting.py
@@ -1,8 +1,8 @@
 """For how long what clients sent lay unread while this program stood still.
 
 Guards against requests that are sent to a backend past their deadline: taken for new, what lies unread would be.  It shows as
-`sent past its deadline`, or as responses that come late after a stall.  A stall is seen by whoever comes first when the
-machine goes on, a timer or a connection that has read a request.
+`sent past its deadline`, or as responses that come late after a stall.  A stall is noticed by the first to run after it, a
+timer or a connection that has read a request.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
         self._last_turn = environment.monotonic_ms()
         self._just_stalled_ms = 0.0
 
-    def loop_turned(self) -> float:
+    def note_turn(self) -> float:
         """The loop turns; for how long it just stood still, if it did (ms)."""
         now = environment.monotonic_ms()
         late_ms, self._last_turn = now - self._last_turn - 1000 * LOOP_TICK_SECONDS, now
--- a/sloeferry/network/task_set.py
+++ b/sloeferry/network/task_set.py
@@ -1,4 +1,4 @@
-"""Tasks that nobody awaits."""
+"""Tasks that nothing awaits."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -8,7 +8,10 @@
 
 
 class TaskSet:
-    """Keeps tasks from being collected until they have ended, and logs those that failed."""
+    """Keeps tasks from being collected until they have ended, and logs those that failed.
+
+    Attempts, health checks, connection tasks that were handed over, the end of a stall.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop):
         self._loop = loop
@@ -27,4 +30,6 @@
     def _ended(self, task: asyncio.Task) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception():
-            logger.opt(exception=task.exception()).error("attempt or health check failed: {!r}", task.exception())
+            logger.opt(exception=task.exception()).error(
+                "background task failed: task={!r} error={!r}", task.get_coro(), task.exception()
+            )
--- a/sloeferry/policy/__init__.py
+++ b/sloeferry/policy/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions of a proxy, and their host on sockets: what is chosen, when, and why.  Knows no network and no kit."""
+"""All decisions of a proxy, free of I/O.  Its hosts: `dispatch/command_host.py` and `bench_adapter/replies.py`."""
--- a/sloeferry/policy/admission.py
+++ b/sloeferry/policy/admission.py
@@ -18,7 +18,7 @@
 HOLD_RATIO, MAX_RELATIVE_WEIGHT = 1 / 4, 2.0
 MAX_MISSES = 3  # after so many held requests without a good endpoint the next event looks further
 MAX_SEARCHES_WHEN_LATE = 9
-TICKS_PER_OBJECTIVE = 20
+REVIEWS_PER_OBJECTIVE_HELD = 20
 AT_FAULT_PAUSE_OBJECTIVES = 4  # latency objectives until the next attempt of a kind that is at fault
 
 
@@ -48,7 +48,7 @@
         self._brings_news_by_asking = bool(reporting.health_checks_per_request) or reporting.comes_with_health_checks
         self._max_lateness_ms = models.check_timeout_ms / 2
         self.held: list[Request] = []
-        self._is_ticking = False
+        self._is_review_scheduled = False
 
     def admit(self, request: Request, now: float) -> None:
         """Takes a request in."""
@@ -73,9 +73,9 @@
                 kept.append(request)
         self._give_up_those_without_place(kept)
         self.held = kept
-        if kept and not self._is_ticking:
-            self._is_ticking = True
-            next_tick = now + kept[0].request_class.objective_ms / TICKS_PER_OBJECTIVE
+        if kept and not self._is_review_scheduled:
+            self._is_review_scheduled = True
+            next_tick = now + kept[0].request_class.objective_ms / REVIEWS_PER_OBJECTIVE_HELD
             self._timers.schedule(next_tick, self._tick)
 
     def _is_host_late(self) -> bool:
@@ -101,7 +101,7 @@
         good_odds = GOOD_ODDS_RATIO * spread.fraction_below(request.request_class.objective_ms / idle_ms)
         if endpoint is not None:
             has_good_odds = odds >= good_odds and odds > MIN_ODDS
-            if has_good_odds or self._is_blind(endpoint, now) and self._load.needs_news(self._selector.candidates.all):
+            if has_good_odds or self._is_blind(endpoint, now) and self._load.may_send_uninformed(self._selector.candidates.all):
                 self._retries.send(request, endpoint, now, expected_ms)
                 return True
         if may_search and has_waited or spread.fraction_below((request.objective_at - now) / idle_ms) < good_odds:
@@ -125,7 +125,7 @@
             self._requests.give_up(kept.pop())
 
     def _tick(self, now: float) -> None:
-        self._is_ticking = False
+        self._is_review_scheduled = False
         if self.held and self._timers.lateness_ms < self._max_lateness_ms:  # else this proxy has no time to ask
             self._load_refresher.refresh(now)
         self.review(now)
--- a/sloeferry/policy/arrivals.py
+++ b/sloeferry/policy/arrivals.py
@@ -16,7 +16,7 @@
         self.last_arrival = now
 
     def note(self, now: float) -> None:
-        """A request has come."""
+        """Updates the gap with a request that came now."""
         self.mean_gap_ms += (min(now - self.last_arrival, MAX_GAP_MS) - self.mean_gap_ms) / GAP_SMOOTHING
         self.last_arrival = now
 
--- a/sloeferry/policy/attempt_feedback.py
+++ b/sloeferry/policy/attempt_feedback.py
@@ -74,18 +74,18 @@
             endpoint.eject_for(request_class, now, REPORT_MAX_AGE_MS)  # it serves the other classes
         elif is_slow and not (self._rules.may_hedge and attempt.is_overtaken()):
             self._latency.learn(request, attempt, took_ms * GIVEN_UP_FACTOR, now, self._table.ready, outcome)
-        if self._reporting.is_age_unknown:  # given up here, it goes on there, and no report says so in time
-            endpoint.abandoned_until.append(now + took_ms)
+        if self._reporting.is_report_age_unknown:  # given up here, it goes on there, and no report says so in time
+            endpoint.counted_until.append(now + took_ms)
         is_timed_out = outcome is AttemptOutcome.TIMED_OUT
         is_very_late = is_timed_out and took_ms > VERY_LATE_FACTOR * attempt.expected_ms
-        is_outlier = self._reporting.is_age_unknown and is_very_late or self._outliers.is_silent(endpoint, now)
+        is_outlier = self._reporting.is_report_age_unknown and is_very_late or self._outliers.is_silent(endpoint, now)
         if is_outlier and not (request.is_at_fault() or endpoint.is_ejected_for(request_class, now)):
             self._outliers.record_failure(endpoint, now)
 
     def _failed(self, request: Request, attempt: Attempt, now: float, outcome: AttemptOutcome) -> None:
         """It was rejected, or its connection failed."""
         endpoint = attempt.endpoint
-        self._outliers.keep_counting(request, endpoint, now)
+        self._outliers.count_for_longer(request, endpoint, now)
         # An endpoint with open connections that takes no further one is full, but serves.
         if outcome is not AttemptOutcome.UNREACHABLE or endpoint.open_connections <= 0:
             self._outliers.record_failure(endpoint, now)
--- a/sloeferry/policy/endpoint_polling.py
+++ b/sloeferry/policy/endpoint_polling.py
@@ -40,15 +40,15 @@
         self._failures = 0
         self._poll_number = 0
         self._watch_told_at: float | None = None  # when the watch that stands told its list
-        self.is_polling = settings.is_endpoint_list_polled
+        self.is_list_polled = settings.is_endpoint_list_polled
         self._poll_within_ms = settings.obligations.poll_within_ms
-        self.staleness = ListStaleness(now, self._poll_within_ms, self.is_polling, limits)
-        if self.is_polling:
+        self.staleness = ListStaleness(now, self._poll_within_ms, self.is_list_polled, limits)
+        if self.is_list_polled:
             turn = (fleet.instance_index + rng.random()) / fleet.instance_count
             timers.schedule(now + turn * self._poll_within_ms / 4, self._poll)
 
     def update(self, settings: Settings) -> None:
-        """Other settings."""
+        """Takes over within which time a poll has to follow the last one."""
         self._poll_within_ms = self.staleness.poll_within_ms = settings.obligations.poll_within_ms
 
     def _poll(self, now: float, number: int | None = None) -> None:
@@ -60,7 +60,7 @@
         self._host.poll_endpoints()
         self._timers.schedule(now + self._poll_within_ms / 2, self._poll, self._poll_number)
 
-    def answered(self, now: float, scope: ListScope) -> None:
+    def poll_or_watch_ended(self, now: float, scope: ListScope) -> None:
         """A poll was answered or failed, or a watch ended.
 
         Any list answers the poll, or shows that the watch stands; after a failure another poll follows.
--- a/sloeferry/policy/endpoint_selection.py
+++ b/sloeferry/policy/endpoint_selection.py
@@ -67,7 +67,7 @@
         self.can_ask = bool(models.reporting.health_checks_per_request)
         self._classes = models.classes
         self._arrivals = models.arrivals
-        self._is_load_age_unknown = models.reporting.is_age_unknown
+        self._is_report_age_unknown = models.reporting.is_report_age_unknown
         self._cross_zone_cost = settings.costs.cross_zone
 
     def choose(self, request: Request, now: float, excluded: Collection[Endpoint] = ()) -> Choice:
@@ -77,7 +77,7 @@
         best, best_value, lowest_rank = None, 0.0, inf
         for endpoints in search.groups():
             # Where not even certainty elsewhere would pay for crossing zones, the others need no look.
-            if best and not self._is_load_age_unknown and (1 - best_value) * request.weight <= self._crossing_cost():
+            if best and not self._is_report_age_unknown and (1 - best_value) * request.weight <= self._crossing_cost():
                 break
             leader = search.leader(endpoints)
             if leader is None:
@@ -99,12 +99,12 @@
 
         Where no endpoint can be asked, the queue that is spared counts for it, too: others wait in it.
         """
-        spared = QUEUE_PLACE_COST * places_spared if self._is_load_age_unknown and places_spared < inf else 0.0
+        spared = QUEUE_PLACE_COST * places_spared if self._is_report_age_unknown and places_spared < inf else 0.0
         return (self._cross_zone_cost - spared) * self._classes.mean_weight
 
-    def is_flying_blind(self) -> bool:
+    def is_uninformed_in_rush(self) -> bool:
         """Whether requests come too fast to ask, and too little is out to learn from."""
-        return self._arrivals.is_rush() and self.load.needs_news(self.candidates.all)
+        return self._arrivals.is_rush() and self.load.may_send_uninformed(self.candidates.all)
 
 
 class _Search:
@@ -119,7 +119,7 @@
         "_crowded_ms",
         "_is_retry",
         "_is_long",
-        "_keepers",
+        "_affine_endpoints",
         "_connect_odds",
         "_passes_over_crowded",
     )
@@ -135,7 +135,7 @@
         self._is_retry = bool(request.attempts)
         idle_ms = self._work_ms * selector.latency.stretch[0]
         self._is_long = request_class.mean_cost_hint and idle_ms > LONG_WORK_RATIO * request_class.objective_ms
-        self._keepers = selector.affinity.keepers(request.affinity_key, selector.table.ready)
+        self._affine_endpoints = selector.affinity.affine_endpoints(request.affinity_key, selector.table.ready)
         unreachable = selector.outliers.unreachable_rate
         self._connect_odds = max(MIN_CONNECT_ODDS, 1 - unreachable) if unreachable > NOTABLE_UNREACHABLE_RATE else 1.0
         self._passes_over_crowded: bool | None = None  # not decided yet
@@ -143,9 +143,11 @@
     def groups(self) -> tuple[Sequence[Endpoint], Sequence[Endpoint]]:
         """The endpoints to choose from, at home and elsewhere: candidates, and those that stand for the request's key."""
         candidates = self._selector.candidates
-        if not self._keepers or not candidates.all:
+        if not self._affine_endpoints or not candidates.all:
             return candidates.home, candidates.elsewhere
-        added = [each for each in self._keepers if each.endpoint_id not in candidates.ejected and each not in candidates.all]
+        added = [
+            each for each in self._affine_endpoints if each.endpoint_id not in candidates.ejected and each not in candidates.all
+        ]
         home_zone = self._selector.candidates.home_zone
         return (
             candidates.home + [each for each in added if each.zone == home_zone],
@@ -154,7 +156,7 @@
 
     def leader(self, endpoints: Sequence[Endpoint]) -> _Leader | None:
         """The endpoint with the lowest rank, ties at random; None where none may get the attempt."""
-        selector, now, work_ms, keepers = self._selector, self._now, self._work_ms, self._keepers
+        selector, now, work_ms, affine_endpoints = self._selector, self._now, self._work_ms, self._affine_endpoints
         estimate_of, slowdown_of, rank_of = selector.load.estimate, selector.latency.slowdown, selector.load.rank
         stretch, may_start = selector.latency.stretch, selector.slow_start.may_send
         warm_since = now - selector.slow_start.duration_ms
@@ -163,7 +165,7 @@
             if (endpoint.class_ejections or self._is_retry) and not self._may_get_it(endpoint):
                 continue
             estimate, slowdown = estimate_of(endpoint, now), slowdown_of(endpoint, now)
-            key_ratio = selector.affinity.keeper_ratio if endpoint in keepers else 1.0
+            key_ratio = selector.affinity.affine_ratio if endpoint in affine_endpoints else 1.0
             expected_ms = work_ms * slowdown * key_ratio * stretch[bisect(LOAD_LEVEL_BOUNDS, estimate)]
             is_crowded = (
                 expected_ms > self._crowded_ms and expected_ms > CROWDED_STRETCH * work_ms * slowdown * key_ratio * stretch[0]
@@ -193,5 +195,5 @@
     def _is_passed_over(self) -> bool:
         """Whether crowded endpoints are passed over: where endpoints were just asked, unless this proxy knows too little."""
         if self._passes_over_crowded is None:
-            self._passes_over_crowded = not self._selector.is_flying_blind()
+            self._passes_over_crowded = not self._selector.is_uninformed_in_rush()
         return self._passes_over_crowded and self._selector.can_ask
--- a/sloeferry/policy/endpoint_staleness.py
+++ b/sloeferry/policy/endpoint_staleness.py
@@ -36,7 +36,7 @@
     """Why the list's age runs: the last fact that set the deadline."""
 
     WATCHED = "watched"
-    HELD = "as last held by an earlier process"
+    HELD = "as last held by an earlier process"  # also at a start without any list
     WATCH_ENDED = "watch ended"
     WATCH_SILENT = "watch silent"
     POLL_FAILED = "call failed"
@@ -72,7 +72,7 @@
         self.usable_until = now + min(limits.notice_ms, poll_within_ms if is_polled else inf)
         self.is_watch_overdue = False  # a watch was given up as silent, and no list has come since
         self._is_polled = is_polled
-        self._are_facts_reported = limits.notice_ms < inf
+        self._is_on_sockets = limits.notice_ms < inf
         # Whether word of changes may have stopped because discovery is out of reach, and since when that would be.
         self._outage_since = now
         self._may_be_outage = True
@@ -82,7 +82,7 @@
         """Whether requests may be sent by this list."""
         return now <= self.usable_until
 
-    # Facts
+    # Facts from sockets and from the bench
 
     def confirmed(self, at: float) -> None:
         """A list was taken in, or a watch that stands said something, written at `at` or later."""
@@ -92,18 +92,18 @@
         self._may_be_outage, self._outage_gap_ms, self.is_watch_overdue = True, SHORT_WATCH_MS, False
 
     def poll_began(self, now: float) -> None:
-        """The list is polled: where only the settings limit its age, that runs from here."""
-        if self._is_polled and not self._are_facts_reported:
+        """The list is polled.  In the simulator, where only the settings limit its age, that runs from here."""
+        if self._is_polled and not self._is_on_sockets:
             self.usable_until = now + self.poll_within_ms
 
     def answered(self, now: float) -> None:
-        """A list came, on a host that tells no more of it than that."""
-        if not self._are_facts_reported:
+        """A list came.  Only in the simulator: on sockets `confirmed` says more."""
+        if not self._is_on_sockets:
             self.trusted_until, self.cause, self.usable_until = now, StalenessCause.WATCHED, inf
 
     def unanswered(self, now: float) -> None:
-        """A poll failed, on a host that tells no more of it than that."""
-        if not self._are_facts_reported:
+        """A poll failed.  Only in the simulator: on sockets the events below say more."""
+        if not self._is_on_sockets:
             self.cause = StalenessCause.POLL_FAILED
             self.usable_until = now + FAILED_POLL_FACTOR * self.poll_within_ms
 
--- a/sloeferry/policy/endpoint_table.py
+++ b/sloeferry/policy/endpoint_table.py
@@ -11,7 +11,7 @@
 from sloeferry.policy.interface import EndpointEntry, EndpointId, EndpointState, ListScope
 from sloeferry.policy.success_rate import SuccessRateTracker
 
-ALL_MACHINES_COUNT = 100  # attempts after which what was learned of all machines is halved
+ALL_MACHINES_SAMPLES = 100  # attempts after which what was learned of all machines is halved
 
 
 class EndpointTable:
@@ -25,16 +25,16 @@
         self.zone_trackers: defaultdict[Hashable, SuccessRateTracker] = defaultdict(SuccessRateTracker)
         self.cell_trackers: defaultdict[Hashable, SuccessRateTracker] = defaultdict(SuccessRateTracker)
         self.health_check_trackers: defaultdict[Hashable, SuccessRateTracker] = defaultdict(SuccessRateTracker)  # by zone
-        new_kind = functools.partial(MachineKind, Histogram(1.0, ALL_MACHINES_COUNT, [1.0] * 4))
+        new_kind = functools.partial(MachineKind, Histogram(1.0, ALL_MACHINES_SAMPLES, [1.0] * 4))
         self._machine_kinds: defaultdict[Hashable, MachineKind] = defaultdict(new_kind)
-        self.candidates_chosen_at = -inf  # when the candidates were last chosen from this table
+        self.candidates_chosen_at = -inf  # when `CandidateSet` last chose from this table; -inf: it has to choose anew
 
     def update(self, scope: ListScope, entries: Sequence[EndpointEntry]) -> None:
         """A list, or changes of it, came."""
         for entry in entries:
             self._update_endpoint(entry)
         self.invalidate_candidates()
-        if scope is not ListScope.CHANGES:  # who is missing from a complete list is gone
+        if scope is not ListScope.CHANGES:  # an endpoint missing from a complete list is gone
             listed = {entry.endpoint_id for entry in entries}
             for endpoint in self.by_id.values():
                 state = endpoint.state if endpoint.endpoint_id in listed else EndpointState.GONE
@@ -54,7 +54,10 @@
         endpoint.machine_kind = self._machine_kinds[entry.machine_kind]
 
     def _set_state(self, endpoint: Endpoint, state: EndpointState) -> None:
-        """Where only draining binds, an endpoint that is merely gone is used until it fails: the list may be wrong."""
+        """Where only draining binds, an endpoint that is merely gone is used until it fails: the list may be wrong.
+
+        In the simulator, that is; on sockets its address goes with the list (`network/discovery_client.py`).
+        """
         is_unlisted = state is EndpointState.GONE and self._is_only_draining_binding
         endpoint.is_unlisted = is_unlisted and endpoint.state is EndpointState.READY
         endpoint.state = EndpointState.READY if endpoint.is_unlisted else state
@@ -68,22 +71,22 @@
                 self.active.pop(endpoint.endpoint_id, None)
 
     def remove_unlisted(self, endpoint: Endpoint) -> None:
-        """Neither the list nor its own answers speak for it any more."""
+        """Removes an endpoint that the list calls gone and that now fails."""
         endpoint.state, endpoint.is_unlisted = EndpointState.GONE, False
         self.invalidate_candidates()
         self.ready.remove(endpoint)
 
     def activate(self, endpoint: Endpoint) -> None:
-        """Something was heard of the endpoint, or was sent there."""
+        """Adds an endpoint to `active`: something was heard of it, or was sent there."""
         self.active[endpoint.endpoint_id] = endpoint
 
     def drop_inactive(self, now: float, max_age_ms: float) -> None:
-        """Those with nothing out of which nothing was heard of late are like all others again."""
+        """Drops from `active` each endpoint with nothing outstanding and no report within `max_age_ms`."""
         self.active = {
             endpoint_id: endpoint
             for endpoint_id, endpoint in self.active.items()
             if endpoint.own_in_flight
-            or endpoint.abandoned_until
+            or endpoint.counted_until
             or endpoint.health_checks_out
             or endpoint.consecutive_failures
             or now - endpoint.reported_at <= max_age_ms
--- a/sloeferry/policy/endpoints.py
+++ b/sloeferry/policy/endpoints.py
@@ -12,8 +12,8 @@
 
 # No machine is so much quicker than usual: what is usual is not known yet.
 MIN_SLOWDOWN = 1 / 8
-MACHINE_KIND_COUNT = 100  # attempts after which what was learned of a kind of machines is halved
-ENDPOINT_COUNT = 12  # the same of one endpoint
+MACHINE_KIND_SAMPLES = 100  # attempts after which what was learned of a kind of machines is halved
+ENDPOINT_SAMPLES = 12  # the same of one endpoint
 LAST_SERVED_KEPT = 3
 # Not the median: where reports hide a queue, answers are either quick or never come.
 SLOWDOWN_QUANTILE = 0.7
@@ -26,7 +26,7 @@
 
     def __init__(self, all_machines: Histogram):
         self.all_machines = all_machines
-        self.ratios = Histogram(1.0, MACHINE_KIND_COUNT, [1.0] * 4)
+        self.ratios = Histogram(1.0, MACHINE_KIND_SAMPLES, [1.0] * 4)
 
     def slowdown(self) -> float:
         """How much longer than usual an attempt takes at one of them."""
@@ -50,25 +50,25 @@
         self.reset()
 
     def reset(self) -> None:
-        """Its process has just started: it has no past."""
+        """Forgets what was learned of its former process; ejections for one class and its paths stay."""
         self.others_in_flight = 0.0  # requests that it holds for other proxies, as of `reported_at`
         self.reported_at = -inf
         self.own_in_flight = 0
-        self.abandoned_until: list[float] = []  # attempts that ended here and may still run there: counted until then
+        self.counted_until: list[float] = []  # attempts that ended and still count as in flight here, each until then
         self.open_connections = 0  # likely
         self.consecutive_failures = 0
         self.consecutive_errors = 0
         self.ejected_until = 0.0
         self.unanswered_since: float | None = None
         self.health_checks_out: list[float] = []  # when each was sent, oldest first
-        self.latency_ratios = Histogram(1.0, ENDPOINT_COUNT, [1.0, 1.0])  # against its machine kind's
+        self.latency_ratios = Histogram(1.0, ENDPOINT_SAMPLES, [1.0, 1.0])  # against its machine kind's
         self.slowdown = 1.0  # how much longer than usual an attempt takes here
         self.learned_at = 0.0
         self.recent_sends: deque[tuple[float, float]] = deque()  # (when, ms of work), for its slow-start budget
         self.last_served_sent_at: deque[float] = deque(maxlen=LAST_SERVED_KEPT)
 
     def attempt_ended(self, outcome: AttemptOutcome) -> None:
-        """An attempt here has ended: what that tells of its connections."""
+        """Updates the connections and requests in flight after an attempt has ended."""
         if outcome in ANSWERED_BY_ENDPOINT:
             self.open_connections = max(self.open_connections, self.own_in_flight)
         elif outcome in LOST_CONNECTION:
@@ -80,12 +80,12 @@
         return self.class_ejections.get(request_class, NEVER_EJECTED)[1] > now
 
     def eject_for(self, request_class: RequestClass, now: float, base_ms: float) -> None:
-        """Has requests of this class go elsewhere, longer each time."""
+        """Ejects it for requests of this class, longer each time."""
         times = self.class_ejections.get(request_class, NEVER_EJECTED)[0] + 1
         self.class_ejections[request_class] = times, now + base_ms * 2 ** min(times, MAX_CLASS_EJECTION_DOUBLINGS)
 
     def learn(self, ratio: float, spread: Histogram, now: float) -> None:
-        """An attempt took `ratio` times what the load estimate explains; `spread`: that of all attempts."""
+        """Learns from an attempt that took `ratio` times what its load explains; `spread`: that of all attempts."""
         kind_slowdown = self.machine_kind.slowdown()
         self.machine_kind.all_machines.add(ratio)
         self.machine_kind.ratios.add(ratio)
--- a/sloeferry/policy/extension_points.py
+++ b/sloeferry/policy/extension_points.py
@@ -16,7 +16,7 @@
         return bool(self._installed)
 
     def install(self, extension: ExtensionPoint) -> None:
-        """Has `extension` asked from now on, behind those that are installed already."""
+        """Appends an extension point: it is asked after those installed before."""
         self._installed.append(extension)
 
     def rejection_delay_ms(
--- a/sloeferry/policy/fault_attribution.py
+++ b/sloeferry/policy/fault_attribution.py
@@ -1,4 +1,7 @@
-"""Whether a class of requests, a tenant, a zone or a cell is at fault for late answers, rather than single endpoints."""
+"""Whether a class of requests, a tenant, a zone or a cell is at fault for late answers, rather than single endpoints.
+
+A kind is a request class or a tenant; a path leads to a zone or to a cell.
+"""
 
 from collections.abc import Collection, Sequence
 from itertools import chain
@@ -33,7 +36,7 @@
         self.update(settings)
 
     def update(self, settings: Settings) -> None:
-        """Other settings."""
+        """Takes over whether attempts may be cancelled."""
         self._may_cancel = settings.limits.may_cancel
 
     def review(self, now: float, candidates: Sequence[Endpoint]) -> None:
--- a/sloeferry/policy/health_checks.py
+++ b/sloeferry/policy/health_checks.py
@@ -7,10 +7,11 @@
 from sloeferry.policy.endpoint_table import EndpointTable
 from sloeferry.policy.endpoints import Endpoint
 from sloeferry.policy.interface import EndpointState, PolicyHost
-from sloeferry.policy.load_estimate import CONVENIENCE_COST
 from sloeferry.policy.load_reporting import LoadReporting
 from sloeferry.policy.timers import Timers
 
+# Of the mean weight of a request: what health checks that go round may cost for each.
+ROUND_COST = 0.005
 CHECK_INTERVAL_MS = 1000.0  # between two health checks of an endpoint, where they go round
 MIN_INTERVAL_RATIO = 1 / 5  # of that, where health checks are cheap
 MAX_CHECKS_OUT = 3  # at one endpoint
@@ -55,12 +56,12 @@
     def _next_round(self, now: float, turn: int) -> None:
         """Checks each endpoint that failed; where only health checks bring reports, each ready one in its turn.
 
-        There it is checked once a second, more often where that costs no more than a convenience may.
+        There each is checked once a second, more often where that costs no more than `ROUND_COST`.
         """
         interval_ms = CHECK_INTERVAL_MS
         if self._reporting.comes_with_health_checks:
             ready = self._table.ready
-            affordable_ms = len(ready) * self._cost / CONVENIENCE_COST * self._arrivals.mean_gap_ms
+            affordable_ms = len(ready) * self._cost / ROUND_COST * self._arrivals.mean_gap_ms
             interval_ms = min(interval_ms, max(interval_ms * MIN_INTERVAL_RATIO, affordable_ms))
             interval_ms /= max(1, len(ready))
             due = [ready[turn % len(ready)]] if ready else []
@@ -83,11 +84,11 @@
         self._balance = 0.0
 
     def earn(self) -> None:
-        """A request has come."""
+        """Earns the allowance of one request."""
         self._balance = min(self._balance + self.per_request, self.MAX_SAVED_REQUESTS * self.per_request)
 
     def refund(self, checks: int) -> None:
-        """So many were saved: an endpoint is known to be idle."""
+        """Adds what a request need not spend, since an endpoint is known to be idle."""
         self._balance += checks
 
     def may_spend(self) -> bool:
--- a/sloeferry/policy/interface.py
+++ b/sloeferry/policy/interface.py
@@ -10,7 +10,13 @@
 import enum
 from collections.abc import Hashable, Sequence
 from dataclasses import dataclass
-from typing import Any, NamedTuple, Protocol
+from typing import TYPE_CHECKING, Any, NamedTuple, Protocol
+
+from sloeferry.config.settings import Settings
+
+if TYPE_CHECKING:
+    from sloeferry.policy.request_classes import RequestClass
+    from sloeferry.policy.requests import Request
 
 EndpointId = Hashable
 
@@ -97,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Abandon:
-    """Answer nothing: the client has gone."""
+    """No decision follows: the client has gone, or none came in time.  A client that is still there is told 504."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,7 +147,19 @@
 
 
 class PolicyInterface(Protocol):
-    """What a host tells a policy."""
+    """What a host tells a policy.
+
+    The host on sockets reads more of it: `rules`, `table`, `requests` and `polling.staleness` (the send guard, the endpoint
+    events), `timers` (whether a wake-up is still needed) and `fleet.process_count` (a takeover).
+    """
+
+    def update_settings(self, settings: Settings) -> None:
+        """Other settings hold from now on."""
+
+    def rejection_delay_ms(
+        self, now: float, class_index: int, tenant_index: int, is_retry: bool, has_waited: bool
+    ) -> float | None:
+        """Before a request is taken on: None if it may be, else the Retry-After of its rejection."""
 
     def endpoints_listed(self, now: float, scope: ListScope, entries: Sequence[EndpointEntry], answers_poll: bool = True) -> None:
         """A list came, or a poll failed.
@@ -196,20 +214,20 @@
     """Another subsystem's part in the decisions, free of I/O; the host installs it in `Policy.extensions`."""
 
     def rejection_delay_ms(
-        self, now: float, request_class: Any, tenant_index: int, is_retry: bool, has_waited: bool
+        self, now: float, request_class: "RequestClass", tenant_index: int, is_retry: bool, has_waited: bool
     ) -> float | None:
         """Before a request is taken on: None if it may be, else the Retry-After of its rejection.
 
         `has_waited`: it has waited to be admitted for as long as it may.
         """
 
-    def may_retry(self, now: float, request: Any) -> bool:
+    def may_retry(self, now: float, request: "Request") -> bool:
         """Before each attempt after the first."""
 
-    def request_taken(self, now: float, request: Any) -> None:
+    def request_taken(self, now: float, request: "Request") -> None:
         """Told once of each request."""
 
-    def request_ended(self, request: Any, is_served: bool) -> None:
+    def request_ended(self, request: "Request", is_served: bool) -> None:
         """Told once of each request."""
 
     def is_behind(self) -> bool:
--- a/sloeferry/policy/key_affinity.py
+++ b/sloeferry/policy/key_affinity.py
@@ -14,7 +14,7 @@
 SPREAD_FACTOR = 1.5  # a key fills at most 1 / 1.5 of an endpoint's part of the requests
 COUNTED_REQUESTS = 400  # over which keys are counted; then the counts are halved
 MAX_REMEMBERED_KEYS = 4 * COUNTED_REQUESTS
-RATIO_COUNT = 200
+RATIO_SAMPLES = 200
 HASH_BYTES = 8
 
 
@@ -25,14 +25,14 @@
         self._counts: Counter = Counter()
         self._total = 0.0
         self._ranked_by_key: dict[Hashable, tuple[list[Endpoint], ...]] = {}
-        self._ratios_at_keepers = Histogram(1.0, RATIO_COUNT, [0.5] * 8)
-        self._ratios_elsewhere = Histogram(1.0, RATIO_COUNT, [1.0] * 8)
-        self.keeper_ratio = 0.5  # of its usual time, that a request takes where its key is likely known
+        self._ratios_at_affine = Histogram(1.0, RATIO_SAMPLES, [0.5] * 8)
+        self._ratios_elsewhere = Histogram(1.0, RATIO_SAMPLES, [1.0] * 8)
+        self.affine_ratio = 0.5  # of its usual time, that a request takes where its key is likely known
 
-    def learn(self, is_keeper: bool, ratio: float) -> None:
+    def learn(self, is_affine: bool, ratio: float) -> None:
         """An attempt took `ratio` times what was expected, at an endpoint that stands for its key or elsewhere."""
-        (self._ratios_at_keepers if is_keeper else self._ratios_elsewhere).add(ratio)
-        self.keeper_ratio = min(1.0, self._ratios_at_keepers.quantile(0.5) / self._ratios_elsewhere.quantile(0.5))
+        (self._ratios_at_affine if is_affine else self._ratios_elsewhere).add(ratio)
+        self.affine_ratio = min(1.0, self._ratios_at_affine.quantile(0.5) / self._ratios_elsewhere.quantile(0.5))
 
     def count(self, key: Hashable) -> None:
         """A request with that key has come; 0 is no key."""
@@ -44,7 +44,7 @@
             self._counts = Counter({k: n / 2 for k, n in self._counts.items() if n > 1})
             self._total = sum(self._counts.values())
 
-    def keepers(self, key: Hashable, endpoints: Sequence[Endpoint]) -> Sequence[Endpoint]:
+    def affine_endpoints(self, key: Hashable, endpoints: Sequence[Endpoint]) -> Sequence[Endpoint]:
         """The endpoints that are likely to know this key: the first of each zone, more of them the more often it comes."""
         if not key:
             return ()
--- a/sloeferry/policy/latency_model.py
+++ b/sloeferry/policy/latency_model.py
@@ -17,11 +17,11 @@
 # Load estimates are told apart by coarse levels; the bounds lie between one level and the next.
 LOAD_LEVELS = (0, 1, 2, 3, 5, 8, 13)
 LOAD_LEVEL_BOUNDS = (0.5, 1.5, 2.5, 3.4, 4.8, 6.7)
-LEVEL_COUNT, MIN_LEVEL_COUNT = 60, 3  # attempts after which a level's histogram is halved; from which on it is believed
-SPREAD_COUNT = 400
+LEVEL_SAMPLES, MIN_LEVEL_SAMPLES = 60, 3  # attempts after which a level's histogram is halved; from which on it is believed
+SPREAD_SAMPLES = 400
 LONGEST_QUANTILE = 0.98
 OVERDUE_QUANTILE, MIN_OVERDUE_FACTOR = 0.9, 3.0
-MEASURED_ENDPOINT_COUNT = 6  # attempts from which on an endpoint's own latency goes before the least of its warm-up
+MIN_ENDPOINT_SAMPLES = 6  # attempts from which on an endpoint's own latency goes before the least of its warm-up
 SLOWDOWN_HALF_LIFE_MS = 4 * REPORT_MAX_AGE_MS
 RUSH_SAMPLING = 3  # in a rush one attempt of three teaches as much
 
@@ -43,12 +43,12 @@
         self._slow_start = slow_start
         self._affinity = affinity
         self._extensions = extensions
-        self._is_load_age_unknown = reporting.is_age_unknown
+        self._is_report_age_unknown = reporting.is_report_age_unknown
         self._can_ask = bool(reporting.health_checks_per_request)
         self._sample = 0
-        self.level_ratios = [Histogram(1.0, LEVEL_COUNT) for _ in LOAD_LEVELS]
+        self.level_ratios = [Histogram(1.0, LEVEL_SAMPLES) for _ in LOAD_LEVELS]
         self.stretch = [1.0 + level for level in LOAD_LEVELS]  # how much longer an attempt takes at each level
-        self.spread = Histogram(1.0, SPREAD_COUNT, [0.5, 0.7, 1.0, 1.4, 2.0])  # of what attempts took against the expected
+        self.spread = Histogram(1.0, SPREAD_SAMPLES, [0.5, 0.7, 1.0, 1.4, 2.0])  # of what attempts took against the expected
         self.refresh()
 
     def refresh(self) -> None:
@@ -67,13 +67,13 @@
         for at, ratios in enumerate(self.level_ratios):
             guess = below * (LOAD_LEVELS[at] + 1) / (LOAD_LEVELS[at - 1] + 1) if at else 1.0
             learned = guess
-            if ratios.count >= MIN_LEVEL_COUNT and (at or not self._is_load_age_unknown):
+            if ratios.count >= MIN_LEVEL_SAMPLES and (at or not self._is_report_age_unknown):
                 learned = max(ratios.quantile(0.5), below)
             below = self.stretch[at] = guess if is_growth_bounded and at and guess < learned else learned
 
     def slowdown(self, endpoint: Endpoint, now: float) -> float:
         """How much longer than usual an attempt takes at the endpoint: as measured, or the least that its warm-up says."""
-        if endpoint.latency_ratios.count < MEASURED_ENDPOINT_COUNT:
+        if endpoint.latency_ratios.count < MIN_ENDPOINT_SAMPLES:
             fraction = self._slow_start.warm_up_fraction(endpoint, now)
             if fraction < 1.0:
                 return max(endpoint.slowdown, 1 / fraction)
@@ -96,13 +96,13 @@
         typical, level, endpoint = request.typical_ms(), bisect(LOAD_LEVEL_BOUNDS, attempt.estimate_when_sent), attempt.endpoint
         unadjusted_ms = took_ms
         if request.affinity_key:  # against what it would take without a key
-            is_keeper = endpoint in self._affinity.keepers(request.affinity_key, ready)
-            self._affinity.learn(is_keeper, took_ms / (typical * self.stretch[level]))
-            took_ms /= self._affinity.keeper_ratio if is_keeper else 1.0
+            is_affine = endpoint in self._affinity.affine_endpoints(request.affinity_key, ready)
+            self._affinity.learn(is_affine, took_ms / (typical * self.stretch[level]))
+            took_ms /= self._affinity.affine_ratio if is_affine else 1.0
         endpoint.learn(took_ms / (typical * self.stretch[level]), self.spread, now)
         if self._slow_start.warm_up_fraction(endpoint, now) < 1.0:  # that it takes long tells of no queue elsewhere
             return
-        if outcome is AttemptOutcome.SERVED if self._is_load_age_unknown else level == 0:
+        if outcome is AttemptOutcome.SERVED if self._is_report_age_unknown else level == 0:
             latency_ms = took_ms * self.stretch[0] / self.stretch[level] / request.relative_size
             request.request_class.idle_latency.add(latency_ms)
         self.level_ratios[level].add(took_ms / typical)
--- a/sloeferry/policy/load_estimate.py
+++ b/sloeferry/policy/load_estimate.py
@@ -13,8 +13,8 @@
 from sloeferry.policy.request_classes import RequestClasses
 from sloeferry.policy.slow_start import SlowStart
 
-# Of the mean weight of a request: a cross-zone attempt that costs more keeps the zones apart.
-CONVENIENCE_COST = 0.005
+# Of the mean weight of a request: where a cross-zone attempt costs more, the zones are loaded apart.
+ZONES_APART_COST = 0.01
 NOTABLE_SLOWDOWN = 1.6  # from there on reports mislead: an endpoint so slow is rated worse than its load says
 MIN_FADE_GAPS = 16  # gaps between requests: a few reports must not speak for all endpoints
 SENDS_PER_REPORT_AGE = 8
@@ -44,26 +44,26 @@
         self._slow_start = slow_start
         self._arrivals = arrivals
         self._rng = rng
-        self._is_age_unknown = reporting.is_age_unknown
-        self._are_zones_apart = settings.costs.cross_zone > 2 * CONVENIENCE_COST
+        self._is_report_age_unknown = reporting.is_report_age_unknown
+        self._are_zones_apart = settings.costs.cross_zone > ZONES_APART_COST
         # By whether the endpoint is in this proxy's own zone: [elsewhere, home].
         self.mean_load = [0.0, 0.0]
         self._mean_own_in_flight = [0.0, 0.0]
-        self.turnover_ms = 1.0  # in which a full endpoint has other requests
-        self.fade_ms = 1.0  # in which a report loses half of its word
+        self.turnover_ms = 1.0  # the typical latency of the quickest class: a full endpoint is less full by then
+        self.fade_ms = 1.0  # half-life of a report that says an endpoint is loaded
         self._ready_count = 0
 
     def estimate(self, endpoint: Endpoint, now: float) -> float:
         """Requests in flight at the endpoint.
 
-        The latest report of what others hold there, and this proxy's own attempts.  A report's word fades into the mean
-        of fresh ones, by half in the time an attempt takes, and is void past `REPORT_MAX_AGE_MS`: else all proxies would
-        flock to whichever endpoint looked empty last.
+        The latest report of what others hold there, and this proxy's own attempts.  A report decays to the mean of fresh
+        ones, by half in the time an attempt takes, and is void past `REPORT_MAX_AGE_MS`: else all proxies would send to
+        the endpoint that looked empty last.
         """
-        abandoned = endpoint.abandoned_until
-        while abandoned and abandoned[0] <= now:
-            abandoned.pop(0)
-        own = endpoint.own_in_flight + len(abandoned)
+        ended = endpoint.counted_until  # roughly in order: one behind a later end is counted until that
+        while ended and ended[0] <= now:
+            ended.pop(0)
+        own = endpoint.own_in_flight + len(ended)
         age_ms = now - endpoint.reported_at
         mean = self.mean_load[endpoint.zone == self._fleet.zone]
         if endpoint.started_at > now - self._slow_start.duration_ms:
@@ -88,18 +88,18 @@
         """Works out the mean load anew, `elapsed_ms` after the last time."""
         self._ready_count = ready_count
         self.turnover_ms = min([each.typical_ms() for each in self._classes.all])
-        self.fade_ms = REPORT_MAX_AGE_MS / 2 if self._is_age_unknown else self.turnover_ms
+        self.fade_ms = REPORT_MAX_AGE_MS / 2 if self._is_report_age_unknown else self.turnover_ms
         reports = self._weighted_reports(now, candidates)
         for is_home in (False, True):
             # Where crossing zones is dear they are loaded apart: a full home zone must not make the others look full.
             these = [each for each in reports if each[2] == is_home or not self._are_zones_apart]
             # Not heard of and never tried, a zone with room would stay so: it counts as empty until it reports.
-            these = these or (reports if is_home or not self._is_age_unknown else [])
+            these = these or (reports if is_home or not self._is_report_age_unknown else [])
             mean = 0.0
             if these:
                 mean = sum(weight * load for weight, load, _ in these) / sum(each[0] for each in these)
             self.mean_load[is_home] = mean
-            if self._is_age_unknown:
+            if self._is_report_age_unknown:
                 self._raise_mean_by_own(is_home, elapsed_ms)
 
     def _weighted_reports(self, now: float, candidates: Sequence[Endpoint]) -> list[tuple[float, float, bool]]:
@@ -119,7 +119,7 @@
     def _raise_mean_by_own(self, is_home: bool, elapsed_ms: float) -> None:
         """What takes long reports late: what this proxy has out tells before it, if all proxies do alike."""
         out = sum(
-            each.own_in_flight + len(each.abandoned_until)
+            each.own_in_flight + len(each.counted_until)
             for each in self._table.active.values()
             if (each.zone == self._fleet.zone) == is_home
         )
@@ -129,12 +129,16 @@
         by_own = self._mean_own_in_flight[is_home] * other_proxies_per_endpoint
         self.mean_load[is_home] = max(self.mean_load[is_home], by_own)
 
-    def needs_news(self, candidates: Collection[Endpoint]) -> bool:
-        """Whether less is out than this proxy's part of one request an endpoint: only what is sent brings news."""
-        if not self._is_age_unknown:
+    def may_send_uninformed(self, candidates: Collection[Endpoint]) -> bool:
+        """Whether to send although nothing is known: less is out than this proxy's part of one request an endpoint.
+
+        Only what is sent brings reports then.  Where their age is unknown it draws from `rng`, so that a part of the
+        requests is sent.
+        """
+        if not self._is_report_age_unknown:
             out = sum(each.own_in_flight for each in candidates)
             return out < max(1, self._ready_count / self._fleet.instance_count)
-        out = sum(each.own_in_flight + len(each.abandoned_until) for each in self._table.active.values())
+        out = sum(each.own_in_flight + len(each.counted_until) for each in self._table.active.values())
         if out >= max(1, self._ready_count / self._fleet.instance_count):
             return False
         return self._rng.random() < SHARED_PART_RATIO
--- a/sloeferry/policy/load_refresh.py
+++ b/sloeferry/policy/load_refresh.py
@@ -18,7 +18,7 @@
     endpoint: Endpoint
     asked_at: float
 
-    def is_due(self) -> bool:
+    def is_outstanding(self) -> bool:
         """Whether its answer is still out."""
         sent = self.endpoint.health_checks_out
         return bool(sent) and sent[0] <= self.asked_at
@@ -41,7 +41,7 @@
         # Of the unheard, those that warm up count for as much as others: asked first, they would get the whole budget.
         ranked = [(self._load.current_rank(endpoint, now), endpoint) for endpoint in candidates]
         if any(self._is_fresh(endpoint, now) and rank < IDLE_RANK for rank, endpoint in ranked):
-            self.budget.refund(ASKED_TOGETHER)
+            self.budget.refund(ASKED_TOGETHER)  # saved for later requests, whatever this one has spent
             return ()
         in_order = sorted((rank, self._rng.random(), endpoint) for rank, endpoint in ranked)
         lowest = [endpoint for _, _, endpoint in in_order if not self._is_fresh(endpoint, now)][:ASKED_TOGETHER]
--- a/sloeferry/policy/load_refresh_stage.py
+++ b/sloeferry/policy/load_refresh_stage.py
@@ -76,10 +76,10 @@
         self._waiting.append(waiting)
         self._timers.schedule(now + self._check_timeout_ms, self._go_on, waiting)
 
-    def report_came(self, now: float) -> None:
+    def health_check_ended(self, now: float) -> None:
         """A health check has ended: what waited for no other one goes on."""
         for waiting in list(self._waiting):
-            if not any(report.is_due() for report in waiting.reports):
+            if not any(report.is_outstanding() for report in waiting.reports):
                 self._go_on(now, waiting)
         self._admission.review(now)
 
--- a/sloeferry/policy/load_reporting.py
+++ b/sloeferry/policy/load_reporting.py
@@ -19,7 +19,7 @@
     in_flight_index: int | None  # where a report says how many requests are in flight; None where none says so
     may_health_check: bool
     comes_with_health_checks: bool  # reports come with health checks alone
-    is_age_unknown: bool  # reports come with responses, and endpoints cannot be asked: they may be of any age
+    is_report_age_unknown: bool  # reports come with responses, and endpoints cannot be asked: they may be of any age
     health_checks_per_request: int  # at most, before an endpoint is chosen; 0: endpoints are not asked
 
     @classmethod
@@ -34,6 +34,6 @@
             in_flight_index=fields.index(IN_FLIGHT_FIELD) if IN_FLIGHT_FIELD in fields else None,
             may_health_check=may_health_check,
             comes_with_health_checks=reports.come_with_health_checks,
-            is_age_unknown=reports.come_with_responses and not may_health_check,
+            is_report_age_unknown=reports.come_with_responses and not may_health_check,
             health_checks_per_request=allowance if reports.come_with_responses and may_health_check else 0,
         )
--- a/sloeferry/policy/outlier_detection.py
+++ b/sloeferry/policy/outlier_detection.py
@@ -52,7 +52,7 @@
         self.unreachable_rate = 0.0  # of attempts that had to open a connection
 
     def note_outcome(self, outcome: AttemptOutcome, opened_connection: bool) -> None:
-        """An attempt has ended."""
+        """Updates the rates of errors and of refused connections after an attempt."""
         self.error_rate += ((outcome is AttemptOutcome.ERROR) - self.error_rate) / ERROR_SMOOTHING
         is_unreachable = outcome is AttemptOutcome.UNREACHABLE
         self.unreachable_rate += opened_connection * (is_unreachable - self.unreachable_rate) / ERROR_SMOOTHING
@@ -82,7 +82,7 @@
         self._table.activate(endpoint)
         if endpoint.is_unlisted:
             self._table.remove_unlisted(endpoint)
-        is_unchecked = self._reporting.is_age_unknown
+        is_unchecked = self._reporting.is_report_age_unknown
         if endpoint.consecutive_failures < FAILURES_TO_EJECT and not is_unchecked:
             return
         doublings = endpoint.consecutive_failures - FAILURES_TO_EJECT + UNCHECKED_EXTRA_DOUBLINGS * is_unchecked
@@ -98,7 +98,7 @@
         if any(attempt.outcome is AttemptOutcome.ERROR for attempt in request.attempts[:-1]):
             self.cured_ratio -= self.cured_ratio / CURED_SMOOTHING  # at two endpoints: it is the request
         elif self.cured_ratio > MOSTLY_CURED:
-            self.keep_counting(request, endpoint, now)
+            self.count_for_longer(request, endpoint, now)
         is_beyond_chance = self.error_rate**endpoint.consecutive_errors < CHANCE_LIMIT
         is_never_retried = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
         if is_beyond_chance or is_never_retried and self.cured_ratio > MOSTLY_CURED:
@@ -111,6 +111,6 @@
                 self.cured_ratio += (1 - self.cured_ratio) / CURED_SMOOTHING
                 self.record_failure(attempt.endpoint, now)
 
-    def keep_counting(self, request: Request, endpoint: Endpoint, now: float) -> None:
-        """A quick error must not make an endpoint look empty: the attempt stays counted there for a while."""
-        endpoint.abandoned_until.append(now + ABANDONED_TYPICAL_TIMES * request.typical_ms())
+    def count_for_longer(self, request: Request, endpoint: Endpoint, now: float) -> None:
+        """Goes on counting an attempt that ended badly: a quick error must not make an endpoint look empty."""
+        endpoint.counted_until.append(now + ABANDONED_TYPICAL_TIMES * request.typical_ms())
--- a/sloeferry/policy/overload_control.py
+++ b/sloeferry/policy/overload_control.py
@@ -195,7 +195,8 @@
         self.open_requests -= 1
         self.open_by_tenant[request.tenant_index] -= 1
         if is_served:
-            self.ended_in_window += 1
+            self.ended_in_window += 1  # of the requests that end, those that were served
+            # `request_ended` gets no time: the last arrival stands for now.
             self._spent_ms += max(0.0, self._policy.arrivals.last_arrival - request.arrived_at)
 
     def is_behind(self) -> bool:
--- a/sloeferry/policy/policy.py
+++ b/sloeferry/policy/policy.py
@@ -95,8 +95,9 @@
     def update_settings(self, settings: Settings) -> None:
         """Other settings, classes and tenants at the indexes that they had (`Settings.aligned_with`).
 
-        Open requests keep the classes under which they were taken; what was learned goes on.  What a part was built by
-        stays as it was: where load reports come from, this instance's place in the fleet, and the tick.
+        Open requests keep the classes under which they were taken; what was learned goes on.  What a part copied in its
+        constructor stays as it was: where load reports come from and whether health checks are allowed, costs, affinity
+        keys, whether only draining binds, this instance's place in the fleet, the tick.
         """
         self.settings = settings
         self.classes.update(settings)
@@ -114,8 +115,8 @@
                 self.health_checks.start(now)
             self.table.update(scope, entries)
             self.affinity.forget_rankings()
-        if answers_poll and scope is not ListScope.CACHED and self.polling.is_polling:
-            self.polling.answered(now, scope)
+        if answers_poll and scope is not ListScope.CACHED and self.polling.is_list_polled:
+            self.polling.poll_or_watch_ended(now, scope)
 
     # Requests
 
@@ -157,18 +158,18 @@
         self.load_refresh.take(request, now)
 
     def response_started(self, now: float, request_id: int, attempt_number: int) -> None:
-        """An attempt's response has begun to go out: nothing else can be done for its request."""
+        """An attempt's response has begun to go out: nothing else can be done for its request.  Only the bench tells it."""
         self.client_left(now, request_id)
 
     def client_left(self, now: float, request_id: int) -> None:
         """The client has gone: the request needs no answer."""
         if request := self.requests.by_id.get(request_id):
-            self.requests.forget(request)
+            self.requests.close(request)
 
     def body_outgrew_buffer(self, now: float, request_id: int, attempt_number: int) -> None:
         """No other attempt can follow; and how long this one takes is the client's doing (`PolicyInterface`)."""
         if request := self.requests.by_id.get(request_id):
-            request.max_attempts = 0
+            request.max_attempts = 0  # no further attempt
             attempt = request.attempts[attempt_number]
             for tracker in (*request.trackers, *attempt.endpoint.path_trackers):
                 tracker.attempt_ended(now, attempt, None)
@@ -194,7 +195,7 @@
             return
         self.feedback.attempt_ended(request, attempt, now, outcome, took_ms, load_report)
         if is_answered or request.is_answered:
-            self.requests.forget(request, outcome is AttemptOutcome.SERVED)
+            self.requests.close(request, outcome is AttemptOutcome.SERVED)
         elif self.retries.retry_or_give_up(request, now):
             self.admission.admit(request, now)
         self.admission.review(now)
@@ -207,7 +208,7 @@
         if endpoint is None:
             return
         self.feedback.health_check_ended(endpoint, now, outcome, load_report)
-        self.load_refresh.report_came(now)
+        self.load_refresh.health_check_ended(now)
 
     # Timers
 
--- a/sloeferry/policy/request_classes.py
+++ b/sloeferry/policy/request_classes.py
@@ -10,7 +10,7 @@
 HIGH_LOSS_RATE = 0.1  # of the attempts that no endpoint rejected: left unanswered
 LOSS_SMOOTHING = 16  # attempts over which the loss rate is averaged
 COMPARABLE_ENDS = 12  # so many attempts of another class tell whether it loses as much
-LATENCY_COUNT = 200  # attempts after which what was learned of the latency is halved
+LATENCY_SAMPLES = 200  # attempts after which what was learned of the latency is halved
 MAX_COST_HINTS = 100  # over which the mean hint is taken
 WEIGHT_SMOOTHING = 100  # requests over which their mean weight is averaged
 
@@ -19,7 +19,11 @@
     """One class of requests."""
 
     def __init__(self, settings: Settings, index: int, former: "RequestClass | None" = None):
-        """`former`: the same class under other settings; what was learned of it goes on."""
+        """`former`: the same class under other settings.
+
+        Its latency, cost hints, success rate and loss rate go on; since when it loses many attempts, and the longest time
+        left seen, are counted anew.
+        """
         promised = settings.request_classes[index]
         self.is_removed = promised.is_removed
         self.max_attempts = settings.limits.max_attempts
@@ -32,7 +36,7 @@
         self._is_weight_per_work = settings.is_weight_per_work
         guess = self.objective_ms / 4
         # Latency in ms at endpoints found idle.
-        self.idle_latency = Histogram(self.objective_ms, LATENCY_COUNT, [guess] * 4, MANY_BINS_BELOW_UNIT)
+        self.idle_latency = Histogram(self.objective_ms, LATENCY_SAMPLES, [guess] * 4, MANY_BINS_BELOW_UNIT)
         self.longest_time_left_ms = 0.0  # seen with a request
         self.mean_cost_hint = 0.0
         self.cost_hint_count = 0
--- a/sloeferry/policy/request_table.py
+++ b/sloeferry/policy/request_table.py
@@ -21,16 +21,16 @@
         self.update(settings)
 
     def update(self, settings: Settings) -> None:
-        """Other settings."""
+        """Takes over whether clients are told when to come back."""
         self._tells_retry_after = settings.limits.tells_retry_after
 
     def add(self, request: Request, now: float) -> None:
         """A request is taken on: from now on it is owed a final answer before its deadline."""
         self.by_id[request.request_id] = request
         self._extensions.request_taken(now, request)
-        self._timers.schedule(request.deadline - self._answer_ms, self._expire, request)
+        self._timers.schedule(request.deadline - self._answer_ms, self._deadline_nears, request)
 
-    def _expire(self, now: float, request: Request) -> None:
+    def _deadline_nears(self, now: float, request: Request) -> None:
         if not request.is_answered and not request.has_attempt_out():
             self.give_up(request)
 
@@ -42,11 +42,14 @@
         if retry_after_ms is None:
             is_at_fault = request.is_at_fault()
             retry_after_ms = request.request_class.objective_ms if is_at_fault else request.typical_ms()
-        self._rules.give_up(request, retry_after_ms * self._tells_retry_after)
-        self.forget(request)
+        self._rules.answer_unserved(request, retry_after_ms * self._tells_retry_after)
+        self.close(request)
 
-    def forget(self, request: Request, is_served: bool = False) -> None:
-        """The request has its final answer, or its client has gone."""
+    def close(self, request: Request, is_served: bool = False) -> None:
+        """Marks the request as answered: it has its final answer, or its client has gone (rule 1).
+
+        It is kept until its last attempt has ended.
+        """
         if not request.is_answered:
             self._extensions.request_ended(request, is_served)
         request.is_answered = True
--- a/sloeferry/policy/requests.py
+++ b/sloeferry/policy/requests.py
@@ -1,4 +1,8 @@
-"""A request on its way, and its attempts."""
+"""A request on its way, and its attempts.
+
+A request's kind is its class and its tenant; an attempt's path is the zone and the cell of its endpoint.  Each has a tracker
+of how many attempts are answered in time (`success_rate.py`, `fault_attribution.py`).
+"""
 
 import enum
 from collections.abc import Hashable
@@ -12,7 +16,7 @@
     from sloeferry.policy.endpoints import Endpoint
 
 NEVER_RAN = (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NEVER_SENT)
-# They tell nothing of the endpoint: any may have its responses spoilt on the way.
+# They tell nothing of the endpoint: the response of any may be corrupted on the way.
 TELLS_NOTHING = (AttemptOutcome.NEVER_SENT, AttemptOutcome.UNKNOWN)
 # Of these how long they took tells of the request's kind, too.
 TELLS_OF_KIND = (AttemptOutcome.SERVED, AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED)
@@ -56,7 +60,7 @@
         self.opens_connection = endpoint.own_in_flight >= endpoint.open_connections
 
     def track(self, overdue_at: float) -> None:
-        """Has it counted once it ends or is overdue.
+        """Registers the attempt with the trackers of its request and its path, to be judged once it ends or is overdue.
 
         A request whose kind is at fault tells nothing of the path; an attempt on a bad path tells nothing of its kind.
         """
--- a/sloeferry/policy/retry_policy.py
+++ b/sloeferry/policy/retry_policy.py
@@ -24,7 +24,7 @@
 
 
 class RetryPolicy:
-    """Sends attempts, looks after those that are out, and decides what follows one that failed."""
+    """Sends every attempt, also the first; reviews those that are out; decides what follows one that failed."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         self.update(settings)
 
     def update(self, settings: Settings) -> None:
-        """Other settings."""
+        """Takes over whether attempts may be cancelled."""
         self._may_cancel = settings.limits.may_cancel
 
     def send(self, request: Request, endpoint: Endpoint, now: float, expected_ms: float) -> None:
--- a/sloeferry/policy/safety_rules.py
+++ b/sloeferry/policy/safety_rules.py
@@ -35,7 +35,7 @@
         self.update(settings)
 
     def update(self, settings: Settings) -> None:
-        """Other settings."""
+        """Takes over whether a second attempt may be out."""
         self.may_hedge = settings.limits.may_hedge
 
     def may_attempt(self, request: Request, now: float, instead_of: Attempt | None = None) -> bool:
@@ -98,8 +98,8 @@
         min_ms = MIN_OVERDUE_RATIO * request.request_class.objective_ms + lateness_ms + OVERDUE_TICKS * self._tick_ms
         return self._latency.overdue_after_ms(request, expected_ms, min_ms)
 
-    def give_up(self, request: Request, retry_after_ms: float = 0.0) -> None:
-        """Rule 1: the one final answer of a request that no endpoint served.
+    def answer_unserved(self, request: Request, retry_after_ms: float = 0.0) -> None:
+        """Rule 1: the one final answer of a request that no endpoint served; the caller closes the request.
 
         Rule 2: it is rejected only where trying again is harmless; otherwise it has failed.
         """
--- a/sloeferry/policy/slow_start.py
+++ b/sloeferry/policy/slow_start.py
@@ -19,17 +19,17 @@
 
     def __init__(self, settings: Settings, fleet: FleetShare, reporting: LoadReporting):
         self._fleet = fleet
-        self._is_report_age_unknown = reporting.is_age_unknown
+        self._is_report_age_unknown = reporting.is_report_age_unknown
         self._fresh_ms = FRESH_TICKS * settings.tick_ms
         self.update(settings)
 
     def update(self, settings: Settings) -> None:
-        """Other settings."""
+        """Takes over how long endpoints warm up, and how much work pushes one over meanwhile."""
         obligations = settings.obligations
         self.duration_ms = obligations.slow_start_ms
         self._initial_ratio = obligations.slow_start_initial_ratio
-        self._window_ms = obligations.overload_window_ms
-        self._overload_multiple = obligations.overload_multiple
+        self._window_ms = obligations.warm_up_window_ms
+        self._warm_up_overload_multiple = obligations.warm_up_overload_multiple
 
     def warm_up_fraction(self, endpoint: Endpoint, now: float) -> float:
         """The least part of its capacity that an endpoint has by now; 1 once it is warm."""
@@ -43,7 +43,7 @@
         fraction = self.warm_up_fraction(endpoint, now)
         if fraction == 1.0:
             return True
-        budget = self._overload_multiple * fraction
+        budget = self._warm_up_overload_multiple * fraction
         # Of hundreds of proxies each one's part is far below one request.  A report just in speaks for all, for one attempt.
         if not self._has_sent_since_report(endpoint, now):
             in_flight = endpoint.others_in_flight + endpoint.own_in_flight + 1
@@ -56,7 +56,7 @@
         while sends and sends[0][0] <= now - span_ms:
             sends.popleft()
         # First attempts take turns, too, or those of all proxies together push over an endpoint that has just started.
-        initial_share = self._overload_multiple * self._initial_ratio * share_ms
+        initial_share = self._warm_up_overload_multiple * self._initial_ratio * share_ms
         wait_ms = self._fleet.turn * self._window_ms * max(0.0, work_ms / initial_share - 1)
         if now < endpoint.started_at + wait_ms:
             return False
--- a/sloeferry/policy/timers.py
+++ b/sloeferry/policy/timers.py
@@ -16,7 +16,7 @@
         self._host = host
         self._pending: dict[int, tuple[float, Callable[..., None], tuple]] = {}
         self._last_token = 0
-        self.lateness_ms = 0.0  # by how much timers are late of late: the host has no time to spare
+        self.lateness_ms = 0.0  # moving average: by how much the host fires timers late
         self.max_stall_ms = 0.0  # what one stall counts for at most: one long stall is no lack of time
 
     def __len__(self) -> int:
@@ -24,7 +24,7 @@
         return len(self._pending)
 
     def schedule(self, at: float, callback: Callable[..., None], *arguments: Any) -> None:
-        """Has `callback(now, *arguments)` called at that time."""
+        """Schedules `callback(now, *arguments)`.  A first argument that is a Request makes the timer moot once it is answered."""
         self._last_token += 1
         self._pending[self._last_token] = (at, callback, arguments)
         self._host.schedule_wakeup(at, self._last_token)
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -168,7 +168,7 @@
         policy = host.policy
         host.say(f"postings of those that err: {posts[1::2]}")
         fails = [b.consecutive_failures for b in policy.table.ready]
-        host.say(f"fails {fails}, ghosts {[len(b.abandoned_until) for b in policy.table.ready]}")
+        host.say(f"fails {fails}, ghosts {[len(b.counted_until) for b in policy.table.ready]}")
         for ref in range(100, 140):
             host.until(host.now + 20.0)
             host.take(ref)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -777,7 +777,7 @@
                 json.dump(told, file)
                 file.flush()
                 os.kill(os.getpid(), signal.SIGHUP)
-                await until(lambda: h.clients.intake.class_count == 2)
+                await until(lambda: len(h.clients.intake._classes) == 2)
                 for sock, _ in (first, second, third):
                     await asyncio.get_running_loop().sock_sendall(sock, b"dy")
                     await h.gets(sock, 28)
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -40,7 +40,7 @@
         """Whatever comes in whatever order, what is said of it: one line a step."""
         out = Lines()
         steps = {
-            "list": Lifecycle.list_arrived,
+            "list": Lifecycle.discovery_settled,
             "quiesce": lambda d: d.drain(0.0),
             "resume": Lifecycle.resume,
             "sigterm": Lifecycle.stop,
@@ -74,7 +74,7 @@
         duty = Lifecycle()
         for step in steps:
             {
-                "list": duty.list_arrived,
+                "list": duty.discovery_settled,
                 "quiesce": lambda: duty.drain(5.0),
                 "resume": duty.resume,
                 "leave": duty.stop,
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -31,7 +31,7 @@
             host.end(ref, 0, AttemptOutcome.UNKNOWN)
             host.end(ref, 1, AttemptOutcome.SERVED, 0)
         host.policy.health_check_ended(host.now, "a", AttemptOutcome.UNKNOWN, 0.5, ())
-        host.say(str([(b.endpoint_id, b.consecutive_failures, b.abandoned_until) for b in host.policy.table.by_id.values()]))
+        host.say(str([(b.endpoint_id, b.consecutive_failures, b.counted_until) for b in host.policy.table.by_id.values()]))
         compare(self, host, "spoilt")
 
     def test_the_gone_are_forgotten(self):
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -202,9 +202,9 @@
                 for n in range(400):
                     policy.affinity.count(n % 200 + 1 if n % 4 else 999)
                 for key in range(1, 41):
-                    kept = policy.affinity.keepers(key, policy.table.ready)
+                    kept = policy.affinity.affine_endpoints(key, policy.table.ready)
                     where.setdefault(key, set()).add(tuple(sorted(b.endpoint_id for b in kept)))
-                hot = policy.affinity.keepers(999, policy.table.ready)
+                hot = policy.affinity.affine_endpoints(999, policy.table.ready)
                 orders.add(tuple(b.endpoint_id for b in hot))
             # Not a set's order: it differs by memory addresses, and with it who wins a tie.
             self.assertEqual(len(orders), 1)
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -605,7 +605,7 @@
             if not txn.is_answered:
                 rules._host.reject(txn.request_id, pause)
 
-        with mock.patch.object(SafetyRules, "give_up", finish):
+        with mock.patch.object(SafetyRules, "answer_unserved", finish):
             rules, texts = self.broken(squall(lines=self.LONG_STALLS))
         self.assertIn("2", rules, texts)
 
@@ -621,7 +621,7 @@
 
     def test_crash(self):
         """A program that ends, be it by a part that should never end or by its own will."""
-        for part, code in (("sweep", 3), ("look_after_requests", None)):
+        for part, code in (("sweep", 3), ("look_at_loop_and_requests", None)):
 
             async def ends(self):
                 await asyncio.sleep(1)
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -34,8 +34,8 @@
         stale = self.staleness.usable_until + 1
         self.assertEqual(guard.endpoint_refusal(stale, "b"), Refusal.LIST_STALE)
         for cause in Refusal:
-            self.assertFalse(guard.allow(cause))
-        self.assertTrue(guard.allow(None))
+            self.assertFalse(guard.record_refusal(cause))
+        self.assertTrue(guard.record_refusal(None))
         self.assertEqual(guard.figures()["refused"], {cause.value: 1 for cause in Refusal})
         self.assertEqual(guard.figures()["refused_stale"], {"watched": 1})
 
@@ -44,7 +44,7 @@
         self.host.take(1, scheme=2)
         self.host.policy.requests.by_id[1].attempts[0].end(20.0, AttemptOutcome.CONNECTION_LOST)
         self.assertEqual(self.guard.request_refusal(30.0, self.context(1), 1), Refusal.REPEAT_WINDOW)
-        self.assertEqual(self.guard.check_written(30.0, self.context(1), 1, "a"), Violation.REPEATED)
+        self.assertEqual(self.guard.audit_attempt(30.0, self.context(1), 1, "a"), Violation.REPEATED)
 
     def test_violations(self):
         """By facts of its own: when a backend was told to leave, the list's deadline, the request's."""
@@ -58,9 +58,9 @@
             (10.0, self.context(over=True), "b", Violation.ANSWERED),
             (stale + GRACE + SLACK + 1, self.context(ends=99999.0), "b", Violation.LIST_STALE),
         ):
-            self.assertEqual(guard.check_written(at, context, 0, backend), broken)
+            self.assertEqual(guard.audit_attempt(at, context, 0, backend), broken)
         guard.endpoint_listed(2000.0, "a", True)
-        self.assertIsNone(guard.check_written(900.0, self.context(), 0, "a"))
+        self.assertIsNone(guard.audit_attempt(900.0, self.context(), 0, "a"))
         self.assertEqual(sum(guard.figures()["violations"].values()), 4)
 
     def test_bound(self):
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -198,9 +198,9 @@
         async def story(h):
             failed, dials, dial, h.discovery.patience_ms = [], [], sockets.connect, 50.0
             events = h.dispatcher.endpoint_events
-            report = events.poll_is_due
+            report = events.watch_is_missing
 
-            def poll_is_due(has_watch_ended):
+            def watch_is_missing(has_watch_ended):
                 if not has_watch_ended:
                     failed.append(len(dials))
                 report(has_watch_ended)
@@ -210,7 +210,7 @@
                 return None if len(dials) < 60 else await dial(loop, address, patience)
 
             with (
-                mock.patch.object(events, "poll_is_due", poll_is_due),
+                mock.patch.object(events, "watch_is_missing", watch_is_missing),
                 mock.patch("sloeferry.network.sockets.connect", cut),
                 mock.patch("sloeferry.network.discovery_watch.SILENT_SECONDS", 0.05),
             ):
