--- a/sloeferry/errors.py
+++ b/sloeferry/errors.py
@@ -1,5 +1,5 @@
-"""What every subsystem's command line ends on in one way: one line, exit 2."""
+"""The one hierarchy of the tools' errors: every command line ends on them in one way, with one line and exit status 2."""
 
 
 class UsageError(Exception):
-    """What was asked for can't be used; the text names the key, option or place."""
+    """The base: what was asked for cannot be used.  The text is one line and names the key, option or place."""
--- a/sloeferry/fleet/__init__.py
+++ b/sloeferry/fleet/__init__.py
@@ -1,1 +1,4 @@
-"""The whole fleet seen at its operators' addresses: who acts on which version, who lags and why.  Asks, never tells."""
+"""The whole fleet seen at its admin addresses: which proxy acts on which version, which ones lag and why.
+
+Only `bring_up` changes anything; the rest asks.
+"""
--- a/sloeferry/fleet/admin_cli.py
+++ b/sloeferry/fleet/admin_cli.py
@@ -1,8 +1,9 @@
-"""`sloeferry ops`: the operators' calls from a shell.  Exit 0 where the answer is yes, 1 where it is no."""
+"""`sloeferry ops`: admin calls to one proxy from a shell.  Exit 0 where the answer is yes, 1 where it is no."""
 
 import http.client
 import json
 import sys
+from typing import NamedTuple
 
 import click
 
@@ -10,45 +11,52 @@
 from sloeferry.config.instance import parse_address
 from sloeferry.errors import UsageError
 
-PATIENCE = 5.0  # seconds; an answer is due within one
+CALL_TIMEOUT_SECONDS = 5.0  # an answer is due within one
 
 
-def asked(method, path, at):
-    """One call to the proxy whose operators' address that is; whether yes, and the line to say."""
+class AdminAnswer(NamedTuple):
+    """Whether a proxy says yes, and the line to print."""
+
+    is_yes: bool
+    line: str
+
+
+def call_proxy(method: str, path: str, at: str) -> AdminAnswer:
+    """One call to the proxy whose admin address that is; raises UsageError where it is no address."""
     try:
         host, port = parse_address("--at", at)
-    except ConfigError as fault:
-        raise UsageError(str(fault)) from None
-    connection = http.client.HTTPConnection(host, port, timeout=PATIENCE)
+    except ConfigError as error:
+        raise UsageError(str(error)) from None
+    connection = http.client.HTTPConnection(host, port, timeout=CALL_TIMEOUT_SECONDS)
     try:
         connection.request(method, path)
-        answer = connection.getresponse()
-        said = json.loads(answer.read())
-    except (OSError, http.client.HTTPException) as fault:
-        return False, f"{at}: no answer: {fault}"
+        response = connection.getresponse()
+        document = json.loads(response.read())
+    except (OSError, http.client.HTTPException) as error:
+        return AdminAnswer(False, f"{at}: no answer: {error}")
     except ValueError:
-        return False, f"{at}: answered {answer.status}, and not in JSON: no proxy's operators' address"
+        return AdminAnswer(False, f"{at}: answered {response.status}, and not in JSON: no proxy's operators' address")
     finally:
         connection.close()
-    yes = 200 <= answer.status < 300
-    figures = ", ".join(f"{name} {figure}" for name, figure in said.items())
-    return yes, f"{at}: {'yes' if yes else 'no'}: {figures}"
+    is_yes = 200 <= response.status < 300
+    figures = ", ".join(f"{name} {figure}" for name, figure in document.items())
+    return AdminAnswer(is_yes, f"{at}: {'yes' if is_yes else 'no'}: {figures}")
 
 
 @click.group()
-def ops():
+def ops() -> None:
     """Asks a proxy at its operators' address (`ops` in its configuration)."""
 
 
-def call(name, method, about):
-    @ops.command(name, help=about)
+def _add_command(name: str, method: str, description: str) -> None:
+    @ops.command(name, help=description)
     @click.option("--at", required=True, metavar="HOST:PORT", help="The operators' address.")
-    def ask(at):
-        yes, line = asked(method, f"/admin/{name}", at)
-        click.echo(line)
-        sys.exit(not yes)
+    def command(at: str) -> None:
+        answer = call_proxy(method, f"/admin/{name}", at)
+        click.echo(answer.line)
+        sys.exit(not answer.is_yes)
 
 
-call("health", "GET", "Whether it is ready to serve.")
-call("quiesce", "POST", "Send its clients away; it goes on answering those who come.")
-call("resume", "POST", "Take clients in again.")
+_add_command("health", "GET", "Whether it is ready to serve.")
+_add_command("quiesce", "POST", "Send its clients away; it goes on answering those who come.")
+_add_command("resume", "POST", "Take clients in again.")
--- a/sloeferry/fleet/cli.py
+++ b/sloeferry/fleet/cli.py
@@ -8,102 +8,105 @@
 import click
 
 from sloeferry.errors import UsageError
-from sloeferry.fleet import roll as r
-from sloeferry.fleet.ask import ask_all
-from sloeferry.fleet.audit import BOUND
-from sloeferry.fleet.audit import audit as audited
+from sloeferry.fleet.audit import DEFAULT_BOUND_MS, audit_fleet
 from sloeferry.fleet.bring_up import bring_up
+from sloeferry.fleet.fleet_config import FleetConfig, read_fleet_config
+from sloeferry.fleet.fleet_query import FleetAnswers, query_fleet
+from sloeferry.fleet.report import format_audit
 
-OLD = 86400.0 * 366  # seconds: whatever lies further back is a wrong number
+MAX_SINCE_SECONDS = 86400.0 * 366  # whatever lies further back is a wrong number
+
+fleet_option = click.option("--fleet", "path", required=True, metavar="FILE", help="TOML: [[proxy]] name and at; discovery.")
 
 
 @click.group()
-def fleet():
+def fleet() -> None:
     """Asks every proxy of a fleet at its operators' address.  Figures are the proxies' own word."""
 
 
-def asked(path, since):
-    """The roll, all answers and discovery's; an interrupted one says how far it came."""
-    if since is not None and not 0 <= since <= OLD:
-        raise UsageError(f"--since: {since:g} is not a number of seconds from 0 up: what is to come has no acts")
-    roll = r.read(path)
+def _query_with_progress(config: FleetConfig, since_seconds: float | None) -> FleetAnswers:
+    """All answers; on a terminal it is shown how far it came."""
+    shows_progress = sys.stderr.isatty()
 
-    def progress(done):
-        if sys.stderr.isatty():
-            click.echo(f"\r{done} of {len(roll.proxies)} asked", nl=False, err=True)
+    def show(asked: int) -> None:
+        if shows_progress:
+            click.echo(f"\r{asked} of {len(config.proxies)} asked", nl=False, err=True)
 
-    answers, newest = asyncio.run(ask_all(roll, since, progress))
-    if sys.stderr.isatty():
+    answers = asyncio.run(query_fleet(config, since_seconds, show))
+    if shows_progress:
         click.echo("\r\033[K", nl=False, err=True)
-    return roll, answers, newest
+    return answers
+
+
+def _check_since(since_seconds: float | None) -> None:
+    if since_seconds is None:
+        return
+    if math.isnan(since_seconds):
+        raise UsageError("--since: is no number")
+    if not 0 <= since_seconds <= MAX_SINCE_SECONDS:
+        raise UsageError(f"--since: {since_seconds:g} is not a number of seconds from 0 up: what is to come has no acts")
 
 
-def table(said, everybody):
-    """People's view: figures, then whoever is not on the newest."""
-    newest, lines = said["newest"], []
-    lines.append(
-        f"{said['proxies']} proxies: {said['current']} on the newest, {said['straggler']} behind, "
-        f"{said['unknown']} unknown; {said['acts_after_bound']} acts on an old version after the bound"
+def _add_audit_command(name: str, with_current: bool, description: str) -> None:
+    @fleet.command(name, help=description)
+    @fleet_option
+    @click.option(
+        "--since",
+        "since_seconds",
+        type=float,
+        metavar="SECONDS",
+        help="Acts of so long back; all that is kept without it.",
     )
-    by = "discovery's word" if newest["by_discovery"] else "the highest that anybody holds"
-    lines.append(f"newest: settings {newest['settings']}, list {newest['list']} ({by})")
-    for what, reached in said["reached"].items():
-        lines.append(
-            f"  {what} reached "
-            + ", ".join(f"{part} {'not yet' if ms is None else f'after {ms / 1000:.1f} s'}" for part, ms in reached.items())
-        )
-    rows = [row for row in said["rows"] if everybody or row["state"] != "current"]
-    if rows:
-        wide = max(len(row["name"]) for row in rows)
-        lines.append(f"  {'name':{wide}s}  state      settings          list      cause")
-        lines += [
-            f"  {row['name']:{wide}s}  {row['state']:9s}  {row.get('settings', '-'):16s}  "
-            f"{'-' if not row.get('list') else '{}/{}'.format(*row['list']):8s}  "
-            f"{row['cause']}{': ' if row['evidence'] else ''}{row['evidence']}"
-            for row in rows
-        ]
-    for one in said["contradictions"]:
-        lines.append(f"  revision {one['revision']} says two things:")
-        lines += [f"    {digest}: {', '.join(names)}" for digest, names in one["said"].items()]
-    if said["asked"] < said["proxies"]:
-        lines.append(f"  interrupted: {said['asked']} of {said['proxies']} were asked")
-    return "\n".join(lines)
-
-
-def verb(name, everybody, about):
-    @fleet.command(name, help=about)
-    @click.option("--fleet", "path", required=True, metavar="FILE", help="TOML: [[proxy]] name and at; discovery.")
-    @click.option("--since", type=float, metavar="SECONDS", help="Acts of so long back; all that is kept without it.")
     @click.option(
         "--bound",
+        "bound_seconds",
         type=click.FloatRange(0),
-        default=BOUND / 1000,
+        default=DEFAULT_BOUND_MS / 1000,
         show_default=True,
         help="Seconds after a change from which acts on the version before count.",
     )
     @click.option("--json", "as_json", is_flag=True)
-    def command(path, since, bound, as_json):
-        if since is not None and math.isnan(since):
-            raise UsageError("--since: is no number")
-        said = audited(*asked(path, since), bound * 1000)
-        click.echo(json.dumps(said, indent=1) if as_json else table(said, everybody))
-        sys.exit(said["exit"])
+    def command(path: str, since_seconds: float | None, bound_seconds: float, as_json: bool) -> None:
+        _check_since(since_seconds)
+        config = read_fleet_config(path)
+        audit = audit_fleet(config, _query_with_progress(config, since_seconds), bound_seconds * 1000)
+        click.echo(json.dumps(audit.as_json(), indent=1) if as_json else format_audit(audit, with_current))
+        sys.exit(audit.exit_status())
 
 
 @fleet.command("bring-up")
-@click.option("--fleet", "path", required=True, metavar="FILE", help="TOML: [[proxy]] name and at; discovery.")
-@click.option("--pace", type=click.FloatRange(0.001), default=0.1, show_default=True, help="Seconds from one call to the next.")
+@fleet_option
 @click.option(
-    "--patience", type=click.FloatRange(0), default=10.0, show_default=True, help="Seconds until who still lags is told."
+    "--pace",
+    "pace_seconds",
+    type=click.FloatRange(0.001),
+    default=0.1,
+    show_default=True,
+    help="Seconds from one call to the next.",
+)
+@click.option(
+    "--patience",
+    "patience_seconds",
+    type=click.FloatRange(0),
+    default=10.0,
+    show_default=True,
+    help="Seconds until who still lags is told.",
 )
 @click.option("--seed", type=click.IntRange(0), default=0, help="Of the order.")
 @click.option("--json", "as_json", is_flag=True)
-def bring(path, pace, patience, seed, as_json):
+def bring_up_command(path: str, pace_seconds: float, patience_seconds: float, seed: int, as_json: bool) -> None:
     """Has stragglers ask for the list, or read their file, again.  Exit as of an audit afterwards."""
-    said = asyncio.run(bring_up(r.read(path), pace, patience, BOUND, seed, lambda text: click.echo(text, err=True)))
-    click.echo(json.dumps(said, indent=1) if as_json else table(said, False))
-    sys.exit(said["exit"])
 
+    def say(text: str) -> None:
+        click.echo(text, err=True)
+
+    config = read_fleet_config(path)
+    result = asyncio.run(bring_up(config, pace_seconds, patience_seconds, DEFAULT_BOUND_MS, seed, say))
+    click.echo(json.dumps(result.as_json(), indent=1) if as_json else format_audit(result.audit, with_current=False))
+    sys.exit(result.audit.exit_status())
 
-verb("versions", True, "Who holds which version, a row a proxy.")
-verb("audit", False, "Who lags and why.  Exit 0: all on the newest, 1: stragglers or acts after the bound, 3: only unknowns.")
+
+_add_audit_command("versions", True, "Who holds which version, a row a proxy.")
+_add_audit_command(
+    "audit", False, "Who lags and why.  Exit 0: all on the newest, 1: stragglers or acts after the bound, 3: only unknowns."
+)
--- /dev/null
+++ b/sloeferry/fleet/fleet_query.py
@@ -0,0 +1,84 @@
+"""Asks all proxies of a fleet side by side.  Whoever does not answer is unknown."""
+
+import asyncio
+from collections.abc import Callable
+from typing import NamedTuple
+
+from sloeferry.fleet.admin_client import JsonObject, NoAnswer, NoAnswerKind, call
+from sloeferry.fleet.documents import ActsDocument, VersionsDocument
+from sloeferry.fleet.fleet_config import FleetConfig, ProxyAddress
+
+MAX_CONCURRENT_CALLS = 64
+
+
+class ProxyAnswer(NamedTuple):
+    """What a proxy holds and did."""
+
+    versions: VersionsDocument
+    acts: ActsDocument
+
+
+class FleetAnswers(NamedTuple):
+    """The proxies' answers in the order of the fleet's file; `endpoint_list` is None where discovery may not be asked."""
+
+    proxies: list[ProxyAnswer | NoAnswer]
+    endpoint_list: JsonObject | NoAnswer | None
+
+    def known(self) -> list[ProxyAnswer]:
+        """The answers of those who answered."""
+        return [answer for answer in self.proxies if not isinstance(answer, NoAnswer)]
+
+
+async def query_fleet(
+    fleet: FleetConfig, since_seconds: float | None = None, progress: Callable[[int], None] = lambda asked: None
+) -> FleetAnswers:
+    """Asks everybody; acts of the last `since_seconds`, or all that are kept.
+
+    `progress` is called with how many proxies were asked so far.  Interrupted, it returns what there is.
+    """
+    query = _FleetQuery(fleet, since_seconds, progress)
+    tasks = [asyncio.create_task(query.ask(index, proxy)) for index, proxy in enumerate(fleet.proxies)]
+    if fleet.discovery:
+        tasks.append(asyncio.create_task(query.ask_discovery(fleet.discovery)))
+    try:
+        await asyncio.gather(*tasks)
+    except asyncio.CancelledError:
+        for task in tasks:
+            task.cancel()
+        await asyncio.wait(tasks)
+    return FleetAnswers(query.answers, query.endpoint_list)
+
+
+class _FleetQuery:
+    """The answers so far."""
+
+    def __init__(self, fleet: FleetConfig, since_seconds: float | None, progress: Callable[[int], None]):
+        not_asked = NoAnswer(NoAnswerKind.NOT_ASKED, "the audit was interrupted")
+        self.answers: list[ProxyAnswer | NoAnswer] = [not_asked] * len(fleet.proxies)
+        self.endpoint_list: JsonObject | NoAnswer | None = None
+        self._acts_path = "/admin/acted" if since_seconds is None else f"/admin/acted?since={since_seconds:g}"
+        self._progress = progress
+        self._semaphore = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
+
+    async def ask(self, index: int, proxy: ProxyAddress) -> None:
+        """Asks one proxy."""
+        async with self._semaphore:
+            self.answers[index] = await self._answer(proxy)
+            self._progress(sum(not _is_not_asked(answer) for answer in self.answers))
+
+    async def _answer(self, proxy: ProxyAddress) -> ProxyAnswer | NoAnswer:
+        versions = await call(proxy.address, "/admin/versions")
+        if isinstance(versions, NoAnswer):
+            return versions
+        if versions.get("name") != proxy.name:
+            return NoAnswer(NoAnswerKind.WRONG_PROXY, f"says that it is {versions.get('name')!r}")
+        acts = await call(proxy.address, self._acts_path)
+        return acts if isinstance(acts, NoAnswer) else ProxyAnswer(versions, acts)
+
+    async def ask_discovery(self, address: tuple[str, int]) -> None:
+        """Asks for the endpoint list."""
+        self.endpoint_list = await call(address, "/v1/endpoints")
+
+
+def _is_not_asked(answer: ProxyAnswer | NoAnswer) -> bool:
+    return isinstance(answer, NoAnswer) and answer.kind is NoAnswerKind.NOT_ASKED
--- /dev/null
+++ b/sloeferry/fleet/report.py
@@ -0,0 +1,43 @@
+"""An audit as people read it: figures, then the proxies that are not on the newest versions."""
+
+from sloeferry.fleet.audit_record import FleetAudit, ProxyRow, ProxyState, Spread
+
+
+def format_audit(audit: FleetAudit, with_current: bool) -> str:
+    """The lines; `with_current`: with a row for the proxies on the newest versions, too."""
+    newest = audit.newest
+    source = "discovery's word" if newest.by_discovery else "the highest that anybody holds"
+    lines = [
+        f"{len(audit.rows)} proxies: {audit.count(ProxyState.CURRENT)} on the newest, "
+        f"{audit.count(ProxyState.STRAGGLER)} behind, {audit.count(ProxyState.UNKNOWN)} unknown; "
+        f"{audit.acts_after_bound()} acts on an old version after the bound",
+        f"newest: settings {newest.settings}, list {newest.list_revision} ({source})",
+    ]
+    lines += [f"  {subject.log_key} reached {_format_spread(spread)}" for subject, spread in audit.reached.items()]
+    lines += _format_rows([row for row in audit.rows if with_current or row.state is not ProxyState.CURRENT])
+    for contradiction in audit.contradictions:
+        lines.append(f"  revision {contradiction.revision} says two things:")
+        lines += [f"    {content}: {', '.join(names)}" for content, names in contradiction.proxies_by_content.items()]
+    if audit.asked() < len(audit.rows):
+        lines.append(f"  interrupted: {audit.asked()} of {len(audit.rows)} were asked")
+    return "\n".join(lines)
+
+
+def _format_spread(spread: Spread) -> str:
+    return ", ".join(f"{part} {'not yet' if ms is None else f'after {ms / 1000:.1f} s'}" for part, ms in spread.items())
+
+
+def _format_rows(rows: list[ProxyRow]) -> list[str]:
+    if not rows:
+        return []
+    width = max(len(row.name) for row in rows)
+    header = f"  {'name':{width}s}  state      settings          list      cause"
+    return [header, *(_format_row(row, width) for row in rows)]
+
+
+def _format_row(row: ProxyRow, width: int) -> str:
+    settings = row.held.settings_digest if row.held else "-"
+    held_list = row.held and row.held.list_incarnation_and_revision
+    version = "{}/{}".format(*held_list) if held_list else "-"
+    separator = ": " if row.evidence else ""
+    return f"  {row.name:{width}s}  {row.state.value:9s}  {settings:16s}  {version:8s}  {row.cause}{separator}{row.evidence}"
--- a/sloeferry/load_testing/__init__.py
+++ b/sloeferry/load_testing/__init__.py
@@ -1,4 +1,4 @@
-"""The load tool: open-loop callers, stand-in backends and daemons on loopback, and what they measure.
+"""The load tool: open-loop clients, stand-in backends and proxies on loopback, and what they measure.
 
-The daemon imports nothing of this package.
+The proxy imports nothing of this package.
 """
--- a/sloeferry/load_testing/cli.py
+++ b/sloeferry/load_testing/cli.py
@@ -1,155 +1,237 @@
 """`sloeferry load`: what is typed, checked and handed on."""
 
 import json
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass, replace
+from typing import Any
 
 import click
 
-from sloeferry.load_testing import cases as hard
-from sloeferry.load_testing import day as days
-from sloeferry.load_testing import plan as p
-from sloeferry.load_testing import step as s
-from sloeferry.load_testing.play import Rig, play
-from sloeferry.load_testing.proxies import tree_of, workshop
-
-
-def common(command):
-    """Options of every play."""
-    for option in reversed(
-        (
-            click.option(
-                "--cores",
-                type=click.FloatRange(0.0, 1.0),
-                default=0.7,
-                show_default=True,
-                help="Share of a core a daemon gets; 0: no throttle.",
-            ),
-            click.option("--daemons", type=click.IntRange(1, 4), default=1, show_default=True),
-            click.option("--workers", type=click.IntRange(1, 6), default=2, show_default=True, help="Caller processes at least."),
-            click.option("--seed", type=int, default=1, show_default=True),
-            click.option("--retries", type=click.IntRange(0, 5), default=1, show_default=True),
-            click.option(
-                "--fresh",
-                type=click.FloatRange(0, 1),
-                default=0.0,
-                show_default=True,
-                help="Share of txns on a connection of their own.",
-            ),
-            click.option(
-                "--connections",
-                type=click.IntRange(1, 20000),
-                default=320,
-                show_default=True,
-                help="Connections that all callers may hold.",
-            ),
-            click.option(
-                "--work-ms",
-                type=click.FloatRange(0, 1000),
-                default=4.0,
-                show_default=True,
-                help="Mean work of a stand-in backend.",
-            ),
-            click.option("--target", help="host:port of a proxy that runs already; loopback only."),
-            click.option("--json", "as_json", is_flag=True, help="The figures as JSON."),
-        )
-    ):
+from sloeferry.load_testing import operations
+from sloeferry.load_testing.deployment import Deployment, temporary_folder
+from sloeferry.load_testing.figures import LoadFigures
+from sloeferry.load_testing.load_run import run_load
+from sloeferry.load_testing.overload_cases import OVERLOAD_CASES, CaseResult, run_case
+from sloeferry.load_testing.plan import ClientProfile, CurvePiece, LoadPlan, LoadPlanError, parse_curve
+from sloeferry.load_testing.proxy_process import extract_revision
+from sloeferry.load_testing.saturation import (
+    DEFAULT_FACTORS,
+    HEADER,
+    Measure,
+    Spread,
+    StepRuns,
+    draw_goodput,
+    find_saturation,
+    format_line,
+    goodput_over_best,
+    ratios_now_over_then,
+    run_steps,
+)
+
+NO_CURVE = (CurvePiece(1.0, 0.0),)  # until the command has its own
+
+COMMON_OPTIONS = (
+    click.option(
+        "--cores",
+        "cpu_share",
+        type=click.FloatRange(0.0, 1.0),
+        default=0.7,
+        show_default=True,
+        help="Share of a core a daemon gets; 0: no throttle.",
+    ),
+    click.option("--daemons", "proxies", type=click.IntRange(1, 4), default=1, show_default=True),
+    click.option("--workers", type=click.IntRange(1, 6), default=2, show_default=True, help="Caller processes at least."),
+    click.option("--seed", type=int, default=1, show_default=True),
+    click.option("--retries", type=click.IntRange(0, 5), default=1, show_default=True),
+    click.option(
+        "--fresh",
+        "new_connection_ratio",
+        type=click.FloatRange(0, 1),
+        default=0.0,
+        show_default=True,
+        help="Share of txns on a connection of their own.",
+    ),
+    click.option(
+        "--connections",
+        type=click.IntRange(1, 20000),
+        default=320,
+        show_default=True,
+        help="Connections that all callers may hold.",
+    ),
+    click.option(
+        "--work-ms",
+        type=click.FloatRange(0, 1000),
+        default=4.0,
+        show_default=True,
+        help="Mean work of a stand-in backend.",
+    ),
+    click.option("--target", help="host:port of a proxy that runs already; loopback only."),
+    click.option("--json", "as_json", is_flag=True, help="The figures as JSON."),
+)
+
+
+def common_options(command: Callable[..., None]) -> Callable[..., None]:
+    """Adds the options of every run."""
+    for option in reversed(COMMON_OPTIONS):
         command = option(command)
     return command
 
 
-def laid(cores, daemons, workers, seed, retries, fresh, connections, work_ms, target):
-    """Plan and rig of the common options."""
+def plan_and_deployment(
+    *,
+    cpu_share: float,
+    proxies: int,
+    workers: int,
+    seed: int,
+    retries: int,
+    new_connection_ratio: float,
+    connections: int,
+    work_ms: float,
+    target: str | None,
+) -> tuple[LoadPlan, Deployment]:
+    """What the common options ask for, without a curve; raises LoadPlanError."""
     if target and not target.startswith("127."):
-        raise p.LoadPlanError(f"--target: {target!r} is no loopback address")
-    habits = p.Habits(retries=retries, fresh=fresh, connections=connections)
-    return p.Plan(((1.0, 0.0),), seed, habits=habits), Rig(cores or None, daemons, workers, work_ms=work_ms, target=target)
-
-
-def plain(said):
-    return {key: value for key, value in said.items() if not callable(value)}
+        raise LoadPlanError(f"--target: {target!r} is no loopback address")
+    clients = ClientProfile(max_retries=retries, new_connection_ratio=new_connection_ratio, max_connections=connections)
+    return LoadPlan(NO_CURVE, seed, clients=clients), Deployment(
+        cpu_share or None, proxies, workers, work_ms=work_ms, target=target
+    )
 
 
 @click.group()
-def load():
+def load() -> None:
     """Open-loop load on loopback: find saturation, play beyond it, compare with an earlier revision."""
 
 
 @load.command()
 @click.option("--curve", default="5:300", show_default=True, help="seconds:rate,seconds:rate,...")
-@common
-def run(curve, as_json, **options):
+@common_options
+def run(curve: str, as_json: bool, **options: Any) -> None:
     """Plays one curve."""
-    plan, rig = laid(**options)
-    said = play(s.replace(plan, curve=p.parse_curve(curve)), rig)
-    click.echo(json.dumps(plain(said)) if as_json else f"{s.HEAD}\n{s.line(1, said, 'now')}")
+    plan, deployment = plan_and_deployment(**options)
+    figures = run_load(replace(plan, curve=parse_curve(curve)), deployment)
+    click.echo(json.dumps(figures.as_json()) if as_json else f"{HEADER}\n{format_line(1, figures, 'now')}")
+
+
+@dataclass(frozen=True)
+class _StepReport:
+    """What `load step` tells in the end."""
+
+    saturation: float
+    rows: list[StepRuns]
+
+    def _held(self) -> dict[float, float]:
+        return goodput_over_best(self.rows)
+
+    def _ratios(self, measure: Measure) -> dict[float, Spread]:
+        return ratios_now_over_then(self.rows, measure)
+
+    def cpu_ratios(self) -> dict[float, Spread]:
+        """CPU time a request, by factor."""
+        return self._ratios(lambda figures: figures.cpu_us_per_request)
+
+    def goodput_ratios(self) -> dict[float, Spread]:
+        """Requests served in time, by factor."""
+        return self._ratios(lambda figures: figures.in_time_per_second)
+
+    def lines(self) -> list[str]:
+        """For people."""
+        held = ", ".join(f"{factor:g}x {ratio:.2f}" for factor, ratio in self._held().items())
+        lines = [f"goodput over its best: {held}"]
+        for name, spreads in (("cpu a txn", self.cpu_ratios()), ("goodput", self.goodput_ratios())):
+            for factor, spread in spreads.items():
+                lines.append(
+                    f"{name} at {factor:g}x, now over then: {spread.median:.2f} ({spread.least:.2f} to {spread.largest:.2f})"
+                )
+        return lines
+
+    def as_json(self) -> dict[str, Any]:
+        """For programs."""
+        return {
+            "saturation": self.saturation,
+            "held": self._held(),
+            "cpu": self.cpu_ratios(),
+            "goodput": self.goodput_ratios(),
+            "rows": [(row.factor, _records(row.now), _records(row.then)) for row in self.rows],
+        }
+
+
+def _records(runs: Sequence[LoadFigures]) -> list[dict[str, Any]]:
+    return [figures.as_json() for figures in runs]
 
 
 @load.command()
 @click.option("--saturation", type=float, help="Txns a second; unset, it is searched for.")
-@click.option("--factors", default=",".join(f"{f:g}" for f in s.FACTORS), show_default=True)
+@click.option("--factors", default=",".join(f"{factor:g}" for factor in DEFAULT_FACTORS), show_default=True)
 @click.option("--seconds", type=click.FloatRange(2, 600), default=6.0, show_default=True, help="Of each play.")
-@click.option("--against", metavar="REV", help="An earlier revision, played in turn.")
+@click.option("--against", "revision", metavar="REV", help="An earlier revision, played in turn.")
 @click.option("--pairs", type=click.IntRange(1, 20), default=1, show_default=True)
-@click.option("--plot", type=click.Path(dir_okay=False, writable=True), help="Draws the curve as SVG.")
-@common
-def step(saturation, factors, seconds, against, pairs, plot, as_json, **options):
+@click.option("--plot", "plot_path", type=click.Path(dir_okay=False, writable=True), help="Draws the curve as SVG.")
+@common_options
+def step(
+    saturation: float | None,
+    factors: str,
+    seconds: float,
+    revision: str | None,
+    pairs: int,
+    plot_path: str | None,
+    as_json: bool,
+    **options: Any,
+) -> None:
     """Finds saturation, then plays multiples of it."""
-    plan, rig = laid(**options)
-    try:
-        factors = [float(text) for text in factors.split(",")]
-    except ValueError:
-        raise p.LoadPlanError(f"--factors: {factors!r} is no list of numbers") from None
+    plan, deployment = plan_and_deployment(**options)
+    factor_values = _parse_factors(factors)
 
-    def say(text):
+    def say(text: str) -> None:
         click.echo(text, err=as_json)
 
-    with workshop() as folder:
-        rate = saturation or s.saturation(plan, rig, say)
+    with temporary_folder() as folder:
+        rate = saturation or find_saturation(plan, deployment, say)
         say(f"saturation: {rate:.0f} txns a second")
-        say(s.HEAD)
-        rows = s.steps(plan, rig, rate, factors, seconds, pairs, tree_of(against, folder) if against else None, say)
-    held, cost, good = s.held(rows), s.ratios(rows, "cpu_us"), s.ratios(rows, "in_time")
-    say("goodput over its best: " + ", ".join(f"{factor:g}x {part:.2f}" for factor, part in held.items()))
-    for name, pairs_of in (("cpu a txn", cost), ("goodput", good)):
-        for factor, (low, middle, high) in pairs_of.items():
-            say(f"{name} at {factor:g}x, now over then: {middle:.2f} ({low:.2f} to {high:.2f})")
-    if plot:
-        s.plot(rows, plot, f"Goodput past saturation ({rate:.0f} a second), simulated backends")
+        say(HEADER)
+        earlier_tree = str(extract_revision(revision, folder)) if revision else None
+        rows = run_steps(plan, deployment, rate, factor_values, seconds, pairs, earlier_tree, say)
+    report = _StepReport(rate, rows)
+    for line in report.lines():
+        say(line)
+    if plot_path:
+        draw_goodput(rows, plot_path, f"Goodput past saturation ({rate:.0f} a second), simulated backends")
     if as_json:
-        click.echo(
-            json.dumps(
-                {
-                    "saturation": rate,
-                    "held": held,
-                    "cpu": cost,
-                    "goodput": good,
-                    "rows": [(factor, [plain(f) for f in own], [plain(f) for f in other]) for factor, own, other in rows],
-                }
-            )
-        )
+        click.echo(json.dumps(report.as_json()))
 
 
-@load.command()
-@click.argument("name", type=click.Choice(["all", *hard.CASES]))
+def _parse_factors(text: str) -> list[float]:
+    try:
+        return [float(part) for part in text.split(",")]
+    except ValueError:
+        raise LoadPlanError(f"--factors: {text!r} is no list of numbers") from None
+
+
+@load.command("case")
+@click.argument("name", type=click.Choice(["all", *OVERLOAD_CASES]))
 @click.option("--saturation", type=float, required=True, help="Txns a second.")
-@common
-def case(name, saturation, as_json, **options):
+@common_options
+def case(name: str, saturation: float, as_json: bool, **options: Any) -> None:
     """Plays hard cases and prints how long each took to recover."""
-    plan, rig = laid(**options)
-    for one in hard.CASES if name == "all" else [name]:
-        said = hard.run(one, plan, rig, saturation)
-        if as_json:
-            click.echo(json.dumps(plain(said) | {"case": one}))
-        else:
-            back = "never" if said["recovery"] is None else f"{said['recovery']:.0f} s"
-            click.echo(
-                f"{one:14} back after {back:>6}; gain {said['gain']:.2f}, lost {said['lost']:.0f}/s, overdue "
-                f"{said['overdue']:.0f}/s, undecided {said.get('undecided', 0)}   ({hard.CASES[one].about})"
-            )
+    plan, deployment = plan_and_deployment(**options)
+    for case_name in OVERLOAD_CASES if name == "all" else [name]:
+        result = run_case(case_name, plan, deployment, saturation)
+        record = result.figures.as_json() | {"recovery": result.recovery_seconds, "case": case_name}
+        click.echo(json.dumps(record) if as_json else _case_line(case_name, result))
 
 
-@load.command()
-@click.argument("name", type=click.Choice(["all", *days.PARTS]))
-def day(name):
+def _case_line(name: str, result: CaseResult) -> str:
+    record = result.figures.as_json()
+    recovery = "never" if result.recovery_seconds is None else f"{result.recovery_seconds:.0f} s"
+    return (
+        f"{name:14} back after {recovery:>6}; gain {record['gain']:.2f}, lost {record['lost']:.0f}/s, overdue "
+        f"{record['overdue']:.0f}/s, undecided {record.get('undecided', 0)}   ({OVERLOAD_CASES[name].description})"
+    )
+
+
+@load.command("day")
+@click.argument("name", type=click.Choice(["all", *operations.MEASUREMENTS]))
+def day(name: str) -> None:
     """Measures what operators do: calls under load, processes replaced, long answers, waiting connections."""
-    for one in days.PARTS if name == "all" else [name]:
-        click.echo(json.dumps({one: days.measure(one)}))
+    for part in operations.MEASUREMENTS if name == "all" else [name]:
+        click.echo(json.dumps({part: operations.measure(part)}))
--- /dev/null
+++ b/sloeferry/load_testing/figures.py
@@ -0,0 +1,90 @@
+"""The figures of a run, typed, and the record that they make."""
+
+from dataclasses import dataclass
+from typing import Any
+
+from sloeferry.load_testing.outcomes import Outcome, OutcomeCounts
+
+
+@dataclass(frozen=True)
+class ProxyFigures:
+    """What the proxies of a run used; `cpu_ratio` of one core each, lag as seen from outside."""
+
+    cpu_us_per_request: float
+    cpu_us_per_request_in_time: float
+    cpu_ratio: float
+    memory_mb: float
+    median_lag_ms: float
+    p99_lag_ms: float
+    undecided: int  # requests that a proxy answered for want of a decision
+
+    def as_json(self) -> dict[str, Any]:
+        """As the record spells them."""
+        return {
+            "cpu_us": self.cpu_us_per_request,
+            "cpu_us_served": self.cpu_us_per_request_in_time,
+            "cpu": self.cpu_ratio,
+            "memory_mb": self.memory_mb,
+            "lag_p50": self.median_lag_ms,
+            "lag_p99": self.p99_lag_ms,
+            "undecided": self.undecided,
+        }
+
+
+@dataclass(frozen=True)
+class LoadFigures:
+    """The figures of one run: rates a second over the span that counts, the rest over the whole run."""
+
+    offered_per_second: float
+    rates_per_second: dict[Outcome, float]
+    counts: OutcomeCounts
+    max_client_delay_ms: float  # by how much the clients themselves ran late
+    proxies: ProxyFigures | None  # None: a proxy that the tool did not start
+    backends: dict[str, int] | None = None  # requests `served`, and attempts begun `twice`
+
+    @property
+    def in_time_per_second(self) -> float:
+        """The goodput."""
+        return self.rates_per_second[Outcome.IN_TIME]
+
+    @property
+    def cpu_us_per_request(self) -> float | None:
+        """CPU time of the proxies; None where they were not measured."""
+        return self.proxies.cpu_us_per_request if self.proxies else None
+
+    def as_json(self) -> dict[str, Any]:
+        """The record of the run."""
+        return {
+            "offered": self.offered_per_second,
+            **self.rates_per_second,
+            **self.counts.latency_ms(),
+            "decline_p50": self.counts.median_rejection_ms(),
+            "gain": self.counts.weight_ratio(),
+            "tries": self.counts.attempts,
+            "connections": self.counts.connections,
+            "twice": self.counts.duplicate_answers,
+            "late_callers_ms": self.max_client_delay_ms,
+            **(self.proxies.as_json() if self.proxies else {}),
+            **({} if self.backends is None else {"backends": self.backends}),
+            "by_second": self.counts.by_second_as_json(),
+        }
+
+
+def figures_between(
+    counts: OutcomeCounts,
+    since_seconds: float,
+    until_seconds: float,
+    max_client_delay_ms: float = 0.0,
+    proxies: ProxyFigures | None = None,
+    backends: dict[str, int] | None = None,
+) -> LoadFigures:
+    """Figures whose rates are those between two whole seconds."""
+    span_seconds = max(1e-9, until_seconds - since_seconds)
+    return LoadFigures(
+        counts.offered(since_seconds, until_seconds) / span_seconds,
+        {outcome: counts.total(outcome, since_seconds, until_seconds) / span_seconds for outcome in Outcome},
+        counts,
+        max_client_delay_ms,
+        proxies,
+        backends,
+    )
--- /dev/null
+++ b/sloeferry/load_testing/proxy_config.py
@@ -0,0 +1,78 @@
+"""The configuration files of the proxies under load, as the platform writes them."""
+
+import json
+import pathlib
+from collections.abc import Sequence
+from typing import Any
+
+from sloeferry.load_testing.plan import LoadPlan, RequestClassLoad
+from sloeferry.stand_ins import platform
+
+DEDUPLICATION_WINDOW_MS = 30_000
+ZONE = "a"
+MACHINE_KIND = "m"
+WARM_UP_SECONDS = 23.0
+WARM_UP_FROM_RATIO = 0.12  # of its speed, that a backend just started has
+
+
+def proxy_settings(plan: LoadPlan, ordinal: int, instances: int) -> dict[str, Any]:
+    """The platform's settings for what the clients of a plan ask."""
+    return platform.settings(
+        [_class_settings(each) for each in plan.request_classes],
+        plan.tenants,
+        instances=instances,
+        ordinal=ordinal,
+        zones=[ZONE],
+        kinds=[MACHINE_KIND],
+        cold_s=WARM_UP_SECONDS,
+        cold_from=WARM_UP_FROM_RATIO,
+    )
+
+
+def _class_settings(request_class: RequestClassLoad) -> dict[str, Any]:
+    return platform.scheme(
+        request_class.name,
+        "referenced" if request_class.has_idempotency_key else "repeatable",
+        request_class.latency_objective_ms,
+        request_class.deadline_ms,
+        request_class.priority_weight,
+        window_ms=DEDUPLICATION_WINDOW_MS,
+    )
+
+
+def write_proxy_config(
+    path: pathlib.Path,
+    name: str,
+    listen: tuple[str, int],
+    discovery: tuple[str, int],
+    settings: dict[str, Any],
+    *,
+    seed: int,
+    sockets: int,
+    memory_mb: int,
+    cores: float = 1.0,
+    admin: tuple[str, int] | None = None,
+) -> None:
+    """Writes one proxy's configuration."""
+    config = platform.berth(
+        name, listen, discovery, settings, seed=seed, sockets=sockets, memory_mb=memory_mb, cores=cores, ops=admin
+    )
+    path.write_text(json.dumps(config))
+
+
+def endpoint_document(addresses: Sequence[tuple[str, int]]) -> dict[str, Any]:
+    """The endpoint list, as discovery tells it, of backends that all serve."""
+    members = [
+        {
+            "id": f"b{index}",
+            "host_port": f"{host}:{port}",
+            "locality": ZONE,
+            "flavor": MACHINE_KIND,
+            "cell": 0,
+            "phase": "active",
+            "size": 1.0,
+            "up_since_ms": 0,
+        }
+        for index, (host, port) in enumerate(addresses)
+    ]
+    return {"revision": 1, "complete": True, "members": members}
--- /dev/null
+++ b/sloeferry/load_testing/stand_in_process.py
@@ -0,0 +1,124 @@
+"""Stand-in backends and discovery in a process of their own: python -m sloeferry.load_testing.stand_in_process.
+
+Its task comes as JSON on standard input.  Loopback only.  A backend has cores and a queue; work is drawn from a seed.  It
+reports its load with each answer.  On SIGTERM the process writes what it has served on standard output and ends.
+"""
+
+import asyncio
+import json
+import signal
+import sys
+from dataclasses import dataclass
+from random import Random
+from time import monotonic, time
+from types import SimpleNamespace
+from typing import Any
+
+import uvloop
+
+from sloeferry.load_testing.deployment import BackendFault, BackendFaultKind
+from sloeferry.load_testing.proxy_config import MACHINE_KIND, ZONE
+from sloeferry.stand_ins.backends import Node
+from sloeferry.stand_ins.discovery import Roster
+from sloeferry.stand_ins.effect_log import Ledger
+
+WORK_SIGMA = 0.5  # of the logarithm of the work
+UNBOUNDED = 1e6  # connections, seconds: what has no bound here
+CERTAIN_ERROR = 2.0  # backends err at once with half of these odds: every request does
+
+
+@dataclass(frozen=True)
+class StandInTask:
+    """What the process plays; times of faults in seconds of the monotonic clock."""
+
+    backends: tuple[tuple[str, int], ...]  # addresses
+    discovery: tuple[str, int]
+    cores: int
+    queue: int
+    work_ms: float
+    answer_bytes: int
+    seed: int
+    max_seconds: float  # then it ends by itself
+    faults: tuple[BackendFault, ...]
+
+    @classmethod
+    def from_json(cls, document: dict[str, Any]) -> "StandInTask":
+        """The task that `dataclasses.asdict` and JSON made of one."""
+        backends = tuple((host, port) for host, port in document["backends"])
+        host, port = document["discovery"]
+        faults = tuple(BackendFault(*fault) for fault in document["faults"])
+        return cls(**document | {"backends": backends, "discovery": (host, port), "faults": faults})
+
+
+class RequestCounter(Ledger):
+    """All requests are alike; of what ran it is counted how often."""
+
+    def __init__(self, task: StandInTask):
+        self._work_ms = task.work_ms
+        self._rng = Random(f"{task.seed} work")
+        self._request_class = SimpleNamespace(kind="repeatable", work_ms=task.work_ms, answer=task.answer_bytes, body=0)
+        self._begun: set[bytes] = set()
+        self.begun_twice = 0
+
+    def scheme(self, request_id: bytes) -> SimpleNamespace:
+        """The class of a request."""
+        return self._request_class
+
+    def work(self, request_id: bytes) -> float:
+        """What a request costs an idle backend of one core, in ms."""
+        return self._work_ms * self._rng.lognormvariate(-WORK_SIGMA * WORK_SIGMA / 2, WORK_SIGMA)
+
+    def ran(self, backend: str, request_id: bytes, now: float) -> None:
+        """A backend has begun to work on a request."""
+        self.begun_twice += request_id in self._begun
+        self._begun.add(request_id)
+
+
+async def serve(task: StandInTask) -> dict[str, int]:
+    """Plays backends and discovery until SIGTERM; requests `served`, and attempts begun `twice`."""
+    loop = asyncio.get_running_loop()
+    is_over = asyncio.Event()
+    loop.add_signal_handler(signal.SIGTERM, is_over.set)
+    loop.call_later(task.max_seconds, is_over.set)
+    counter = RequestCounter(task)
+    roster = Roster(loop, SimpleNamespace(call_ms=0.0, spread_ms=0.0), {"any": task.discovery}, counter, Random(task.seed), time)
+    backends = []
+    for index in range(len(task.backends)):
+        backend = _build_backend(loop, task, index, counter)
+        await backend.start(warm=True)
+        roster.publish(backend, "active", 0.0)
+        backends.append(backend)
+    for fault in task.faults:
+        _schedule_fault(loop, fault, backends[fault.backend])
+    await roster.start()
+    print("ready", flush=True)
+    await is_over.wait()
+    return {"served": sum(backend.served for backend in backends), "twice": counter.begun_twice}
+
+
+def _build_backend(loop: asyncio.AbstractEventLoop, task: StandInTask, index: int, counter: RequestCounter) -> Node:
+    kind = SimpleNamespace(
+        kind=MACHINE_KIND,
+        cores=task.cores,
+        queue=task.queue / task.cores,
+        speed=1.0,
+        cold_s=0.0,
+        connections=UNBOUNDED,
+        idle_s=UNBOUNDED,
+        report_ms=0.0,
+        drops_late=False,
+        choke=None,
+    )
+    rng = Random(f"{task.seed} {index}")
+    return Node(loop, kind, f"b{index}", task.backends[index], ZONE, counter, {}, None, rng)
+
+
+def _schedule_fault(loop: asyncio.AbstractEventLoop, fault: BackendFault, backend: Node) -> None:
+    change = {"mute": True} if fault.kind == BackendFaultKind.SILENT else {"odds_err": CERTAIN_ERROR}
+    loop.call_later(fault.since_seconds - monotonic(), lambda: backend.change(**change))
+    loop.call_later(fault.until_seconds - monotonic(), lambda: backend.change(mute=False, odds_err=0.0))
+
+
+if __name__ == "__main__":
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        print(json.dumps(runner.run(serve(StandInTask.from_json(json.load(sys.stdin))))))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,10 +16,11 @@
 
 from sloeferry.errors import UsageError
 from sloeferry.fault_testing.link_relay import Link
-from sloeferry.fleet import ask
-from sloeferry.fleet import roll as r
-from sloeferry.fleet.audit import audit
+from sloeferry.fleet.admin_client import NoAnswer, call, parse_answer
+from sloeferry.fleet.audit import audit_fleet
 from sloeferry.fleet.cli import fleet
+from sloeferry.fleet.fleet_config import FleetConfig, ProxyAddress, read_fleet_config
+from sloeferry.fleet.fleet_query import FleetAnswers, ProxyAnswer
 from sloeferry.stand_ins import platform, processes
 from sloeferry.stand_ins.discovery import Roster
 from sloeferry.stand_ins.effect_log import Ledger
@@ -66,8 +67,8 @@
         self.fail("it never came to that")
 
     async def holds(self, at, **what):
-        said = await ask.call(("127.0.0.1", self.ops[at]), "/admin/versions")
-        if isinstance(said, ask.Unknown):
+        said = await call(("127.0.0.1", self.ops[at]), "/admin/versions")
+        if isinstance(said, NoAnswer):
             return False
         held = {
             "revision": (said["list"] or {}).get("revision"),
@@ -121,8 +122,8 @@
         await self.until(lambda: self.holds(8, revision=3))
 
         async def silent():  # as long as the audit takes to call it cut off
-            said = await ask.call(("127.0.0.1", self.ops[4]), "/admin/versions")
-            return not isinstance(said, ask.Unknown) and said["confirmed_ms"] > 5200
+            said = await call(("127.0.0.1", self.ops[4]), "/admin/versions")
+            return not isinstance(said, NoAnswer) and said["confirmed_ms"] > 5200
 
         await self.until(silent)
         lines = [f'discovery = "127.0.0.1:{self.lists["p0"][1]}"']
@@ -205,7 +206,7 @@
             b"SSH-2.0-x\r\n\r\n",
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
         ):
-            lines.lines.append(f"{said!r}  ->  {ask.understood(said)}")
+            lines.lines.append(f"{said!r}  ->  {parse_answer(said)}")
         compare(self, lines, "fleet_answers")
 
     def test_bad_input(self):
@@ -224,7 +225,7 @@
             ):
                 path.write_text(text)
                 with self.assertRaises(UsageError) as caught:
-                    r.read(path)
+                    read_fleet_config(path)
                 lines.lines.append(f"{text!r}  ->  {str(caught.exception).replace(folder, '')}")
             path.write_text(one)
             for words in (["--since", "-5"], ["--since", "1e12"], ["--since", "nan"]):
@@ -254,7 +255,7 @@
                 for at, heard, done, last in acts
             ]
             held = {"incarnation": 1, "revision": revision, "digest": list_digest, "by": "discovery at d:1", "heard_ms": 20_000.0}
-            return (
+            return ProxyAnswer(
                 {
                     "name": name,
                     "program": "p",
@@ -268,8 +269,9 @@
                 {"settings": [entry], "lists": [*lists, held | {"acts": 1, "last_ms": 5.0}], "refused": []},
             )
 
-        roll = r.Roll(tuple(r.Proxy(name, ("127.0.0.1", at + 1)) for at, name in enumerate("abc")), None)
-        said = audit(roll, [told("a", "x"), told("b", "y"), told("c", "z", 4, [(4, 60_000.0, 7, 1_000.0)])], None, 6000.0)
+        proxies = tuple(ProxyAddress(name, ("127.0.0.1", at + 1)) for at, name in enumerate("abc"))
+        answers = [told("a", "x"), told("b", "y"), told("c", "z", 4, [(4, 60_000.0, 7, 1_000.0)])]
+        said = audit_fleet(FleetConfig(proxies, None), FleetAnswers(answers, None), 6000.0).as_json()
         self.assertEqual([one["revision"] for one in said["contradictions"]], [5])
         self.assertEqual([row["state"] for row in said["rows"]], ["current", "current", "straggler"])
         # Seven postings on revision 4, and the one that its newest entry counts, 14 s and more after the bound.
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -7,10 +7,20 @@
 from hypothesis import strategies as st
 
 from sloeferry.cli import main
-from sloeferry.load_testing import cases, play, step
-from sloeferry.load_testing import plan as p
-from sloeferry.load_testing import tally as t
 from sloeferry.load_testing.cli import load
+from sloeferry.load_testing.deployment import Deployment
+from sloeferry.load_testing.figures import LoadFigures, ProxyFigures
+from sloeferry.load_testing.load_run import run_load
+from sloeferry.load_testing.outcomes import Outcome, OutcomeCounts
+from sloeferry.load_testing.overload_cases import OVERLOAD_CASES
+from sloeferry.load_testing.plan import ClientProfile, LoadPlan, LoadPlanError, arrivals, parse_curve
+from sloeferry.load_testing.saturation import StepRuns, goodput_over_best, ratios_now_over_then
+
+
+def figures(in_time, cpu_us):
+    """Of a run of which nothing else matters."""
+    proxies = ProxyFigures(cpu_us, cpu_us, 0.0, 0.0, 0.0, 0.0, undecided=0)
+    return LoadFigures(in_time, {Outcome.IN_TIME: in_time}, OutcomeCounts(), 0.0, proxies)
 
 
 class Plans(unittest.TestCase):
@@ -18,79 +28,81 @@
     @given(st.lists(st.tuples(st.floats(0.1, 3), st.floats(0, 300)), min_size=1, max_size=4), st.integers(0, 99))
     def test_arrivals(self, curve, seed):
         """In order, within the curve, the same anew, and the same after a trip through JSON."""
-        one = p.Plan(tuple(curve), seed)
-        said = list(p.arrivals(one))
-        self.assertEqual(said, list(p.arrivals(p.Plan.of_json(one.as_json()))))
-        self.assertEqual([a.at for a in said], sorted(a.at for a in said))
-        self.assertTrue(all(0 <= a.at < one.seconds() + 1e-9 for a in said))
-        parts = [one.part(at, 3) for at in range(3)]
-        self.assertEqual(sum(part.habits.connections for part in parts), one.habits.connections)
-        self.assertAlmostEqual(sum(part.curve[0][1] for part in parts), one.curve[0][1])
+        plan = LoadPlan(tuple(curve), seed)
+        drawn = list(arrivals(plan))
+        self.assertEqual(drawn, list(arrivals(LoadPlan.from_json(plan.as_json()))))
+        self.assertEqual([each.at_seconds for each in drawn], sorted(each.at_seconds for each in drawn))
+        self.assertTrue(all(0 <= each.at_seconds < plan.duration_seconds() + 1e-9 for each in drawn))
+        parts = [plan.for_worker(worker, 3) for worker in range(3)]
+        self.assertEqual(sum(part.clients.max_connections for part in parts), plan.clients.max_connections)
+        self.assertAlmostEqual(sum(part.curve[0][1] for part in parts), plan.curve[0][1])
 
     def test_curve(self):
-        self.assertEqual(p.parse_curve("2:500,0.5:1500"), ((2.0, 500.0), (0.5, 1500.0)))
+        self.assertEqual(parse_curve("2:500,0.5:1500"), ((2.0, 500.0), (0.5, 1500.0)))
         for text in ("", "2", "x:1", "0:5", "1:-1", "1:nan,", "99999:1"):
-            with self.assertRaises(p.LoadPlanError, msg=text):
-                p.parse_curve(text)
+            with self.assertRaises(LoadPlanError, msg=text):
+                parse_curve(text)
 
     def test_cases(self):
         """Every hard case can be laid, and lasts as long as it says."""
-        for name, case in cases.CASES.items():
-            plan, rig = case.make(1000.0, p.Plan(((1.0, 0.0),)), play.Rig())
-            self.assertAlmostEqual(plan.seconds(), case.length, msg=name)
-            self.assertLess(case.ended, plan.seconds())
+        for name, case in OVERLOAD_CASES.items():
+            plan, _ = case.build(1000.0, LoadPlan(((1.0, 0.0),)), Deployment())
+            self.assertAlmostEqual(plan.duration_seconds(), case.duration_seconds, msg=name)
+            self.assertLess(case.disruption_ends_seconds, plan.duration_seconds())
 
 
 class Tallies(unittest.TestCase):
     @settings(max_examples=40, deadline=None)
-    @given(st.lists(st.tuples(st.floats(0, 9.9), st.sampled_from(t.KINDS), st.floats(0, 5)), max_size=60))
+    @given(st.lists(st.tuples(st.floats(0, 9.9), st.sampled_from(Outcome), st.floats(0, 5)), max_size=60))
     def test_parts(self, ends):
         """Workers' parts added up are the whole."""
-        whole, sum_ = t.Tally(), t.Tally()
+        whole, merged = OutcomeCounts(), OutcomeCounts()
         for half in (ends[::2], ends[1::2]):
-            part = t.Tally()
-            for at, kind, gain in half:
-                part.count(at, kind, gain)
-                whole.count(at, kind, gain)
-                part.time(kind, gain)
-                whole.time(kind, gain)
-            sum_.add(part.as_json())
-        self.assertEqual(whole.by_second, sum_.by_second)
+            part = OutcomeCounts()
+            for due_seconds, outcome, weight in half:
+                part.count(due_seconds, outcome, weight)
+                whole.count(due_seconds, outcome, weight)
+                part.record_time(outcome, weight)
+                whole.record_time(outcome, weight)
+            merged.merge(part.as_json())
+        self.assertEqual(whole.by_second, merged.by_second)
         self.assertEqual(whole.offered(), len(ends))
-        self.assertAlmostEqual(whole.worth[0], sum_.worth[0])
-        self.assertEqual(whole.answers.get_total_count(), sum_.answers.get_total_count())
+        self.assertAlmostEqual(whole.weight_in_time, merged.weight_in_time)
+        self.assertEqual(whole.served_times.get_total_count(), merged.served_times.get_total_count())
 
     def test_recovered(self):
-        tally = t.Tally()
-        for at, good in enumerate((1, 1, 0, 0, 1, 1)):
-            tally.count(at, t.INTIME if good else t.LATE)
-            tally.count(at, t.REFUSED)
-        self.assertEqual(tally.recovered(2.0), 2.0)
-        self.assertEqual(tally.recovered(4.0), 0.0)
-        tally.count(6, t.LOST)
-        self.assertIsNone(tally.recovered(2.0))
+        counts = OutcomeCounts()
+        for second, good in enumerate((1, 1, 0, 0, 1, 1)):
+            counts.count(second, Outcome.IN_TIME if good else Outcome.LATE)
+            counts.count(second, Outcome.INVALID)
+        self.assertEqual(counts.recovery_seconds(2.0), 2.0)
+        self.assertEqual(counts.recovery_seconds(4.0), 0.0)
+        counts.count(6, Outcome.LOST)
+        self.assertIsNone(counts.recovery_seconds(2.0))
 
     def test_rows(self):
         rows = [
-            (1.0, [{"in_time": 100, "cpu_us": 50}], [{"in_time": 50, "cpu_us": 100}]),
-            (4.0, [{"in_time": 90, "cpu_us": 30}], [{"in_time": 0, "cpu_us": 60}]),
+            StepRuns(1.0, [figures(in_time=100, cpu_us=50)], [figures(in_time=50, cpu_us=100)]),
+            StepRuns(4.0, [figures(in_time=90, cpu_us=30)], [figures(in_time=0, cpu_us=60)]),
         ]
-        self.assertEqual(step.held(rows), {1.0: 1.0, 4.0: 0.9})
-        self.assertEqual(step.ratios(rows, "cpu_us"), {1.0: (0.5, 0.5, 0.5), 4.0: (0.5, 0.5, 0.5)})
-        self.assertEqual(step.ratios(rows, "in_time"), {1.0: (2.0, 2.0, 2.0)})
+        self.assertEqual(goodput_over_best(rows), {1.0: 1.0, 4.0: 0.9})
+        cpu_ratios = ratios_now_over_then(rows, lambda each: each.cpu_us_per_request)
+        self.assertEqual(cpu_ratios, {1.0: (0.5, 0.5, 0.5), 4.0: (0.5, 0.5, 0.5)})
+        goodput_ratios = ratios_now_over_then(rows, lambda each: each.in_time_per_second)
+        self.assertEqual(goodput_ratios, {1.0: (2.0, 2.0, 2.0)})
 
 
 class Played(unittest.TestCase):
     def test_short(self):
         """A real daemon, stand-ins and callers: every txn drawn is counted once, and some are served.  How many in
         time is no matter here."""
-        plan = p.Plan(((1.5, 40.0),), 3, habits=p.Habits(refused=0.1, fresh=0.2))
-        said = play.play(plan, play.Rig(workers=1, backends=3, cores=None))
-        ends = sum(n for kinds in said["by_second"].values() for n in kinds.values())
-        self.assertEqual(ends, len(list(p.arrivals(plan.part(0, 1)))))
-        self.assertGreater(said["backends"]["served"], 0)
-        self.assertEqual(said["twice"], 0)
-        self.assertGreater(said["cpu_us"], 0)
+        plan = LoadPlan(((1.5, 40.0),), 3, clients=ClientProfile(invalid_ratio=0.1, new_connection_ratio=0.2))
+        record = run_load(plan, Deployment(workers=1, backends=3, cpu_share=None)).as_json()
+        ends = sum(count for counts in record["by_second"].values() for count in counts.values())
+        self.assertEqual(ends, len(list(arrivals(plan.for_worker(0, 1)))))
+        self.assertGreater(record["backends"]["served"], 0)
+        self.assertEqual(record["twice"], 0)
+        self.assertGreater(record["cpu_us"], 0)
 
     def test_command_line(self):
         """Bad input gets one line that names the option, and exit 2."""
@@ -101,7 +113,7 @@
             (["load", "run", "--target", "10.0.0.1:80"], "--target"),
         ):
             said = CliRunner().invoke(main, words)
-            self.assertIsInstance(said.exception, p.LoadPlanError, words)
+            self.assertIsInstance(said.exception, LoadPlanError, words)
             self.assertIn(name, str(said.exception))
         for words in (["load", "case", "nothing", "--saturation", "5"], ["check-config", "/nowhere"]):
             self.assertEqual(CliRunner().invoke(main, words).exit_code, 2)
