--- a/sloeferry/fault_testing/worker_processes.py
+++ b/sloeferry/fault_testing/worker_processes.py
@@ -18,9 +18,9 @@
 
 from sloeferry.fault_testing import plan as p
 from sloeferry.fault_testing.event_recorder import Scribe
-from sloeferry.fleet.ask import ask_all
-from sloeferry.fleet.audit import BOUND, audit
-from sloeferry.fleet.roll import Proxy, Roll
+from sloeferry.fleet.audit import DEFAULT_BOUND_MS, audit_fleet
+from sloeferry.fleet.fleet_config import FleetConfig, ProxyAddress
+from sloeferry.fleet.fleet_query import FleetAnswers, query_fleet
 from sloeferry.rehearsal import live
 from sloeferry.rehearsal.faults import Troubles
 from sloeferry.rehearsal.proxy_fleet import READY, Bank, expand, spot
@@ -318,11 +318,13 @@
 
     async def audit(self):
         """The fleet's own word of itself, as operators get it, into the record."""
-        proxies = tuple(Proxy(name, (host, port + OPS)) for name, (host, port), _ in self.places)
+        proxies = tuple(ProxyAddress(name, (host, port + OPS)) for name, (host, port), _ in self.places)
         self.judge.note(self.loop.time(), "auditing", self.roster.revision)
-        answers, newest = await ask_all(Roll(proxies, None), None)
-        said = audit(Roll(proxies, None), answers, {"revision": self.roster.revision}, BOUND)
-        self.judge.note(self.loop.time(), "audited", said)
+        fleet = FleetConfig(proxies, None)
+        answers = await query_fleet(fleet)
+        answers = FleetAnswers(answers.proxies, {"revision": self.roster.revision})
+        audit = audit_fleet(fleet, answers, DEFAULT_BOUND_MS)
+        self.judge.note(self.loop.time(), "audited", audit.as_json())
 
     def busy(self):
         return any(hand.open != 0 for hand in self.hands_of_callers)
