--- a/sloeferry/fleet/audit.py
+++ b/sloeferry/fleet/audit.py
@@ -13,7 +13,7 @@
     NewestVersions,
     ProxyRow,
     ProxyState,
-    Spread,
+    ReachTimes,
     Subject,
 )
 from sloeferry.fleet.fleet_config import FleetConfig, ProxyAddress
@@ -76,18 +76,18 @@
         reached = {subject: self._reached(subject) for subject in Subject}
         return FleetAudit(self._newest, reached, rows, self._contradictions(fleet))
 
-    def _reached(self, subject: Subject) -> Spread:
+    def _reached(self, subject: Subject) -> ReachTimes:
         """After how many ms, since any proxy first had it, so many percent of the fleet had the newest version."""
         delays_ms = []
         for answer in self._answers.known():
             if heard_ms := self._heard_ms(answer, subject):
                 delays_ms.append(self._ages_ms[subject] - max(heard_ms))
         delays_ms.sort()
-        spread: Spread = {}
+        times: ReachTimes = {}
         for percent in REACHED_PERCENTS:
             needed = -(-len(self._answers.proxies) * percent // 100)
-            spread[f"{percent}%"] = round(delays_ms[needed - 1], 1) if needed <= len(delays_ms) else None
-        return spread
+            times[f"{percent}%"] = round(delays_ms[needed - 1], 1) if needed <= len(delays_ms) else None
+        return times
 
     def _row(self, proxy: ProxyAddress, answer: ProxyAnswer | NoAnswer) -> ProxyRow:
         address = "{}:{}".format(*proxy.address)
--- a/sloeferry/fleet/audit_record.py
+++ b/sloeferry/fleet/audit_record.py
@@ -57,6 +57,10 @@
     acts_after_bound: int = 0
     held: HeldVersions | None = None
 
+    def behind(self) -> list[Subject]:
+        """What it holds that is not the newest, as far as that is known."""
+        return self.held.behind if self.held else []
+
     def as_json(self) -> dict[str, Any]:
         """The row of the record."""
         row: dict[str, Any] = {"name": self.name, "at": self.address, "state": self.state}
@@ -100,7 +104,7 @@
 
 
 # After how many ms so many percent of the fleet had a version; None: not yet.
-Spread = dict[str, float | None]
+ReachTimes = dict[str, float | None]
 
 
 @dataclass(frozen=True)
@@ -108,7 +112,7 @@
     """All that an audit finds."""
 
     newest: NewestVersions
-    reached: dict[Subject, Spread]
+    reached: dict[Subject, ReachTimes]
     rows: list[ProxyRow]
     contradictions: list[Contradiction]
 
@@ -144,7 +148,7 @@
                 "list": self.newest.list_revision,
                 "by_discovery": self.newest.by_discovery,
             },
-            "reached": {subject.log_key: spread for subject, spread in self.reached.items()},
+            "reached": {subject.log_key: times for subject, times in self.reached.items()},
             "acts_after_bound": self.acts_after_bound(),
             "rows": [row.as_json() for row in self.rows],
             "contradictions": [contradiction.as_json() for contradiction in self.contradictions],
--- a/sloeferry/fleet/bring_up.py
+++ b/sloeferry/fleet/bring_up.py
@@ -60,7 +60,7 @@
 
     loop = asyncio.get_running_loop()
     last_audit = await audit()
-    due = [(row.name, subject) for row in last_audit.stragglers() for subject in row.held.behind]
+    due = [(row.name, subject) for row in last_audit.stragglers() for subject in row.behind()]
     Random(seed).shuffle(due)
     addresses = dict(fleet.proxies)
     calls: list[BringUpCall] = []
--- a/sloeferry/fleet/fleet_query.py
+++ b/sloeferry/fleet/fleet_query.py
@@ -2,7 +2,7 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import NamedTuple
+from typing import NamedTuple, cast
 
 from sloeferry.fleet.admin_client import JsonObject, NoAnswer, NoAnswerKind, call
 from sloeferry.fleet.documents import ActsDocument, VersionsDocument
@@ -73,7 +73,9 @@
         if versions.get("name") != proxy.name:
             return NoAnswer(NoAnswerKind.WRONG_PROXY, f"says that it is {versions.get('name')!r}")
         acts = await call(proxy.address, self._acts_path)
-        return acts if isinstance(acts, NoAnswer) else ProxyAnswer(versions, acts)
+        if isinstance(acts, NoAnswer):
+            return acts
+        return ProxyAnswer(cast(VersionsDocument, versions), cast(ActsDocument, acts))
 
     async def ask_discovery(self, address: tuple[str, int]) -> None:
         """Asks for the endpoint list."""
--- a/sloeferry/fleet/report.py
+++ b/sloeferry/fleet/report.py
@@ -1,6 +1,6 @@
 """An audit as people read it: figures, then the proxies that are not on the newest versions."""
 
-from sloeferry.fleet.audit_record import FleetAudit, ProxyRow, ProxyState, Spread
+from sloeferry.fleet.audit_record import FleetAudit, ProxyRow, ProxyState, ReachTimes
 
 
 def format_audit(audit: FleetAudit, with_current: bool) -> str:
@@ -13,7 +13,7 @@
         f"{audit.acts_after_bound()} acts on an old version after the bound",
         f"newest: settings {newest.settings}, list {newest.list_revision} ({source})",
     ]
-    lines += [f"  {subject.log_key} reached {_format_spread(spread)}" for subject, spread in audit.reached.items()]
+    lines += [f"  {subject.log_key} reached {_format_times(times)}" for subject, times in audit.reached.items()]
     lines += _format_rows([row for row in audit.rows if with_current or row.state is not ProxyState.CURRENT])
     for contradiction in audit.contradictions:
         lines.append(f"  revision {contradiction.revision} says two things:")
@@ -23,8 +23,8 @@
     return "\n".join(lines)
 
 
-def _format_spread(spread: Spread) -> str:
-    return ", ".join(f"{part} {'not yet' if ms is None else f'after {ms / 1000:.1f} s'}" for part, ms in spread.items())
+def _format_times(times: ReachTimes) -> str:
+    return ", ".join(f"{part} {'not yet' if ms is None else f'after {ms / 1000:.1f} s'}" for part, ms in times.items())
 
 
 def _format_rows(rows: list[ProxyRow]) -> list[str]:
--- a/sloeferry/load_testing/cli.py
+++ b/sloeferry/load_testing/cli.py
@@ -1,32 +1,20 @@
 """`sloeferry load`: what is typed, checked and handed on."""
 
 import json
-from collections.abc import Callable, Sequence
-from dataclasses import dataclass, replace
+from collections.abc import Callable
+from dataclasses import replace
 from typing import Any
 
 import click
 
 from sloeferry.load_testing import operations
 from sloeferry.load_testing.deployment import Deployment, temporary_folder
-from sloeferry.load_testing.figures import LoadFigures
 from sloeferry.load_testing.load_run import run_load
 from sloeferry.load_testing.overload_cases import OVERLOAD_CASES, CaseResult, run_case
 from sloeferry.load_testing.plan import ClientProfile, CurvePiece, LoadPlan, LoadPlanError, parse_curve
 from sloeferry.load_testing.proxy_process import extract_revision
-from sloeferry.load_testing.saturation import (
-    DEFAULT_FACTORS,
-    HEADER,
-    Measure,
-    Spread,
-    StepRuns,
-    draw_goodput,
-    find_saturation,
-    format_line,
-    goodput_over_best,
-    ratios_now_over_then,
-    run_steps,
-)
+from sloeferry.load_testing.saturation import DEFAULT_FACTORS, find_saturation, run_steps
+from sloeferry.load_testing.step_report import HEADER, StepReport, draw_goodput, format_line
 
 NO_CURVE = (CurvePiece(1.0, 0.0),)  # until the command has its own
 
@@ -113,53 +101,6 @@
     click.echo(json.dumps(figures.as_json()) if as_json else f"{HEADER}\n{format_line(1, figures, 'now')}")
 
 
-@dataclass(frozen=True)
-class _StepReport:
-    """What `load step` tells in the end."""
-
-    saturation: float
-    rows: list[StepRuns]
-
-    def _held(self) -> dict[float, float]:
-        return goodput_over_best(self.rows)
-
-    def _ratios(self, measure: Measure) -> dict[float, Spread]:
-        return ratios_now_over_then(self.rows, measure)
-
-    def cpu_ratios(self) -> dict[float, Spread]:
-        """CPU time a request, by factor."""
-        return self._ratios(lambda figures: figures.cpu_us_per_request)
-
-    def goodput_ratios(self) -> dict[float, Spread]:
-        """Requests served in time, by factor."""
-        return self._ratios(lambda figures: figures.in_time_per_second)
-
-    def lines(self) -> list[str]:
-        """For people."""
-        held = ", ".join(f"{factor:g}x {ratio:.2f}" for factor, ratio in self._held().items())
-        lines = [f"goodput over its best: {held}"]
-        for name, spreads in (("cpu a txn", self.cpu_ratios()), ("goodput", self.goodput_ratios())):
-            for factor, spread in spreads.items():
-                lines.append(
-                    f"{name} at {factor:g}x, now over then: {spread.median:.2f} ({spread.least:.2f} to {spread.largest:.2f})"
-                )
-        return lines
-
-    def as_json(self) -> dict[str, Any]:
-        """For programs."""
-        return {
-            "saturation": self.saturation,
-            "held": self._held(),
-            "cpu": self.cpu_ratios(),
-            "goodput": self.goodput_ratios(),
-            "rows": [(row.factor, _records(row.now), _records(row.then)) for row in self.rows],
-        }
-
-
-def _records(runs: Sequence[LoadFigures]) -> list[dict[str, Any]]:
-    return [figures.as_json() for figures in runs]
-
-
 @load.command()
 @click.option("--saturation", type=float, help="Txns a second; unset, it is searched for.")
 @click.option("--factors", default=",".join(f"{factor:g}" for factor in DEFAULT_FACTORS), show_default=True)
@@ -191,7 +132,7 @@
         say(HEADER)
         earlier_tree = str(extract_revision(revision, folder)) if revision else None
         rows = run_steps(plan, deployment, rate, factor_values, seconds, pairs, earlier_tree, say)
-    report = _StepReport(rate, rows)
+    report = StepReport(rate, rows)
     for line in report.lines():
         say(line)
     if plot_path:
--- a/sloeferry/load_testing/client_connection.py
+++ b/sloeferry/load_testing/client_connection.py
@@ -1,8 +1,9 @@
-"""One connection of an open-loop client: requests out, one at a time, and whole responses in."""
+"""One connection of open-loop clients: requests out, one at a time, and whole responses in."""
 
 import asyncio
-from typing import NamedTuple, Protocol
+from typing import NamedTuple, Protocol, cast
 
+from sloeferry.load_testing.outcomes import Outcome
 from sloeferry.load_testing.plan import Arrival, RequestClassLoad
 
 HEAD_END = b"\r\n\r\n"
@@ -30,6 +31,22 @@
         return float(self.data[value_at + len(RETRY_AFTER) : self.data.find(b"\r", value_at)])
 
 
+class OpenLoopRequest:
+    """One request of a client, through all of its attempts; times in seconds of the monotonic clock."""
+
+    __slots__ = ("arrival", "due_at", "ends_at", "sent_at", "attempts", "connection", "is_over", "outcome")
+
+    def __init__(self, arrival: Arrival, due_at: float):
+        self.arrival = arrival
+        self.due_at = due_at
+        self.ends_at = due_at + arrival.patience_ms / 1000
+        self.sent_at = 0.0  # 0: no attempt is out
+        self.attempts = 0
+        self.connection: ClientConnection | None = None
+        self.is_over = False
+        self.outcome = Outcome.UNSENT  # if nothing better comes
+
+
 class ConnectionOwner(Protocol):
     """Who is told what happens on a connection."""
 
@@ -46,16 +63,17 @@
 class ClientConnection(asyncio.Protocol):
     """One connection of a client; `request` is what is in flight on it."""
 
+    transport: asyncio.Transport  # from connection_made on
+
     def __init__(self, owner: ConnectionOwner):
         self._owner = owner
         self._received = b""
         self._response_bytes: int | None = None  # once its head is there
-        self.transport: asyncio.Transport | None = None
-        self.request = None
+        self.request: OpenLoopRequest | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by the event loop."""
-        self.transport = transport
+        self.transport = cast(asyncio.Transport, transport)
         self._owner.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
--- a/sloeferry/load_testing/figures.py
+++ b/sloeferry/load_testing/figures.py
@@ -56,7 +56,7 @@
         """The record of the run."""
         return {
             "offered": self.offered_per_second,
-            **self.rates_per_second,
+            **{outcome.value: rate for outcome, rate in self.rates_per_second.items()},
             **self.counts.latency_ms(),
             "decline_p50": self.counts.median_rejection_ms(),
             "gain": self.counts.weight_ratio(),
--- a/sloeferry/load_testing/operations_bed.py
+++ b/sloeferry/load_testing/loopback_testbed.py
@@ -35,7 +35,7 @@
     admin_port: int
 
 
-class OperationsBed:
+class LoopbackTestbed:
     """Backends, discovery and the proxies' listening socket; proxies are started on it one by one."""
 
     def __init__(self, folder: str):
@@ -45,7 +45,7 @@
         self._processes: list[subprocess.Popen[bytes]] = []
         self.port = self._socket.getsockname()[1]
 
-    async def __aenter__(self) -> "OperationsBed":
+    async def __aenter__(self) -> "LoopbackTestbed":
         backends = [(LOOPBACK, await self._serve(self._answer_request)) for _ in range(BACKENDS)]
         self._endpoints = json.dumps(endpoint_document(backends)).encode()
         self._discovery_port = await self._serve(self._answer_watch)
--- a/sloeferry/load_testing/open_loop_clients.py
+++ b/sloeferry/load_testing/open_loop_clients.py
@@ -15,7 +15,7 @@
 
 import uvloop
 
-from sloeferry.load_testing.client_connection import ClientConnection, Response, encode_request
+from sloeferry.load_testing.client_connection import ClientConnection, OpenLoopRequest, Response, encode_request
 from sloeferry.load_testing.outcomes import Outcome, OutcomeCounts
 from sloeferry.load_testing.plan import Arrival, LoadPlan, RequestClassLoad, arrivals
 
@@ -29,22 +29,6 @@
 REJECTED_STATUSES = (429, 503)
 
 
-class OpenLoopRequest:
-    """One request of a client, through all of its attempts; times in seconds of the monotonic clock."""
-
-    __slots__ = ("arrival", "due_at", "ends_at", "sent_at", "attempts", "connection", "is_over", "outcome")
-
-    def __init__(self, arrival: Arrival, due_at: float):
-        self.arrival = arrival
-        self.due_at = due_at
-        self.ends_at = due_at + arrival.patience_ms / 1000
-        self.sent_at = 0.0  # 0: no attempt is out
-        self.attempts = 0
-        self.connection: ClientConnection | None = None
-        self.is_over = False
-        self.outcome = Outcome.UNSENT  # if nothing better comes
-
-
 class OpenLoopClients:
     """All clients of one worker."""
 
--- a/sloeferry/load_testing/operations.py
+++ b/sloeferry/load_testing/operations.py
@@ -15,7 +15,7 @@
 
 from sloeferry.load_testing.closed_loop_clients import ClosedLoopClients, request_head
 from sloeferry.load_testing.deployment import LOOPBACK
-from sloeferry.load_testing.operations_bed import OperationsBed, RunningProxy
+from sloeferry.load_testing.loopback_testbed import LoopbackTestbed, RunningProxy
 from sloeferry.stand_ins.processes import memory
 
 BYTES_PER_MB = 1 << 20
@@ -46,9 +46,9 @@
 
 async def measure_admin_calls(folder: str) -> dict[str, Any]:
     """Admin calls beside silent callers, at a proxy that has far more to do than it can."""
-    async with OperationsBed(folder) as bed:
-        proxy = await bed.start_proxy()
-        async with ClosedLoopClients(bed.port, OVERLOADING_CLIENTS):
+    async with LoopbackTestbed(folder) as testbed:
+        proxy = await testbed.start_proxy()
+        async with ClosedLoopClients(testbed.port, OVERLOADING_CLIENTS):
             await asyncio.sleep(WARM_UP_SECONDS)
             silent: list[asyncio.StreamWriter] = []
             took_ms = []
@@ -60,7 +60,7 @@
                     if call % (2 * CALLS_PER_SILENT_CALLER) == 0:
                         writer.write(b"GET /admin/hea")
                 began_at = monotonic()
-                wrong += not await bed.is_healthy(proxy.admin_port)
+                wrong += not await testbed.is_healthy(proxy.admin_port)
                 took_ms.append(1000 * (monotonic() - began_at))
             for writer in silent:
                 writer.close()
@@ -76,9 +76,9 @@
     began_at: float  # when the old one was told to end
 
 
-async def _take_over(bed: OperationsBed, old: RunningProxy) -> _Takeover:
+async def _take_over(testbed: LoopbackTestbed, old: RunningProxy) -> _Takeover:
     started_at = monotonic()
-    new = await bed.start_proxy()
+    new = await testbed.start_proxy()
     start_seconds = monotonic() - started_at
     old.process.terminate()
     began_at = monotonic()
@@ -91,13 +91,13 @@
     """One process replaced by the next, again and again, under steady load."""
     takeovers = []
     after = []
-    async with OperationsBed(folder) as bed:
-        proxy = await bed.start_proxy()
-        async with ClosedLoopClients(bed.port, STEADY_CLIENTS, STEADY_PAUSE_SECONDS) as clients:
+    async with LoopbackTestbed(folder) as testbed:
+        proxy = await testbed.start_proxy()
+        async with ClosedLoopClients(testbed.port, STEADY_CLIENTS, STEADY_PAUSE_SECONDS) as clients:
             await asyncio.sleep(3.0)
             before = clients.figures(since=monotonic() - 2.0)
             for _ in range(TAKEOVERS):
-                takeover = await _take_over(bed, proxy)
+                takeover = await _take_over(testbed, proxy)
                 look_until = takeover.began_at + TAKEOVER_SECONDS
                 await asyncio.sleep(max(0.0, look_until - monotonic()))
                 after.append(clients.figures(takeover.began_at, look_until))
@@ -118,13 +118,13 @@
 
 async def measure_long_answers(folder: str) -> dict[str, Any]:
     """Answers of 32 MB read at 64 kB a second each, beside small requests."""
-    async with OperationsBed(folder) as bed:
-        proxy = await bed.start_proxy()
-        async with ClosedLoopClients(bed.port, CLIENTS_BESIDE, STEADY_PAUSE_SECONDS) as clients:
+    async with LoopbackTestbed(folder) as testbed:
+        proxy = await testbed.start_proxy()
+        async with ClosedLoopClients(testbed.port, CLIENTS_BESIDE, STEADY_PAUSE_SECONDS) as clients:
             await asyncio.sleep(2.0)
             before = clients.figures(since=monotonic() - 1.5)
             began_at = monotonic()
-            received_bytes = await asyncio.gather(*(_read_slowly(bed.port, number) for number in range(LONG_ANSWERS)))
+            received_bytes = await asyncio.gather(*(_read_slowly(testbed.port, number) for number in range(LONG_ANSWERS)))
             beside = clients.figures(since=began_at)
             peak_mb = memory(proxy.process.pid, "VmHWM")
     return {
@@ -153,13 +153,13 @@
 
 async def measure_waiting_connections(folder: str) -> dict[str, Any]:
     """What a connection costs that says nothing, or half a head: resident bytes of the proxy, and descriptors."""
-    async with OperationsBed(folder) as bed:
-        proxy = await bed.start_proxy()
-        async with ClosedLoopClients(bed.port, CLIENTS_BEFORE_WAITING, 0.01):
+    async with LoopbackTestbed(folder) as testbed:
+        proxy = await testbed.start_proxy()
+        async with ClosedLoopClients(testbed.port, CLIENTS_BEFORE_WAITING, 0.01):
             await asyncio.sleep(WARM_UP_SECONDS)
         return {
-            "silent": await _connection_cost(proxy.process, bed.port, b""),
-            "half": await _connection_cost(proxy.process, bed.port, HALF_A_HEAD),
+            "silent": await _connection_cost(proxy.process, testbed.port, b""),
+            "half": await _connection_cost(proxy.process, testbed.port, HALF_A_HEAD),
         }
 
 
--- a/sloeferry/load_testing/outcomes.py
+++ b/sloeferry/load_testing/outcomes.py
@@ -36,7 +36,7 @@
 class OutcomeCounts:
     """The outcomes of one run, or of several workers' parts of it."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.by_second: dict[int, dict[Outcome, int]] = {}
         self.served_times = _histogram()  # from when the request was due
         self.rejection_times = _histogram()  # from when the attempt was written
--- a/sloeferry/load_testing/saturation.py
+++ b/sloeferry/load_testing/saturation.py
@@ -2,13 +2,11 @@
 
 from collections.abc import Callable, Sequence
 from dataclasses import replace
-from statistics import median
-from typing import NamedTuple
 
 from sloeferry.load_testing.deployment import Deployment
-from sloeferry.load_testing.figures import LoadFigures
 from sloeferry.load_testing.load_run import run_load
 from sloeferry.load_testing.plan import CurvePiece, LoadPlan, LoadPlanError
+from sloeferry.load_testing.step_report import StepRuns, format_line
 
 DEFAULT_FACTORS = (0.5, 1.0, 1.5, 2.0, 4.0, 8.0)
 GOOD_RATIO = 0.95  # of the requests are served in time, at a rate under saturation
@@ -22,23 +20,6 @@
 PRECISION_RATIO = 0.06
 
 Report = Callable[[str], None]
-Measure = Callable[[LoadFigures], float | None]
-
-
-class StepRuns(NamedTuple):
-    """The runs at one multiple of saturation."""
-
-    factor: float
-    now: list[LoadFigures]
-    then: list[LoadFigures]  # of the earlier revision
-
-
-class Spread(NamedTuple):
-    """What pairs of runs gave."""
-
-    least: float
-    median: float
-    largest: float
 
 
 def constant_load(plan: LoadPlan, rate_per_second: float, seconds: float) -> LoadPlan:
@@ -104,62 +85,3 @@
                 report(format_line(factor, row.then[-1], "then"))
         rows.append(row)
     return rows
-
-
-HEADER = "  factor       offered  in time declined    late    lost  unsent    p50    p99  p99.9  decl.  cpu/txn  lag50  lag99"
-
-
-def format_line(factor: float, figures: LoadFigures, name: str) -> str:
-    """One run under HEADER."""
-    record = figures.as_json()
-    return (
-        f"  {factor:<5g} {name:>5} {record['offered']:8.0f} {record['in_time']:8.0f} {record['declined']:8.0f} "
-        f"{record['late'] + record['overdue']:7.0f} {record['lost']:7.0f} {record['unsent']:7.0f} {record['p50']:6.1f} "
-        f"{record['p99']:6.1f} {record['p99.9']:6.1f} {record['decline_p50']:6.1f} {record.get('cpu_us', 0):7.0f}us "
-        f"{record.get('lag_p50', 0):6.1f} {record.get('lag_p99', 0):6.1f}"
-    )
-
-
-def goodput_over_best(rows: Sequence[StepRuns]) -> dict[float, float]:
-    """By factor: goodput over the best of all, which is what overload leaves of it."""
-    goodputs = [median(figures.in_time_per_second for figures in row.now) for row in rows]
-    best = max(*goodputs, 1e-9)
-    return {row.factor: goodput / best for row, goodput in zip(rows, goodputs, strict=True)}
-
-
-def ratios_now_over_then(rows: Sequence[StepRuns], measure: Measure) -> dict[float, Spread]:
-    """By factor: the spread of the pairs' ratios; without factors where there is nothing to divide by."""
-    spreads = {}
-    for row in rows:
-        pairs = [(measure(now), measure(then)) for now, then in zip(row.now, row.then, strict=False)]
-        ratios = sorted(now / then for now, then in pairs if then)
-        if ratios:
-            spreads[row.factor] = Spread(ratios[0], median(ratios), ratios[-1])
-    return spreads
-
-
-def draw_goodput(rows: Sequence[StepRuns], path: str, title: str) -> None:
-    """Goodput over offered load, one line a tree, as SVG."""
-    import pygal
-
-    chart = pygal.XY(
-        title=title,
-        x_title="offered, txns a second",
-        y_title="in time, txns a second",
-        width=820,
-        height=460,
-        js=[],
-        dots_size=4,
-        legend_at_bottom=True,
-    )
-    for name in ("now", "then"):
-        runs = [getattr(row, name) for row in rows if getattr(row, name)]
-        points = [_median_point(each) for each in runs]
-        if points:
-            chart.add(name, sorted(points))
-    chart.render_to_file(path)
-
-
-def _median_point(runs: Sequence[LoadFigures]) -> tuple[float, float]:
-    offered = median(figures.offered_per_second for figures in runs)
-    return offered, median(figures.in_time_per_second for figures in runs)
--- /dev/null
+++ b/sloeferry/load_testing/step_report.py
@@ -0,0 +1,132 @@
+"""What is told of runs at shares and multiples of saturation: lines, the record, and a plot."""
+
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from statistics import median
+from typing import Any, NamedTuple
+
+from sloeferry.load_testing.figures import LoadFigures
+
+Measure = Callable[[LoadFigures], float | None]
+
+
+class StepRuns(NamedTuple):
+    """The runs at one multiple of saturation."""
+
+    factor: float
+    now: list[LoadFigures]
+    then: list[LoadFigures]  # of the earlier revision
+
+
+class RatioSpread(NamedTuple):
+    """What pairs of runs gave."""
+
+    least: float
+    median: float
+    largest: float
+
+
+HEADER = "  factor       offered  in time declined    late    lost  unsent    p50    p99  p99.9  decl.  cpu/txn  lag50  lag99"
+
+
+def format_line(factor: float, figures: LoadFigures, name: str) -> str:
+    """One run under HEADER."""
+    record = figures.as_json()
+    return (
+        f"  {factor:<5g} {name:>5} {record['offered']:8.0f} {record['in_time']:8.0f} {record['declined']:8.0f} "
+        f"{record['late'] + record['overdue']:7.0f} {record['lost']:7.0f} {record['unsent']:7.0f} {record['p50']:6.1f} "
+        f"{record['p99']:6.1f} {record['p99.9']:6.1f} {record['decline_p50']:6.1f} {record.get('cpu_us', 0):7.0f}us "
+        f"{record.get('lag_p50', 0):6.1f} {record.get('lag_p99', 0):6.1f}"
+    )
+
+
+def goodput_over_best(rows: Sequence[StepRuns]) -> dict[float, float]:
+    """By factor: goodput over the best of all, which is what overload leaves of it."""
+    goodputs = [median(figures.in_time_per_second for figures in row.now) for row in rows]
+    best = max(*goodputs, 1e-9)
+    return {row.factor: goodput / best for row, goodput in zip(rows, goodputs, strict=True)}
+
+
+def ratios_now_over_then(rows: Sequence[StepRuns], measure: Measure) -> dict[float, RatioSpread]:
+    """By factor: the spread of the pairs' ratios; without factors where there is nothing to divide by."""
+    spreads = {}
+    for row in rows:
+        pairs = [(measure(now), measure(then)) for now, then in zip(row.now, row.then, strict=False)]
+        ratios = sorted(now / then for now, then in pairs if now is not None and then)
+        if ratios:
+            spreads[row.factor] = RatioSpread(ratios[0], median(ratios), ratios[-1])
+    return spreads
+
+
+def draw_goodput(rows: Sequence[StepRuns], path: str, title: str) -> None:
+    """Goodput over offered load, one line a tree, as SVG."""
+    import pygal
+
+    chart = pygal.XY(
+        title=title,
+        x_title="offered, txns a second",
+        y_title="in time, txns a second",
+        width=820,
+        height=460,
+        js=[],
+        dots_size=4,
+        legend_at_bottom=True,
+    )
+    for name in ("now", "then"):
+        runs = [getattr(row, name) for row in rows if getattr(row, name)]
+        points = [_median_point(each) for each in runs]
+        if points:
+            chart.add(name, sorted(points))
+    chart.render_to_file(path)
+
+
+def _median_point(runs: Sequence[LoadFigures]) -> tuple[float, float]:
+    offered = median(figures.offered_per_second for figures in runs)
+    return offered, median(figures.in_time_per_second for figures in runs)
+
+
+@dataclass(frozen=True)
+class StepReport:
+    """What `load step` tells in the end."""
+
+    saturation: float
+    rows: list[StepRuns]
+
+    def _held(self) -> dict[float, float]:
+        return goodput_over_best(self.rows)
+
+    def _ratios(self, measure: Measure) -> dict[float, RatioSpread]:
+        return ratios_now_over_then(self.rows, measure)
+
+    def cpu_ratios(self) -> dict[float, RatioSpread]:
+        """CPU time a request, by factor."""
+        return self._ratios(lambda figures: figures.cpu_us_per_request)
+
+    def goodput_ratios(self) -> dict[float, RatioSpread]:
+        """Requests served in time, by factor."""
+        return self._ratios(lambda figures: figures.in_time_per_second)
+
+    def lines(self) -> list[str]:
+        """For people."""
+        held = ", ".join(f"{factor:g}x {ratio:.2f}" for factor, ratio in self._held().items())
+        lines = [f"goodput over its best: {held}"]
+        for name, spreads in (("cpu a txn", self.cpu_ratios()), ("goodput", self.goodput_ratios())):
+            for factor, spread in spreads.items():
+                lines.append(
+                    f"{name} at {factor:g}x, now over then: {spread.median:.2f} ({spread.least:.2f} to {spread.largest:.2f})"
+                )
+        return lines
+
+    def as_json(self) -> dict[str, Any]:
+        """For programs."""
+        return {
+            "saturation": self.saturation,
+            "held": self._held(),
+            "cpu": self.cpu_ratios(),
+            "goodput": self.goodput_ratios(),
+            "rows": [(row.factor, _records(row.now), _records(row.then)) for row in self.rows],
+        }
+
+
+def _records(runs: Sequence[LoadFigures]) -> list[dict[str, Any]]:
+    return [figures.as_json() for figures in runs]
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -14,7 +14,7 @@
 from sloeferry.load_testing.outcomes import Outcome, OutcomeCounts
 from sloeferry.load_testing.overload_cases import OVERLOAD_CASES
 from sloeferry.load_testing.plan import ClientProfile, LoadPlan, LoadPlanError, arrivals, parse_curve
-from sloeferry.load_testing.saturation import StepRuns, goodput_over_best, ratios_now_over_then
+from sloeferry.load_testing.step_report import StepRuns, goodput_over_best, ratios_now_over_then
 
 
 def figures(in_time, cpu_us):
