--- a/sloeferry/fault_testing/cli.py
+++ b/sloeferry/fault_testing/cli.py
@@ -1,62 +1,44 @@
 """`sloeferry rig`: what is typed, checked and handed on."""
 
 import json
-import os
 import pathlib
-import shutil
 import sys
-import tempfile
+from dataclasses import dataclass
+from typing import Any
 
 import click
 
-from sloeferry.fault_testing import plan as p
-from sloeferry.rehearsal import scenario as s
+from sloeferry.fault_testing import plan as plans
+from sloeferry.fault_testing.plan import Plan
+from sloeferry.fault_testing.planted_faults import PLANTED
+from sloeferry.fault_testing.record_text import record_text
+from sloeferry.fault_testing.run_options import RunOptions
+from sloeferry.fault_testing.verdict import Verdict
 from sloeferry.rehearsal.cli import keep, say_shipped
-from sloeferry.rehearsal.cli import short as told_short
+from sloeferry.rehearsal.cli import short as virtual_record_text
+from sloeferry.rehearsal.scenario import ScenarioError
 
-MEMORY = "/dev/shm"
-ERRORS_SHOWN = 3  # lines of a proxy's log
-EXPECTED = "SIGHUP, all stays as it was"  # the one error that a plan asks for: a file that can't be used
+NAME_WIDTH = 16  # characters, in the list of plans
+EXIT_CODES = {Verdict.KEPT: 0, Verdict.BROKEN: 1, Verdict.VOID: 3}
 
 
-@click.group()
-def rig():
-    """Plays plans with real proxies, each a process, and faults between them.  Loopback only; figures of stand-ins."""
+@dataclass(frozen=True, slots=True)
+class Outcome:
+    """A run's record, the same in some lines, and what it amounts to."""
 
+    record: dict[str, Any]
+    text: str
+    verdict: Verdict
 
-def short(said):
-    """A record in some lines."""
-    txns, figures = said["txns"], said["figures"]
-    lines = [
-        f"{said['plan']}, seed {said['seed']}: {said['verdict']}",
-        "  txns: " + ", ".join(f"{value} {key.replace('_', ' ')}" for key, value in txns.items() if value),
-        f"  service {said['service']['whole']:.3f}" if said["service"]["whole"] is not None else "  nobody asked",
-        "  late by, ms: " + (", ".join(f"{role} {ms:g}" for role, ms in said["late_ms"].items()) or "nobody"),
-    ]
-    lines += [
-        f"  {name}: least {least:g}, mean {mean:g}, most {most:g}"
-        for name, (least, mean, most) in ((name, each) for name, each in figures.items() if isinstance(each, list))
-    ]
-    if "ready_s" in figures:
-        lines.append(f"  {figures['ready']} ready after {figures['ready_s']:g} s")
-    if "audit" in said:
-        audit = said["audit"]
-        lines.append(
-            f"  audit: {audit['current']} current, {audit['straggler']} behind, {audit['unknown']} unknown; "
-            + ", ".join(audit["causes"])
-        )
-    lines += [f"  VOID: {text}" for text in said["void"]] + [f"  FAILED: {text}" for text in said["failed"]]
-    broken = {rule: count for rule, count in said["rules"].items() if count}
-    lines.append("  rules kept" if not broken else "  RULES BROKEN: " + ", ".join(f"{r}: {n}" for r, n in broken.items()))
-    for one in said["evidence"]:
-        lines.append(f"    {one['rule']}: {one['text']}")
-        lines += [f"      {' '.join(map(str, event))}" for event in one["events"]]
-    return "\n".join(lines)
+
+@click.group()
+def rig() -> None:
+    """Plays plans with real proxies, each a process, and faults between them.  Loopback only; figures of stand-ins."""
 
 
 @rig.command()
 @click.argument("plan")
-@click.option("--proxies", type=click.IntRange(1, p.MOST), help="In the place of the plan's own number.")
+@click.option("--proxies", type=click.IntRange(1, plans.MAX_PROXIES), help="In the place of the plan's own number.")
 @click.option("--nodes", type=click.IntRange(1, 1000), help="In all; the load goes with them.")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @click.option("--record", type=click.Path(dir_okay=False, path_type=pathlib.Path), help="Where the record is written, as JSON.")
@@ -66,85 +48,76 @@
 @click.option("--plant", help="A wrong line planted in the proxies' code (see `rig plants`).")
 @click.option("--virtual", is_flag=True, help="Its twin in virtual time: what has no part there is left out, and said.")
 @click.option("--json", "as_json", is_flag=True)
-def run(plan, proxies, nodes, seed, record, keep_logs, plant, virtual, as_json):
+def run(
+    plan: str,
+    proxies: int | None,
+    nodes: int | None,
+    seed: int,
+    record: pathlib.Path | None,
+    keep_logs: pathlib.Path | None,
+    plant: str | None,
+    virtual: bool,
+    as_json: bool,
+) -> None:
     """Plays PLAN (a shipped name, `drawn-` and a seed, or a path).  Exit 0: kept, 1: broken, 3: void, 2: can't be played."""
-    told = p.altered(p.read(plan), proxies, nodes)
+    resized = plans.resize(plans.read(plan), proxies, nodes)
     if record and not record.parent.is_dir():
-        raise s.ScenarioError(f"--record: {record.parent} is no folder")
+        raise ScenarioError(f"--record: {record.parent} is no folder")
     if virtual:
-        from sloeferry.rehearsal.play import play as play_virtual
-
         if plant:
-            raise s.ScenarioError("--plant: for real processes alone")
-        scenario, without = p.twin(told)
-        said = play_virtual(scenario, seed)
-        said["without"] = without
-        text, broken = told_short(said), any(said["rules"].values()) or bool(said["faults"])
-        text += f"\n  without: {', '.join(without)}" if without else ""
+            raise ScenarioError("--plant: for real processes alone")
+        outcome = _run_virtual(resized, seed)
     else:
-        said = play_real(p.text(plan), told, seed, proxies, nodes, plant, keep_logs)
-        text, broken = short(said), said["verdict"] == "broken"
-    whole = json.dumps(said, indent=1, sort_keys=True) + "\n"
-    keep(record, whole)
-    click.echo(whole if as_json else text, nl=not as_json)
-    sys.exit(1 if broken else 3 if said.get("verdict") == "void" else 0)
-
-
-def log_errors(folder):
-    """What proxies logged as errors, a violation of their own guard of sending among them; some of each."""
-    found = []
-    for path in sorted(folder.glob("p*.log")):
-        with open(path, errors="replace") as file:
-            found += [f"{path.stem}: {line.strip()[:200]}" for line in file if " ERROR " in line and EXPECTED not in line][
-                :ERRORS_SHOWN
-            ]
-    return found
-
-
-def play_real(text, told, seed, proxies=None, nodes=None, plant=None, keep_logs=None):
-    """One play with processes, judged."""
-    from sloeferry.fault_testing import planted_faults as planted
-    from sloeferry.fault_testing import verdict
-    from sloeferry.fault_testing import worker_processes as crew
-
-    # A disk may take most of a second for a file that is cut short, and the driver would be late with it.
-    with tempfile.TemporaryDirectory(prefix="rig-", dir=MEMORY if os.path.isdir(MEMORY) else None) as folder:
-        tree = planted.plant(plant, folder) if plant else None
-        try:
-            records, struck, figures, faults = crew.play(text, told, seed, folder, proxies, nodes, tree)
-            faults += log_errors(pathlib.Path(folder))
-            return verdict.judge(told, seed, records, struck, figures, faults)
-        finally:
-            if keep_logs:
-                keep_logs.mkdir(parents=True, exist_ok=True)
-                for path in pathlib.Path(folder).iterdir():
-                    if path.is_file():
-                        shutil.copy(path, keep_logs / path.name)
+        options = RunOptions(plans.plan_text(plan), resized, seed, proxies, nodes)
+        outcome = _run_real(options, plant, keep_logs)
+    record_json = json.dumps(outcome.record, indent=1, sort_keys=True) + "\n"
+    keep(record, record_json)
+    click.echo(record_json if as_json else outcome.text, nl=not as_json)
+    sys.exit(EXIT_CODES[outcome.verdict])
+
+
+def _run_virtual(plan: Plan, seed: int) -> Outcome:
+    from sloeferry.rehearsal.play import play
+
+    scenario, left_out = plans.virtual_twin(plan)
+    record = play(scenario, seed)
+    record["without"] = left_out
+    text = virtual_record_text(record)
+    if left_out:
+        text += f"\n  without: {', '.join(left_out)}"
+    is_broken = any(record["rules"].values()) or bool(record["faults"])
+    return Outcome(record, text, Verdict.BROKEN if is_broken else Verdict.KEPT)
+
+
+def _run_real(options: RunOptions, planted_fault: str | None, keep_logs: pathlib.Path | None) -> Outcome:
+    from sloeferry.fault_testing.plan_run import run_and_judge
+
+    record = run_and_judge(options, planted_fault, keep_logs)
+    return Outcome(record, record_text(record), Verdict(record["verdict"]))
 
 
 @rig.command("list")
-def list_all():
+def list_plans() -> None:
     """The plans that are shipped."""
-    say_shipped(p, 16)
+    say_shipped(plans, NAME_WIDTH)
 
 
 @rig.command()
 @click.argument("plan")
-def check(plan):
+def check(plan: str) -> None:
     """Reads and checks PLAN, and says what of it has no part in virtual time; exit 2 and one line where it can't be played."""
-    told = p.read(plan)
-    _, without = p.twin(told)
+    checked = plans.read(plan)
+    _, left_out = plans.virtual_twin(checked)
+    backends = sum(nodes.count for nodes in checked.nodes)
     click.echo(
-        f"{told.name}: {told.seconds:g} s, {told.bank.proxies} proxies, {sum(n.count for n in told.nodes)} nodes, "
-        f"{len(told.trouble)} troubles, {len(told.fault)} faults: good"
+        f"{checked.name}: {checked.seconds:g} s, {checked.bank.proxies} proxies, {backends} nodes, "
+        f"{len(checked.trouble)} troubles, {len(checked.fault)} faults: good"
     )
-    click.echo("  in virtual time: " + (f"all but {', '.join(without)}" if without else "all of it"))
+    click.echo("  in virtual time: " + (f"all but {', '.join(left_out)}" if left_out else "all of it"))
 
 
 @rig.command()
-def plants():
+def plants() -> None:
     """The wrong lines that can be planted, and the plan that convicts each."""
-    from sloeferry.fault_testing import planted_faults as planted
-
-    for name, one in planted.PLANTED.items():
-        click.echo(f"{name:20s} {one.plan:12s} {one.about}")
+    for name, fault in PLANTED.items():
+        click.echo(f"{name:20s} {fault.plan:12s} {fault.about}")
--- a/sloeferry/fault_testing/draw.py
+++ b/sloeferry/fault_testing/draw.py
@@ -1,90 +1,69 @@
-"""Plans drawn from a seed: `drawn-17` is the same plan everywhere.
+"""Short plans drawn from a seed: `drawn-17` is the same plan everywhere.
 
-One fault at the most keeps a proxy from the list, and for less than the time after which it counts as told (`deemed_s`):
-two in a row could keep a drain from a proxy for longer, and no proxy could keep rule 3 then.
+One fault at the most keeps a proxy from the endpoint list, and for less than the time after which it counts as notified
+(`deemed_s`): two in a row could keep a drain from a proxy for longer, and no proxy could keep rule 3 then.
 """
 
 from random import Random
 
-import msgspec
+from sloeferry.fault_testing.draw_faults import TROUBLES, FaultDrawer, PlanTable, rolling_deploy
+from sloeferry.fault_testing.drawn_plan import IDLE_SECONDS, IMPATIENT_RATIOS, DrawnPlan, request_classes
 
-from sloeferry.fault_testing.draw_faults import FILES, TROUBLES, FaultDrawer
+PLAN_SECONDS = 9.0
+STRUCK_RATIOS = [0.1, 0.3, 0.6]
+CLOCK_OFFSETS_SECONDS = [-7200.0, 30.0, 7200.0]
+SLOW_BACKENDS: PlanTable = {"what": "slow", "at": 2.0, "lasts": 4.0, "part": 0.3, "times": 3}
 
-SECONDS = 9.0
 
-
-def text(seed):
-    """A plan, as TOML."""
+def draw_plan(seed: int) -> DrawnPlan:
+    """The plan of that seed.  The order of the draws is what a seed stands for."""
     rng = Random(f"plan {seed}")
-    proxies, cores = rng.choice([6, 12, 18, 24]), rng.choice([1, 2, 4])
-    nodes = rng.choice([6, 10, 16])
-    work = rng.choice([2, 10, 20, 40])
-    load = rng.uniform(0.2, 0.7)
-    cold = rng.random() < 0.6
-    schemes = [
-        {"name": "pull", "share": rng.choice([1, 3]), "work_ms": work},
-        {
-            "name": "push",
-            "kind": "referenced",
-            "group": rng.choice(["all", "zone"]),
-            "window_ms": 10000,
-            "work_ms": work,
-            "body": rng.choice([100, 3000]),
-        },
-        {"name": "page", "kind": "once-only", "work_ms": work, "gain": 2, "body": 100},
-    ]
-    schemes = rng.sample(schemes, rng.randint(1, 3))
-    rate = min(300.0, load * nodes * cores * 1000 / work)
+    proxies = rng.choice([6, 12, 18, 24])
+    cores = rng.choice([1, 2, 4])
+    backends = rng.choice([6, 10, 16])
+    work_ms = rng.choice([2, 10, 20, 40])
+    load_ratio = rng.uniform(0.2, 0.7)
+    is_cold = rng.random() < 0.6
+    classes = _draw_request_classes(rng, work_ms)
+    faults = _draw_faults(rng)
+    more_troubles = rng.sample([*TROUBLES, SLOW_BACKENDS], rng.randint(0, 2))
+    return DrawnPlan(
+        name=f"drawn-{seed}",
+        seconds=PLAN_SECONDS,
+        proxies=proxies,
+        backends=backends,
+        cores=cores,
+        is_cold=is_cold,
+        work_ms=work_ms,
+        load_ratio=load_ratio,
+        max_requests_per_second=300.0,
+        clients=48,
+        request_classes=classes,
+        faults=faults,
+        troubles=[rolling_deploy(lasts_seconds=4.0, drain_seconds=0.6), *more_troubles],
+        idle_seconds=rng.choice(IDLE_SECONDS),
+        impatient_ratio=rng.choice(IMPATIENT_RATIOS),
+        discovery_mode=rng.choice(["subscribe", "automatic"]),
+    )
 
-    draw = FaultDrawer(rng, SECONDS, [0.1, 0.3, 0.6])
-    when = draw.when
-    lists = [
-        lambda: when(2, what="list-out"),
-        lambda: when(3, what="list-lag"),
-        lambda: when(1, what="list-anew"),
-        lambda: when(2.5, what="list-older", by_s=rng.choice([1.0, 2.5])),
-        lambda: draw.link("discovery"),
-    ]
-    others = [
-        lambda: when(2, what="kill"),
-        lambda: when(2, what="stop"),
-        lambda: when(3, what="term"),
-        lambda: when(
-            1,
-            what="hup",
-            lost=rng.choice([0, 0.3]),
-            sla=rng.choice([0.7, 1.5]),
-            file=rng.choice(FILES),
-        ),
-        lambda: when(1, what="clock", by_s=rng.choice([-7200.0, 30.0, 7200.0])),
-        lambda: draw.link("nodes"),
-        lambda: draw.link("nodes"),
-        lambda: draw.link("callers"),
+
+def _draw_request_classes(rng: Random, work_ms: int) -> list[PlanTable]:
+    pull_share = rng.choice([1, 3])
+    push_group = rng.choice(["all", "zone"])
+    push_body_bytes = rng.choice([100, 3000])
+    classes = request_classes(work_ms, pull_share, push_group, push_body_bytes)
+    return rng.sample(classes, rng.randint(1, 3))
+
+
+def _draw_faults(rng: Random) -> list[PlanTable]:
+    """One fault that discovery has part in, and up to four others."""
+    drawer = FaultDrawer(rng, PLAN_SECONDS, STRUCK_RATIOS)
+    discovery_faults = [*drawer.discovery_faults(), lambda: drawer.link_fault("discovery")]
+    other_faults = [
+        *drawer.process_faults(),
+        lambda: drawer.reload(objective_ratios=[0.7, 1.5]),
+        lambda: drawer.clock_step(CLOCK_OFFSETS_SECONDS),
+        *drawer.link_faults(),
     ]
-    faults = [rng.choice(lists)()] + [rng.choice(others)() for _ in range(rng.randint(1, 4))]
-    troubles = [{"what": "deploy", "at": 1.0, "lasts": 4.0, "part": 0.6, "batch": 0.15, "drain_s": 0.6}]
-    troubles += rng.sample([*TROUBLES, {"what": "slow", "at": 2.0, "lasts": 4.0, "part": 0.3, "times": 3}], rng.randint(0, 2))
-    return msgspec.toml.encode(
-        {
-            "name": f"drawn-{seed}",
-            "about": "Drawn.",
-            "seconds": SECONDS,
-            "bank": {"proxies": proxies},
-            "network": {"zones": ["a", "b"]},
-            "nodes": [
-                {
-                    "count": nodes,
-                    "cores": cores,
-                    "cold_s": 4 if cold else 0,
-                    "cold_from": 0.2 if cold else 1.0,
-                    "idle_s": rng.choice([1, 30]),
-                }
-            ],
-            "scheme": schemes,
-            "callers": {"curve": [[SECONDS, rate]], "clients": 48, "impatient": rng.choice([0, 0.1])},
-            "discovery": {"notice_s": 0.8, "silent_s": 1.5, "add_s": 0.3, "mode": rng.choice(["subscribe", "automatic"])},
-            # Nothing is promised of service under what was drawn; a txn may be lost only by what the judge excuses.
-            "fault": sorted(faults, key=lambda fault: fault["at"]),
-            "trouble": troubles,
-        }
-    ).decode()
+    first = rng.choice(discovery_faults)()
+    return [first, *(rng.choice(other_faults)() for _ in range(rng.randint(1, 4)))]
--- a/sloeferry/fault_testing/draw_faults.py
+++ b/sloeferry/fault_testing/draw_faults.py
@@ -1,36 +1,92 @@
-"""What all drawn plans draw in one way: when a fault strikes, which one strikes a link, which troubles nodes have."""
+"""Faults and troubles as all drawn plans draw them.
 
+Each method draws from the plan's random numbers as it is called: the order of calls is part of what a seed stands for.
+"""
+
+from collections.abc import Callable
 from random import Random
+from typing import Any
+
+PlanTable = dict[str, Any]  # one table of a plan file, by its TOML keys
+FaultMaker = Callable[[], PlanTable]
 
-FILES = ["whole", "cut", "stale", "swapped", "missing"]  # what a process finds of its settings at SIGHUP
-TROUBLES = [
+FILE_STATES = ["whole", "cut", "stale", "swapped", "missing"]  # what a process finds of its settings at SIGHUP
+TROUBLES: list[PlanTable] = [
     {"what": "crash", "at": 3.0, "lasts": 1.5, "part": 0.3},
     {"what": "silent", "at": 2.0, "lasts": 2.0, "part": 0.2},
     {"what": "errs", "at": 2.0, "lasts": 3.0, "part": 0.3, "odds": 0.4},
     {"what": "stall", "at": 1.0, "lasts": 5.0, "part": 0.4, "ms": 400, "every_ms": 900},
 ]
+MIN_FAULT_SECONDS = 0.5
+EDGE_SECONDS = 0.5  # at the beginning and at the end of a plan, without a fault
+MAX_LINK_FAULT_SECONDS = 2.5
+
+
+def rolling_deploy(lasts_seconds: float, drain_seconds: float) -> PlanTable:
+    """The trouble that all drawn plans have: most backends are replaced, some at a time."""
+    return {"what": "deploy", "at": 1.0, "lasts": lasts_seconds, "part": 0.6, "batch": 0.15, "drain_s": drain_seconds}
 
 
 class FaultDrawer:
-    """Draws the faults of one plan.  `seconds` is its length; `parts` are the parts of the proxies that may be struck."""
+    """Draws the faults of one plan of `plan_seconds`; `struck_ratios`: which parts of the proxies may be struck."""
 
-    def __init__(self, rng: Random, seconds: float, parts: list[float]):
-        self.rng, self.seconds, self.parts = rng, seconds, parts
+    def __init__(self, rng: Random, plan_seconds: float, struck_ratios: list[float]):
+        self.rng = rng
+        self._plan_seconds = plan_seconds
+        self._struck_ratios = struck_ratios
 
-    def when(self, longest: float, **more) -> dict:
-        """A fault that lasts for at most so many seconds, with the fields `more`."""
-        lasts = round(self.rng.uniform(0.5, longest), 2)
-        at = round(self.rng.uniform(0.5, self.seconds - lasts - 0.5), 2)
-        return {"at": at, "lasts": lasts, "part": self.rng.choice(self.parts), **more}
+    def fault(self, kind: str, max_seconds: float, **keys: Any) -> PlanTable:
+        """A fault of that kind, of at most `max_seconds`, with the further TOML keys."""
+        lasts = round(self.rng.uniform(MIN_FAULT_SECONDS, max_seconds), 2)
+        at = round(self.rng.uniform(EDGE_SECONDS, self._plan_seconds - lasts - EDGE_SECONDS), 2)
+        return {"at": at, "lasts": lasts, "part": self.rng.choice(self._struck_ratios), "what": kind, **keys}
 
-    def link(self, between: str) -> dict:
+    def link_fault(self, between: str) -> PlanTable:
         """A fault of the links between proxies and `between`."""
         kind = self.rng.choice(["hold", "delay", "cut", "half-open", "break"])
-        more = {}
+        keys: PlanTable = {}
         if kind in ("hold", "break"):
-            more["way"] = self.rng.choice(["there", "back"])
+            keys["way"] = self.rng.choice(["there", "back"])
         if kind == "break":
-            more["bytes"] = self.rng.choice([0, 40, 300, 900])
+            keys["bytes"] = self.rng.choice([0, 40, 300, 900])
         elif kind == "delay":
-            more["ms"] = self.rng.choice([5, 60])
-        return self.when(2.5, what=kind, between=between, nodes=self.rng.choice([0.2, 0.6]), **more)
+            keys["ms"] = self.rng.choice([5, 60])
+        backend_ratio = self.rng.choice([0.2, 0.6])
+        return self.fault(kind, MAX_LINK_FAULT_SECONDS, between=between, nodes=backend_ratio, **keys)
+
+    def reload(self, objective_ratios: list[float]) -> PlanTable:
+        """A reload of new settings, some of whose signals are lost; with no ratios the latency objective stays."""
+        keys: PlanTable = {"lost": self.rng.choice([0, 0.3])}
+        if objective_ratios:
+            keys["sla"] = self.rng.choice(objective_ratios)
+        keys["file"] = self.rng.choice(FILE_STATES)
+        return self.fault("hup", 1, **keys)
+
+    def clock_step(self, offsets_seconds: list[float]) -> PlanTable:
+        """Wall clocks that are off by one of those offsets."""
+        return self.fault("clock", 1, by_s=self.rng.choice(offsets_seconds))
+
+    def discovery_faults(self) -> list[FaultMaker]:
+        """Discovery down, behind, counting anew, or answering from an older replica."""
+        return [
+            lambda: self.fault("list-out", 2),
+            lambda: self.fault("list-lag", 3),
+            lambda: self.fault("list-anew", 1),
+            lambda: self.fault("list-older", 2.5, by_s=self.rng.choice([1.0, 2.5])),
+        ]
+
+    def process_faults(self) -> list[FaultMaker]:
+        """Proxies killed, stopped, or told to leave."""
+        return [
+            lambda: self.fault("kill", 2),
+            lambda: self.fault("stop", 2),
+            lambda: self.fault("term", 3),
+        ]
+
+    def link_faults(self) -> list[FaultMaker]:
+        """Links to backends, twice as likely as those to callers."""
+        return [
+            lambda: self.link_fault("nodes"),
+            lambda: self.link_fault("nodes"),
+            lambda: self.link_fault("callers"),
+        ]
--- a/sloeferry/fault_testing/fault_actions.py
+++ b/sloeferry/fault_testing/fault_actions.py
@@ -1,192 +1,259 @@
-"""Who stands round the proxies, in processes of their own: python -m sloeferry.fault_testing.fault_actions.
+"""What the driver does when a fault of the plan strikes: a class for each kind.
 
-The first line on standard input says who it is; each further one is a command.  What it has to say at once it says on
-standard output, what it saw goes into its record.
+A fault is recorded before anything is done: what is done is seen by other processes within a ms, and a loss that stands in
+the records before its cause would be held against a proxy.
 """
 
-import asyncio
-import gc
-import json
 import os
-import sys
-from random import Random
+import signal
+from typing import TYPE_CHECKING, Any
+
+from sloeferry.fault_testing import plan_faults as faults
+from sloeferry.fault_testing.plan_faults import Fault
+from sloeferry.fault_testing.recorded_events import Event
+from sloeferry.rehearsal.live import Daemon
+from sloeferry.stand_ins.call_failures import CallFailure
+
+if TYPE_CHECKING:
+    from sloeferry.fault_testing.process_fleet import ProcessFleet
+
+START_INTERVAL_SECONDS = 0.05  # between two starts of processes: a start holds the driver up
+STARTUP_SECONDS = 2.0  # in which a process has read its file for certain
+CUT_LINK_MARGIN_SECONDS = 0.1  # for which callers count as cut off after a link is whole again
+LINK_KEYS = {"direction": "way", "delay_ms": "ms", "byte_limit": "bytes"}  # fields, and the plan's words for them
 
-import uvloop
 
-from sloeferry.fault_testing import plan as p
-from sloeferry.fault_testing.event_recorder import BEAT, Scribe
-from sloeferry.fault_testing.link_relay import Link
-from sloeferry.stand_ins.backends import Memory, Node
-from sloeferry.stand_ins.clients import Callers, Front
+class FaultAction:
+    """One fault of a plan on its targets; `strike` is called once, when it is due."""
+
+    def __init__(self, fleet: "ProcessFleet", number: int, fault: Any):
+        self.fleet = fleet
+        self.number = number
+        self.fault = fault
+        self.targets = fleet.fault_targets[number]
+        self.loop = fleet.loop
+        self.recorder = fleet.judge
 
+    def strike(self) -> None:
+        """Records the fault, does it, and records when it is over."""
+        self.record_strike()
+        self.apply()
+        over_at = self.over_at()
+        self.loop.call_later(self.fault.lasts_seconds, self.recorder.note, over_at, Event.FAULT_OVER, self.number)
 
-def say(**what):
-    sys.stdout.write(json.dumps(what) + "\n")
-    sys.stdout.flush()
+    def record_strike(self) -> None:
+        """Records the fault and its targets."""
+        targets = self.targets
+        now = self.loop.time()
+        self.recorder.note(now, Event.FAULT_STRUCK, self.number, self.fault.kind, targets.proxies, len(targets.links))
 
+    def apply(self) -> None:
+        """Does what the fault is, and sees to it that it ends."""
+        raise NotImplementedError
+
+    def over_at(self) -> float:
+        """Loop time at which it is over, if it strikes now."""
+        return self.loop.time() + self.fault.lasts_seconds
+
+    def proxies(self) -> list[Daemon]:
+        """Those that it strikes."""
+        return [self.fleet.proxies[number] for number in self.targets.proxies]
+
+    def proxy_names(self) -> list[str]:
+        """The names of those that it strikes."""
+        return [f"p{number}" for number in self.targets.proxies]
+
+
+class LinkAction(FaultAction):
+    """The links' condition changes; the relay does it."""
+
+    def strike(self) -> None:
+        """Records the fault and whom it excuses, and tells the relay."""
+        self.record_strike()
+        self._record_excuses()
+        links = self.targets.links
+        keys = {key: getattr(self.fault, name) for name, key in LINK_KEYS.items() if hasattr(self.fault, name)}
+        relay = self.fleet.relay
+        relay.command("set_condition", links, self.fault.kind, keys)
+        self.loop.call_later(self.fault.lasts_seconds, relay.command, "set_condition", links, "", {})
+
+    def _record_excuses(self) -> None:
+        now = self.loop.time()
+        over_at = self.over_at()
+        for name in self.proxy_names():
+            if self.fault.between == "discovery":
+                self.recorder.note(now, Event.DISCOVERY_HELD, name, over_at)
+            elif self.fault.between == "callers":  # nobody can answer through it
+                self.recorder.stopped(name, now, over_at)
+                self.recorder.note(now, Event.CLIENTS_CUT_OFF, name, over_at + CUT_LINK_MARGIN_SECONDS)
+
+
+class KillAction(FaultAction):
+    """Proxies are killed; each is started again when the fault is over."""
+
+    def apply(self) -> None:
+        """Kills them, and starts them one after the other."""
+        for turn, number in enumerate(self.targets.proxies):
+            self.prepare(number)
+            proxy = self.fleet.proxies[number]
+            proxy.kill()
+            self.loop.call_later(self.fault.lasts_seconds + START_INTERVAL_SECONDS * turn, proxy.start)
+
+    def prepare(self, number: int) -> None:
+        """What that proxy's next process is to be."""
+
+
+class ClockAction(KillAction):
+    """The wall clock is off from the next process on: nothing sets a clock that others have too."""
+
+    def prepare(self, number: int) -> None:
+        """Its clock will be off."""
+        self.fleet.house.clock_offsets[number] = self.fault.offset_seconds
+
+
+class FailingCallsAction(KillAction):
+    """System calls fail at times from the next process on."""
+
+    def prepare(self, number: int) -> None:
+        """Its calls will fail."""
+        self.fleet.house.failing_calls.add(number)
+
+
+class StopAction(FaultAction):
+    """SIGSTOP, and SIGCONT."""
+
+    def apply(self) -> None:
+        """All at once."""
+        for proxy in self.proxies():
+            proxy.stop(self.fault.lasts_seconds)
+
+
+class TerminateAction(FaultAction):
+    """SIGTERM, spread over the fault's time."""
+
+    def apply(self) -> None:
+        """One after the other."""
+        proxies = self.proxies()
+        for turn, proxy in enumerate(proxies):
+            self.loop.call_later(self.fault.lasts_seconds * turn / len(proxies), proxy.leave)
+
+
+class ReloadAction(FaultAction):
+    """New settings, in the state that the fault says, and SIGHUP for most."""
 
-class Hand:
-    """One process; a command calls the method of its name."""
+    def apply(self) -> None:
+        """All at once; those whose process may not have read its file yet get neither."""
+        rng = self.fleet.house.rng(f"hup-{self.fault.at_seconds}")
+        numbers = self.targets.proxies
+        without_signal = set(rng.sample(numbers, round(self.fault.lost_ratio * len(numbers))))
+        for number, proxy in zip(numbers, self.proxies(), strict=True):
+            self._write_settings(number, proxy)
+            started_at = self.fleet.house.started_at.get(number, 0.0)
+            if self.loop.time() < started_at + STARTUP_SECONDS:
+                continue  # started on half of a file it would rightly end
+            self._spoil_file(proxy)
+            if number not in without_signal:
+                proxy.end(signal.SIGHUP)
 
-    def __init__(self, loop, told, plan, scribe):
-        self.loop, self.told, self.plan, self.scribe = loop, told, plan, scribe
-        self.over = asyncio.Event()
-
-    async def open(self):
-        pass
-
-    async def end(self):
-        self.over.set()
-
-
-class Nodes(Hand):
-    """All nodes of a process."""
-
-    async def open(self):
-        self.nodes, self.memories, self.leaving = {}, {}, {}
-
-    async def make(self, at, ident, address, zone, kind):
-        memories = {group: self.memories.setdefault(where, Memory()) for group, where in (("all", ""), ("zone", zone))}
-        self.nodes[at] = Node(
-            self.loop,
-            self.plan.nodes[kind],
-            ident,
-            tuple(address),
-            zone,
-            self.scribe,
-            memories,
-            self.plan.obligations,
-            Random(f"{self.told['seed']}/node-{at}"),
-        )
-
-    async def start(self, at, warm):
-        await self.nodes[at].start(warm)
-        say(up=at)
-
-    async def die(self, at):
-        self.nodes[at].die()
-        self.leaving.pop(at, None)
-
-    async def refuse(self, at, so):
-        self.nodes[at].refuse(so)
-
-    async def stall(self, at, seconds):
-        self.nodes[at].stall(seconds)
-
-    async def change(self, at, what):
-        self.nodes[at].change(**what)
-
-    async def report(self, at):
-        self.nodes[at].report()
-
-    async def leave(self, at):
-        """Whoever drains says when nothing is left to do."""
-        node = self.nodes[at]
-        if node.up and node.crowd():
-            self.loop.call_later(BEAT, lambda: self.loop.create_task(self.leave(at)))
+    def _write_settings(self, number: int, proxy: Daemon) -> None:
+        if self.fault.file == "stale":
+            self.fleet.objective_ratios.pop(number, None)
         else:
-            say(idle=at)
-
-
-class Crowd(Hand):
-    """Callers of all zones, a part of all clients."""
-
-    async def open(self):
-        told, zones = self.told, self.plan.network.zones
-        places = [(name, tuple(address), zone) for name, address, zone in told["places"]]
-        self.front, self.callers = Front(self.loop, self.plan.front, places), []
-        for at, zone in enumerate(zones):
-            asks = [
-                ask
-                for ask in self.scribe.asks
-                if ask.client % len(zones) == at and ask.client // len(zones) % told["of"] == told["number"]
-            ]
-            self.callers.append(
-                Callers(
-                    self.loop,
-                    self.plan,
-                    zone,
-                    asks,
-                    self.front,
-                    self.scribe,
-                    Random(f"{told['seed']}/callers-{zone}-{told['number']}"),
-                )
-            )
-
-    async def begin(self, now):
-        self.scribe.begin = now
-        for callers in self.callers:
-            callers.begin(now)
-        self.loop.call_at(now + self.plan.seconds, self.open_still)
-
-    def open_still(self):
-        say(open=sum(callers.open for callers in self.callers))
-        self.loop.call_later(0.1, self.open_still)
-
-    async def alive(self, name, so):
-        self.front.alive[name] = so
-
-
-class Relay(Hand):
-    async def open(self):
-        self.links = {}
-
-    async def link(self, name, listen, target, heads):
-        self.links[name] = Link(self.loop, name, tuple(listen), tuple(target), self.scribe, heads)
-        await self.links[name].open()
-
-    async def laid(self):
-        say(laid=len(self.links))
-
-    async def do(self, names, what, told):
-        await asyncio.gather(*(self.links[name].do(what, told) for name in names))
-
-
-ROLES = {"nodes": Nodes, "callers": Crowd, "relay": Relay}
-
-
-class Orders(asyncio.Protocol):
-    """Commands, one after the other; with the end of the pipe this process ends."""
-
-    def __init__(self, hand):
-        self.hand, self.rest, self.queue = hand, b"", asyncio.Queue()
-        self.task = asyncio.get_running_loop().create_task(self.work())
-
-    def data_received(self, data):
-        *lines, self.rest = (self.rest + data).split(b"\n")
-        for line in lines:
-            self.queue.put_nowait(json.loads(line))
-
-    def connection_lost(self, fault):
-        self.hand.over.set()
-
-    async def work(self):
-        while True:
-            name, *what = await self.queue.get()
-            try:
-                await getattr(self.hand, name)(*what)
-            except Exception as fault:
-                say(fault=f"{name} {what!r:.200}: {fault!r}")
-
-
-async def stand(told):
-    loop = asyncio.get_running_loop()
-    plan = p.checked(told["plan"])
-    plan = p.altered(plan, told["proxies"], told["nodes"])
-    scribe = Scribe(plan, told["seed"], told["record"], loop.time)
-    loop.set_exception_handler(lambda _, what: say(fault=f"{what.get('message')}: {what.get('exception')!r}"))
-    hand = ROLES[told["role"]](loop, told, plan, scribe)
-    await hand.open()
-    gc.freeze()
-    gc.set_threshold(50000, 20, 50)  # a look at all that is kept takes longer than what is measured
-    scribe.beat(loop, told["role"])
-    await loop.connect_read_pipe(lambda: Orders(hand), sys.stdin)
-    say(ready=told["role"])
-    await hand.over.wait()
-    scribe.close()
-
-
-if __name__ == "__main__":
-    first = json.loads(os.fdopen(os.dup(0), "rb", 0).readline())
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(stand(first))
+            self.fleet.objective_ratios[number] = self.fault.objective_ratio
+        proxy.write()
+
+    def _spoil_file(self, proxy: Daemon) -> None:
+        text = proxy.path.read_text()
+        if self.fault.file == "cut":
+            proxy.path.write_text(text[: len(text) // 2])
+        elif self.fault.file == "missing":
+            proxy.path.unlink()
+        elif self.fault.file == "swapped":  # another file in its place, while it is read
+            other = proxy.path.with_suffix(".new")
+            other.write_text(text)
+            self.loop.call_soon(os.replace, other, proxy.path)
+
+
+class DiscoveryDownAction(FaultAction):
+    """Discovery is down for all, whichever proxies were drawn."""
+
+    def apply(self) -> None:
+        """It ends, and comes back."""
+        for place in self.fleet.places:
+            self.recorder.note(self.loop.time(), Event.DISCOVERY_UNREACHABLE, place.name, self.over_at())
+        discovery = self.fleet.roster
+        discovery.out()
+        self.loop.call_later(self.fault.lasts_seconds, lambda: self.loop.create_task(discovery.back()))
+
+
+class DiscoveryLagAction(FaultAction):
+    """Nothing new is shown to some proxies."""
+
+    def apply(self) -> None:
+        """The list stays as it is now."""
+        discovery = self.fleet.roster
+        for name in self.proxy_names():
+            discovery.show(name, until=self.loop.time())
+            self.loop.call_later(self.fault.lasts_seconds, discovery.show, name)
+
+
+class OlderReplicaAction(FaultAction):
+    """Some proxies are answered by a replica that is behind."""
+
+    def apply(self) -> None:
+        """Their watches end, so that they call again."""
+        discovery = self.fleet.roster
+        names = self.proxy_names()
+        for name in names:
+            discovery.show(name, late=self.fault.behind_seconds)
+            self.loop.call_later(self.fault.lasts_seconds, discovery.show, name)
+        discovery.hang_up(set(names))
+
+
+class RevisionResetAction(FaultAction):
+    """Discovery's count starts anew, for all."""
+
+    def apply(self) -> None:
+        """Once; nothing is to be mended."""
+        self.fleet.roster.anew()
+
+
+class FailingDiscoveryAction(FaultAction):
+    """Discovery's calls fail for some proxies."""
+
+    def apply(self) -> None:
+        """Each call, until the fault is over."""
+        failure = CallFailure(self.fault.failure)
+        for name in self.proxy_names():
+            if not failure.reachable:
+                self.recorder.note(self.loop.time(), Event.DISCOVERY_UNREACHABLE, name, self.over_at())
+            self._set_failure(name, failure)
+            self.loop.call_later(self.fault.lasts_seconds, self._set_failure, name, None)
+
+    def _set_failure(self, proxy: str, failure: CallFailure | None) -> None:
+        self.loop.create_task(self.fleet.roster.fail_calls(proxy, failure))
+
+
+ACTIONS: dict[type[Fault], type[FaultAction]] = {
+    faults.Kill: KillAction,
+    faults.Stop: StopAction,
+    faults.Terminate: TerminateAction,
+    faults.Reload: ReloadAction,
+    faults.ClockStep: ClockAction,
+    faults.FailingCalls: FailingCallsAction,
+    faults.HoldLink: LinkAction,
+    faults.DelayLink: LinkAction,
+    faults.CutLink: LinkAction,
+    faults.HalfOpenLink: LinkAction,
+    faults.BreakLink: LinkAction,
+    faults.DiscoveryDown: DiscoveryDownAction,
+    faults.DiscoveryLag: DiscoveryLagAction,
+    faults.OlderReplica: OlderReplicaAction,
+    faults.RevisionReset: RevisionResetAction,
+    faults.FailingDiscovery: FailingDiscoveryAction,
+}
+
+
+def action_of(fleet: "ProcessFleet", number: int, fault: Fault) -> FaultAction:
+    """What strikes when that fault of the plan is due."""
+    return ACTIONS[type(fault)](fleet, number, fault)
--- a/sloeferry/fault_testing/flaky_proxy.py
+++ b/sloeferry/fault_testing/flaky_proxy.py
@@ -19,5 +19,5 @@
     if clock_offset:
         environment.replace(unix_time=lambda: time.time() + clock_offset)
     if os.environ.pop("SLOEFERRY_RIG_CALLS", ""):
-        environment.replace(tcp_socket=flaky_sockets.tcp)
+        environment.replace(tcp_socket=flaky_sockets.tcp_socket)
     main(early_reloads)
--- a/sloeferry/fault_testing/flaky_sockets.py
+++ b/sloeferry/fault_testing/flaky_sockets.py
@@ -1,4 +1,4 @@
-"""System calls that fail as their pages say they may: sockets for a daemon of the rig, through the seam of machine.py.
+"""System calls that fail as their manual pages say they may: sockets for a proxy under test, put in by environment.replace.
 
 In each period calls fail for a part of it, a different error each time; between, reads and writes are short.
 """
@@ -8,46 +8,54 @@
 import socket
 import time
 
-PERIOD, FAILING = 3.0, 0.5  # seconds
+PERIOD_SECONDS = 3.0
+FAILING_SECONDS = 0.5  # of each period
 CONNECT_ERRORS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNREFUSED)
 ACCEPT_ERRORS = (errno.ECONNABORTED, errno.EMFILE, errno.ENOBUFS, errno.EPROTO)
-SHORTEST = 7  # bytes of a short read or write
+SHORTEST_BYTES = 7  # of a short read or write
 
 
-def failing() -> bool:
+def is_failing() -> bool:
     """Whether calls fail now; the same moment in all processes of a machine."""
-    return time.monotonic() % PERIOD < FAILING
+    return time.monotonic() % PERIOD_SECONDS < FAILING_SECONDS
+
+
+def _fail(errors: tuple[int, ...]) -> None:
+    number = random.choice(errors)
+    raise OSError(number, errno.errorcode[number])
 
 
 class FlakySocket(socket.socket):
     """A TCP socket whose calls fail for a while, or do a part of what they were asked."""
 
-    def connect(self, address):
-        if failing():
-            number = random.choice(CONNECT_ERRORS)
-            raise OSError(number, errno.errorcode[number])
-        return super().connect(address)
+    def connect(self, address) -> None:
+        """As socket.connect, or one of CONNECT_ERRORS."""
+        if is_failing():
+            _fail(CONNECT_ERRORS)
+        super().connect(address)
 
-    def accept(self):
-        if failing():
-            number = random.choice(ACCEPT_ERRORS)
-            raise OSError(number, errno.errorcode[number])
+    def accept(self) -> tuple[socket.socket, tuple[str, int]]:
+        """As socket.accept, or one of ACCEPT_ERRORS."""
+        if is_failing():
+            _fail(ACCEPT_ERRORS)
         fd, address = self._accept()
         return FlakySocket(self.family, self.type, self.proto, fileno=fd), address
 
-    def recv_into(self, buffer, nbytes=0, flags=0):
-        if flags or len(buffer) <= SHORTEST:
+    def recv_into(self, buffer, nbytes: int = 0, flags: int = 0) -> int:
+        """As socket.recv_into, of a random part of the buffer."""
+        if flags or len(buffer) <= SHORTEST_BYTES:
             return super().recv_into(buffer, nbytes, flags)
-        return super().recv_into(memoryview(buffer)[: random.randint(SHORTEST, len(buffer))], 0, flags)
+        return super().recv_into(memoryview(buffer)[: random.randint(SHORTEST_BYTES, len(buffer))], 0, flags)
 
-    def send(self, data, flags=0):
-        if len(data) <= SHORTEST:
+    def send(self, data, flags: int = 0) -> int:
+        """As socket.send, of a random part of the data."""
+        if len(data) <= SHORTEST_BYTES:
             return super().send(data, flags)
-        return super().send(memoryview(data)[: random.randint(SHORTEST, len(data))], flags)
+        return super().send(memoryview(data)[: random.randint(SHORTEST_BYTES, len(data))], flags)
 
 
-def tcp() -> FlakySocket:
-    """As machine.tcp: a new TCP socket that never blocks."""
+def tcp_socket() -> FlakySocket:
+    """As environment.tcp_socket: a new TCP socket that never blocks."""
     sock = FlakySocket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     return sock
--- a/sloeferry/fault_testing/link_relay.py
+++ b/sloeferry/fault_testing/link_relay.py
@@ -1,145 +1,264 @@
 """Links between two processes, and what can be done to them: asyncio, loopback, any number in one process.
 
-What goes from the near end (who dialled) to the far end goes `there`, the rest `back`.
+A link listens for connections (the client's end) and dials the address that it stands for (the server's end).
 """
 
 import asyncio
+import enum
 import socket
 import struct
+from dataclasses import dataclass
+from typing import Any
 
+from sloeferry.fault_testing.recorded_events import Event
 from sloeferry.stand_ins.http_messages import Frames
 
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: what is closed then is reset
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 seconds
+BACKLOG = 1024
+RESET_DELAY_SECONDS = 0.005  # what was let through before a break arrives before the reset
 
+Address = tuple[str, int]
 
-def reset(transport):
+
+class LinkState(enum.Enum):
+    """What a link does at present.  The value is the word that plans use."""
+
+    WHOLE = ""
+    HOLD = "hold"  # what is sent waits
+    DELAY = "delay"
+    CUT = "cut"  # connections are reset, new ones refused
+    HALF_OPEN = "half-open"  # the server's end has gone, the client's is not notified
+    BREAK = "break"  # each connection is reset after so many bytes
+
+
+class Direction(enum.Enum):
+    """Which way bytes go on a link.  The value is the word that plans use."""
+
+    TO_SERVER = "there"
+    TO_CLIENT = "back"
+    BOTH = "both"
+
+
+@dataclass(frozen=True, slots=True)
+class LinkCondition:
+    """A state and its figures, as far as it has any.  `byte_limit`: bytes that pass before a break."""
+
+    state: LinkState = LinkState.WHOLE
+    direction: Direction = Direction.BOTH
+    delay_ms: float = 0.0
+    byte_limit: int = 0
+
+    @classmethod
+    def of_plan(cls, kind: str, keys: dict[str, Any]) -> "LinkCondition":
+        """By the words of a plan: a fault's kind (empty: whole again), and its keys `way`, `ms`, `bytes`."""
+        direction = Direction(keys.get("way", Direction.BOTH.value))
+        return cls(LinkState(kind), direction, keys.get("ms", 0.0), keys.get("bytes", 0))
+
+    def holds(self, direction: Direction) -> bool:
+        """Whether what goes that way waits."""
+        if self.state is LinkState.HOLD:
+            return self.direction in (Direction.BOTH, direction)
+        return self.state is LinkState.HALF_OPEN
+
+
+def reset(transport: asyncio.Transport | None) -> None:
+    """Ends a connection with a reset rather than an orderly end."""
     if transport and not transport.is_closing():
-        transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         transport.abort()
 
 
 class Link:
-    """One address that stands for another.  `state` is what it does at present."""
-
-    def __init__(self, loop, name, listen, target, scribe, heads=False):
-        self.loop, self.name, self.listen, self.target, self.scribe = loop, name, listen, target, scribe
-        self.heads = heads  # whether requests' first bytes are written down as they come
-        self.pipes, self.server, self.state, self.told = {}, None, "", {}
-
-    async def open(self):
-        self.server = await self.loop.create_server(lambda: End(Pipe(self), True), *self.listen, backlog=1024)
-
-    async def do(self, what, told):
-        """`what` from now on; with nothing it is whole again, and what was held goes on."""
-        before, self.state, self.told = self.state, what, told
-        if what == "cut":
-            for pipe in list(self.pipes):
-                pipe.reset()
-            self.server.close()
-            await self.server.wait_closed()
-        elif what == "half-open":
-            for pipe in list(self.pipes):
-                pipe.half = True
-                reset(pipe.far.transport)
-        if not what:
-            if before == "cut":
-                await self.open()
-            for pipe in list(self.pipes):
-                pipe.reset() if pipe.half else pipe.flush()
-
-    def holds(self, near):
-        return self.state == "half-open" or self.state == "hold" and self.told["way"] in ("both", "there" if near else "back")
-
-
-class Pipe:
-    """One connection through a link: two ends, and what waits for either."""
-
-    def __init__(self, link):
-        self.link, self.near, self.far, self.held, self.half = link, None, None, [], False
-        self.due = {True: 0.0, False: 0.0}  # until when something is on its way, delayed
-        self.gone, self.frames, self.since = {True: 0, False: 0}, Frames() if link.heads else None, None
-        link.pipes[self] = None
-
-    async def dial(self):
+    """One address that stands for another.
+
+    `recorder` is asked to `note` connections that the target refused and, with `records_requests`, when each request's first
+    byte came in.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        name: str,
+        listen: Address,
+        target: Address,
+        recorder,
+        records_requests: bool = False,
+    ):
+        self.loop = loop
+        self.name = name
+        self.target = target
+        self.recorder = recorder
+        self.records_requests = records_requests
+        self.connections: dict[RelayedConnection, None] = {}
+        self.condition = LinkCondition()
+        self.server: asyncio.Server | None = None
+        self._listen = listen
+
+    async def open(self) -> None:
+        """Listens."""
+        self.server = await self.loop.create_server(self._accept, *self._listen, backlog=BACKLOG)
+
+    def _accept(self) -> "RelayEnd":
+        return RelayEnd(RelayedConnection(self), Direction.TO_SERVER)
+
+    async def set_condition(self, condition: LinkCondition) -> None:
+        """From now on; when it is whole again, what was held goes on."""
+        was_cut = self.condition.state is LinkState.CUT
+        self.condition = condition
+        if condition.state is LinkState.CUT:
+            await self._cut()
+        elif condition.state is LinkState.HALF_OPEN:
+            for connection in list(self.connections):
+                connection.lose_server()
+        elif condition.state is LinkState.WHOLE:
+            await self._mend(was_cut)
+
+    async def _cut(self) -> None:
+        for connection in list(self.connections):
+            connection.reset()
+        self.server.close()
+        await self.server.wait_closed()
+
+    async def _mend(self, was_cut: bool) -> None:
+        if was_cut:
+            await self.open()
+        for connection in list(self.connections):
+            if connection.is_half_open:
+                connection.reset()
+            else:
+                connection.flush()
+
+
+class RelayedConnection:
+    """One connection through a link: two ends, and what waits for either.
+
+    What passes is bytes, or None for the end of the stream.
+    """
+
+    def __init__(self, link: Link):
+        self.link = link
+        self.client_end: RelayEnd | None = None
+        self.server_end: RelayEnd | None = None
+        self.is_half_open = False
+        self._held: list[tuple[Direction, bytes | None]] = []
+        self._due_at = {Direction.TO_SERVER: 0.0, Direction.TO_CLIENT: 0.0}  # of what is on its way, delayed
+        self._passed_bytes = {Direction.TO_SERVER: 0, Direction.TO_CLIENT: 0}
+        self._requests = Frames() if link.records_requests else None
+        self._request_began_at: float | None = None
+        link.connections[self] = None
+
+    async def dial(self) -> None:
+        """Connects to the link's target."""
+        link = self.link
         try:
-            await self.link.loop.create_connection(lambda: End(self, False), *self.link.target)
+            await link.loop.create_connection(lambda: RelayEnd(self, Direction.TO_CLIENT), *link.target)
         except OSError:  # nobody took what came here, though a connection stood
-            link = self.link
-            link.scribe.note(link.loop.time(), "refused", link.name)
+            link.recorder.note(link.loop.time(), Event.LINK_REFUSED, link.name)
             self.reset()
             return
         self.flush()
 
-    def came(self, near, data):
-        """Bytes, or None for an end, from one side."""
+    def receive(self, direction: Direction, data: bytes | None) -> None:
+        """What one end has sent, on its way to the other."""
+        if direction is Direction.TO_SERVER and self._requests is not None and data:
+            self._note_requests(data)
+        self._pass(direction, data)
+
+    def _note_requests(self, data: bytes) -> None:
         link = self.link
-        if near and self.frames is not None and data:
-            if self.since is None:
-                self.since = link.loop.time()
-            for _, fields, _ in self.frames.feed(data):
-                if b"x-call-id" in fields:
-                    link.scribe.note(link.loop.time(), "entered", link.name, fields[b"x-call-id"].decode("latin-1"), self.since)
-                self.since = None
-        self.pass_on(near, data)
-
-    def pass_on(self, near, data):
-        link, other = self.link, self.far if near else self.near
-        if other is None or link.holds(near) or any(side == near for side, _ in self.held):
-            self.held.append((near, data))
-        elif link.state == "delay" or self.due[near] > link.loop.time():  # nothing overtakes what is on its way
-            self.due[near] = max(self.due[near], link.loop.time() + link.told.get("ms", 0.0) / 1000)
-            link.loop.call_at(self.due[near], self.put, near, data)
+        if self._request_began_at is None:
+            self._request_began_at = link.loop.time()
+        for _, fields, _ in self._requests.feed(data):
+            if b"x-call-id" in fields:
+                ident = fields[b"x-call-id"].decode("latin-1")
+                link.recorder.note(link.loop.time(), Event.LINK_ENTERED, link.name, ident, self._request_began_at)
+            self._request_began_at = None
+
+    def _receiver(self, direction: Direction) -> "RelayEnd | None":
+        return self.server_end if direction is Direction.TO_SERVER else self.client_end
+
+    def _pass(self, direction: Direction, data: bytes | None) -> None:
+        now = self.link.loop.time()
+        condition = self.link.condition
+        is_behind_held = any(held_direction is direction for held_direction, _ in self._held)
+        if self._receiver(direction) is None or condition.holds(direction) or is_behind_held:
+            self._held.append((direction, data))
+        elif condition.state is LinkState.DELAY or self._due_at[direction] > now:  # nothing overtakes what is on its way
+            self._due_at[direction] = max(self._due_at[direction], now + condition.delay_ms / 1000)
+            self.link.loop.call_at(self._due_at[direction], self._deliver, direction, data)
         else:
-            self.put(near, data)
+            self._deliver(direction, data)
 
-    def put(self, near, data):
-        link, other = self.link, self.far if near else self.near
-        if other is None or other.transport.is_closing():
+    def _deliver(self, direction: Direction, data: bytes | None) -> None:
+        receiver = self._receiver(direction)
+        if receiver is None or receiver.transport.is_closing():
             return
         if data is None:
-            return other.transport.close()
-        if link.state == "break" and near == (link.told["way"] == "there"):
-            room = link.told["bytes"] - self.gone[near]
-            if len(data) > room:
-                other.transport.write(data[: max(0, room)])
-                link.loop.call_later(0.005, self.reset)  # what was let through arrives before the reset
+            receiver.transport.close()
+            return
+        condition = self.link.condition
+        if condition.state is LinkState.BREAK and condition.direction is direction:
+            bytes_left = condition.byte_limit - self._passed_bytes[direction]
+            if len(data) > bytes_left:
+                receiver.transport.write(data[: max(0, bytes_left)])
+                self.link.loop.call_later(RESET_DELAY_SECONDS, self.reset)
                 return
-        self.gone[near] += len(data)
-        other.transport.write(data)
+        self._passed_bytes[direction] += len(data)
+        receiver.transport.write(data)
 
-    def flush(self):
-        held, self.held = self.held, []
-        for near, data in held:
-            self.pass_on(near, data)
+    def flush(self) -> None:
+        """Passes on what was held, as far as nothing holds it still."""
+        held = self._held
+        self._held = []
+        for direction, data in held:
+            self._pass(direction, data)
 
-    def reset(self):
-        self.link.pipes.pop(self, None)
-        for end in (self.near, self.far):
-            reset(end and end.transport)
+    def reset(self) -> None:
+        """Resets both ends."""
+        self.link.connections.pop(self, None)
+        for end in (self.client_end, self.server_end):
+            reset(end.transport if end else None)
 
+    def lose_server(self) -> None:
+        """Resets the server's end; the client's is not notified."""
+        self.is_half_open = True
+        reset(self.server_end.transport if self.server_end else None)
 
-class End(asyncio.Protocol):
-    def __init__(self, pipe, near):
-        self.pipe, self.is_near, self.transport = pipe, near, None
+    def end_received(self, direction: Direction, is_reset: bool) -> None:
+        """The connection to one end is over: so is the other, in the same way."""
+        if self.is_half_open and direction is Direction.TO_CLIENT:
+            return
+        if is_reset:
+            self.reset()
+            return
+        self.receive(direction, None)
+        ends = (self.client_end, self.server_end)
+        if all(end is not None and end.transport.is_closing() for end in ends):
+            self.link.connections.pop(self, None)
 
-    def connection_made(self, transport):
+
+class RelayEnd(asyncio.Protocol):
+    """The connection to the client, or to the server.  `direction`: where what it sends goes."""
+
+    def __init__(self, connection: RelayedConnection, direction: Direction):
+        self.connection = connection
+        self.transport: asyncio.Transport | None = None
+        self._direction = direction
+
+    def connection_made(self, transport: asyncio.Transport) -> None:
+        """The client's end has come: the server is dialled."""
         self.transport = transport
-        if self.is_near:
-            self.pipe.near = self
-            self.pipe.link.loop.create_task(self.pipe.dial())
+        if self._direction is Direction.TO_SERVER:
+            self.connection.client_end = self
+            loop = self.connection.link.loop
+            loop.create_task(self.connection.dial())
         else:
-            self.pipe.far = self
+            self.connection.server_end = self
 
-    def data_received(self, data):
-        self.pipe.came(self.is_near, data)
+    def data_received(self, data: bytes) -> None:
+        """Bytes from this end."""
+        self.connection.receive(self._direction, data)
 
-    def connection_lost(self, fault):
-        pipe = self.pipe
-        if pipe.half and not self.is_near:
-            return  # the near end never hears of it
-        if fault is not None:
-            pipe.reset()
-        else:
-            pipe.came(self.is_near, None)
-            if pipe.near and pipe.far and pipe.near.transport.is_closing() and pipe.far.transport.is_closing():
-                pipe.link.pipes.pop(pipe, None)
+    def connection_lost(self, error: Exception | None) -> None:
+        """The connection to this end is over."""
+        self.connection.end_received(self._direction, is_reset=error is not None)
--- /dev/null
+++ b/sloeferry/fault_testing/placement.py
@@ -0,0 +1,136 @@
+"""Where everything of a run stands: loopback addresses and ports, and which proxies and links each fault strikes.
+
+All of it follows from plan and seed, before anything starts, but for the ports: those that no other run has.
+"""
+
+import socket
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from random import Random
+from typing import NamedTuple
+
+from sloeferry.fault_testing.plan import Plan
+from sloeferry.fault_testing.plan_faults import AnyLinkFault, Fault, LinkFault
+from sloeferry.rehearsal.proxy_fleet import spot
+from sloeferry.rehearsal.scenario import ScenarioError
+
+# Blocks of loopback addresses (127.BLOCK.x.y); proxies have their block in the rehearsal's own placing.
+PROXY_BLOCK, BACKEND_BLOCK, DISCOVERY_BLOCK, LINK_BLOCK = 10, 20, 30, 50
+LOCK_NUMBER = 249  # in discovery's block: the address that holds a run's ports
+# Below the ports that the machine gives away by itself.
+FIRST_PORT, END_PORT, PORTS_A_RUN = 12000, 32000, 2500
+DISCOVERY_PORT_OFFSET = 500  # from the run's port; one more for each proxy
+
+Address = tuple[str, int]
+
+
+class Place(NamedTuple):
+    """A proxy's address for clients, and its zone."""
+
+    name: str
+    address: Address
+    zone: str
+
+
+class RelayedLink(NamedTuple):
+    """A link between a proxy and `between`; `backend`: its number, where it is to one; `listen`: the relay's address."""
+
+    between: str
+    proxy: int
+    backend: int | None
+    listen: Address
+
+
+class FaultTargets(NamedTuple):
+    """What a fault strikes: proxies by number, links by name."""
+
+    proxies: list[int]
+    links: list[str]
+
+
+def discovery_link(proxy: int) -> str:
+    """The name of the link between a proxy and discovery."""
+    return f"discovery/{proxy}"
+
+
+def callers_link(proxy: int) -> str:
+    """The name of the link between callers and a proxy."""
+    return f"callers/{proxy}"
+
+
+def proxy_places(plan: Plan, port: int) -> list[Place]:
+    """All proxies, dealt out over the zones in turn."""
+    zones = plan.network.zones
+    return [
+        Place(f"p{number}", (spot(PROXY_BLOCK, number), port), zones[number % len(zones)]) for number in range(plan.bank.proxies)
+    ]
+
+
+def discovery_addresses(places: list[Place], port: int) -> dict[str, Address]:
+    """Discovery's address for each proxy, by the proxy's name."""
+    host = spot(DISCOVERY_BLOCK, 0)
+    return {place.name: (host, port + DISCOVERY_PORT_OFFSET + number) for number, place in enumerate(places)}
+
+
+def backend_address(number: int, port: int) -> Address:
+    """The address of a backend."""
+    return spot(BACKEND_BLOCK, number), port
+
+
+@dataclass(slots=True)
+class Targets:
+    """What each fault strikes, and all links that takes; `random_for(name)` gives random numbers by what they are for."""
+
+    plan: Plan
+    port: int
+    random_for: Callable[[str], Random]
+    of_fault: list[FaultTargets] = field(default_factory=list)
+    links: dict[str, RelayedLink] = field(default_factory=dict)  # only those that a fault strikes
+    _links_of_proxy: dict[int, int] = field(default_factory=dict)  # how many
+
+    def __post_init__(self) -> None:
+        for number, fault in enumerate(self.plan.fault):
+            self.of_fault.append(self._draw(fault, self.random_for(f"fault-{number}")))
+
+    def _draw(self, fault: Fault, rng: Random) -> FaultTargets:
+        proxies = fault.proxies or _draw_some(rng, self.plan.bank.proxies, fault.struck_ratio)
+        if not isinstance(fault, AnyLinkFault):
+            return FaultTargets(proxies, [])
+        backends = self._draw_backends(fault, rng)
+        return FaultTargets(proxies, [self._link(fault.between, proxy, backend) for proxy in proxies for backend in backends])
+
+    def _draw_backends(self, fault: LinkFault, rng: Random) -> list[int | None]:
+        if fault.between != "nodes":
+            return [None]
+        return _draw_some(rng, sum(nodes.count for nodes in self.plan.nodes), fault.backend_ratio)
+
+    def _link(self, between: str, proxy: int, backend: int | None) -> str:
+        """The name of that link, placed where it is new: an address a proxy, a port each."""
+        name = f"{between}/{proxy}" if backend is None else f"{between}/{proxy}/{backend}"
+        if name not in self.links:
+            number = self._links_of_proxy.get(proxy, 0)
+            self._links_of_proxy[proxy] = number + 1
+            self.links[name] = RelayedLink(between, proxy, backend, (spot(LINK_BLOCK, proxy), self.port + number))
+        return name
+
+
+def _draw_some(rng: Random, count: int, ratio: float) -> list[int]:
+    """At least one of so many, in order."""
+    return sorted(rng.sample(range(count), max(1, round(ratio * count))))
+
+
+class ReservedPorts(NamedTuple):
+    """The first port of a run, and the socket that holds all of them until it is closed."""
+
+    lock: socket.socket
+    first: int
+
+
+def reserve_ports() -> ReservedPorts:
+    """Ports that no other run has; raises ScenarioError where all are taken."""
+    for port in range(FIRST_PORT, END_PORT, PORTS_A_RUN):
+        try:
+            return ReservedPorts(socket.create_server((spot(DISCOVERY_BLOCK, LOCK_NUMBER), port)), port)
+        except OSError:
+            continue
+    raise ScenarioError("no ports are free for a play: eight go on at once")
--- a/sloeferry/fault_testing/plan.py
+++ b/sloeferry/fault_testing/plan.py
@@ -1,223 +1,149 @@
 """Plan files: a rehearsal's scenario, and beside its troubles the faults that strike between processes.
 
-Read, checked and given defaults in one place; a fault names its key.  Times are as their names say.
+Read, checked and given defaults in one place; an error names its key.  Times are as their keys say: `_ms` milliseconds,
+`_s` or none seconds.
 """
 
 import pathlib
 import re
-from typing import Annotated, Literal
+from typing import Annotated, NoReturn
 
 import msgspec
 from msgspec import Meta
 
 from sloeferry.fault_testing import draw, draw_soak
-from sloeferry.rehearsal import scenario as s
-from sloeferry.rehearsal.scenario import Above, From0, Part, ScenarioError, Table
+from sloeferry.fault_testing.plan_faults import AnyFault, DiscoveryDown, Fault, Kill, Stop, Terminate
+from sloeferry.rehearsal import scenario as scenarios
+from sloeferry.rehearsal.scenario import Above, Part, Scenario, ScenarioError, Table
 
 SHIPPED = pathlib.Path(__file__).parent / "plans"
-MOST = 400  # proxies on one machine
+MAX_PROXIES = 400  # on one machine
+DRAWN_NAME = re.compile(r"(drawn|soak)-(\d{1,9})")
+# Faults that rehearsals in virtual time have too, and as which trouble.
+VIRTUAL_COUNTERPARTS = {
+    Kill: scenarios.ProxiesDie,
+    Stop: scenarios.ProxiesStop,
+    Terminate: scenarios.ProxiesRoll,
+    DiscoveryDown: scenarios.DiscoveryOut,
+}
+# Troubles of scenarios that real processes have not: they are made by the stand-ins or the virtual network.
+VIRTUAL_ONLY = (
+    scenarios.OneSided,
+    scenarios.LossyWay,
+    scenarios.DiscoveryMove,
+    scenarios.ProxiesStarve,
+    scenarios.ProxiesQuiesce,
+    scenarios.DiscoveryOut,
+)
 
 
 class Rig(Table):
-    """The processes beside the proxies.  `late_ms`: whoever measures and ran later than that voids the play."""
+    """The processes beside the proxies.
+
+    `late_ms`: a process that measures and ran later than that voids the run; `audit_s`: when the fleet is audited, whose
+    result is compared with the records.
+    """
 
     nodes: Annotated[int, Meta(ge=1, le=8)] = 1
     callers: Annotated[int, Meta(ge=1, le=8)] = 1
     late_ms: Above = 200.0
-    audit_s: Above | None = None  # when the fleet is audited; its word is held against the records
+    audit_s: Above | None = None
 
 
 class Expect(Table):
-    """What the plan holds its proxies to, beside the four rules."""
-
-    service: Part = 0.0  # the least part of the gain that is settled in time
-    lost: Annotated[int, Meta(ge=0)] = 0  # txns with no answer, whoever is to blame, at the most
-
-
-class Struck(Table):
-    """Which proxies: that part of them, drawn; or by number."""
-
-    at: From0
-    lasts: Above = 2.0
-    part: Part = 0.3
-    proxies: list[Annotated[int, Meta(ge=0)]] = []
-
-
-class Kill(Struck, tag_field="what", tag="kill"):
-    """SIGKILL; started again when it is over."""
-
-
-class Stop(Struck, tag_field="what", tag="stop"):
-    """SIGSTOP, and SIGCONT when it is over."""
-
-
-class Term(Struck, tag_field="what", tag="term"):
-    """SIGTERM, one after the other, and a new process for each."""
-
-
-class Hup(Struck, tag_field="what", tag="hup"):
-    """New settings and SIGHUP.  `file`: what of them stands there as it is read; `sla`: times the SLA time as it was."""
-
-    lost: Part = 0.0  # of those struck, who never get the signal
-    file: Literal["whole", "cut", "stale", "swapped", "missing"] = "whole"
-    sla: Above = 1.0
-
-
-class Clock(Struck, tag_field="what", tag="clock"):
-    """The wall clock of those processes is off by so much."""
-
-    by_s: float = 3600.0
-
-
-class Calls(Struck, tag_field="what", tag="calls"):
-    """System calls of those processes fail at times, and do a part of what they were asked (flaky_calls.py)."""
-
-
-class Link(Struck):
-    """Between those proxies and `between`; `nodes`: the part of the nodes, drawn."""
-
-    between: Literal["nodes", "discovery", "callers"] = "nodes"
-    nodes: Part = 1.0
-
-
-class Hold(Link, tag_field="what", tag="hold"):
-    """What is said waits until it is over, `way` or both ways; a machine that says nothing looks so."""
-
-    way: Literal["there", "back", "both"] = "both"
-
+    """What the plan holds its proxies to, beside the four rules.
 
-class Delay(Link, tag_field="what", tag="delay"):
-    ms: Above = 50.0
+    `service`: the least part of the priority weights that is served in time; `lost`: how many requests at the most may stay
+    without a response, whoever is to blame.
+    """
 
+    service: Part = 0.0
+    lost: Annotated[int, Meta(ge=0)] = 0
 
-class Cut(Link, tag_field="what", tag="cut"):
-    """Reset at once, and refused while it lasts."""
 
+class Plan(Scenario, kw_only=True):
+    """A scenario, with faults between processes."""
 
-class HalfOpen(Link, tag_field="what", tag="half-open"):
-    """The far end has gone and the near end never hears of it, until it is over: then it is reset."""
-
-
-class Break(Link, tag_field="what", tag="break"):
-    """Each connection is reset once so many bytes have gone that way on it: inside a message."""
-
-    bytes: Annotated[int, Meta(ge=0)] = 40
-    way: Literal["there", "back"] = "back"
-
-
-class ListOut(Struck, tag_field="what", tag="list-out"):
-    """Discovery is down, for all."""
-
-
-class ListLag(Struck, tag_field="what", tag="list-lag"):
-    """Those are told of nothing new."""
-
-
-class ListOlder(Struck, tag_field="what", tag="list-older"):
-    """Those are answered by a replica that stands where the list stood `by_s` before."""
-
-    by_s: Above = 5.0
-
-
-class ListFail(Struck, tag_field="what", tag="list-fail"):
-    """Their watches end, and each of their calls fails in that way (CallFailure)."""
-
-    how: Literal["refused", "late-refused", "reset", "silent", "half", "unreachable"] = "refused"
-
-
-class ListAnew(Struck, tag_field="what", tag="list-anew"):
-    """Discovery starts anew, with its count at 1."""
-
-
-PROCESS = Kill | Stop | Term | Hup | Clock | Calls
-BETWEEN = Hold | Delay | Cut | HalfOpen | Break
-LIST = ListOut | ListLag | ListOlder | ListAnew | ListFail
-# What the rehearsal kit has too, and as what.
-TWIN = {Kill: s.ProxiesDie, Stop: s.ProxiesStop, Term: s.ProxiesRoll, ListOut: s.DiscoveryOut}
-# Troubles of scenarios that a rig of processes has not: they live in the nodes' ways and the virtual network.
-VIRTUAL_ONLY = (s.OneSided, s.LossyWay, s.DiscoveryMove, s.ProxiesStarve, s.ProxiesQuiesce, s.DiscoveryOut)
-
-
-class Plan(s.Scenario, kw_only=True):
     rig: Rig = Rig()
-    fault: list[PROCESS | BETWEEN | LIST] = []
+    fault: list[AnyFault] = []
     expect: Expect = Expect()
 
 
-def shipped():
+def shipped() -> list[str]:
+    """The names of the plans that come with the package."""
     return sorted(path.stem for path in SHIPPED.glob("*.toml"))
 
 
-def text(said):
-    """The text of a plan: a shipped name, `drawn-` and a seed, or a path."""
-    if drawn := re.fullmatch(r"(drawn|soak)-(\d{1,9})", str(said)):
-        return (draw.text if drawn[1] == "drawn" else draw_soak.text)(int(drawn[2]))
-    return s.text(SHIPPED / f"{said}.toml" if str(said) in shipped() else pathlib.Path(said), [*shipped(), "drawn-N", "soak-N"])
+def plan_text(name: str) -> str:
+    """The text of a plan: a shipped name, `drawn-` or `soak-` and a seed, or a path."""
+    if drawn := DRAWN_NAME.fullmatch(name):
+        draw_plan = draw.draw_plan if drawn[1] == "drawn" else draw_soak.draw_plan
+        return draw_plan(int(drawn[2])).to_toml()
+    path = SHIPPED / f"{name}.toml" if name in shipped() else pathlib.Path(name)
+    return scenarios.text(path, [*shipped(), "drawn-N", "soak-N"])
 
 
-def read(said):
-    """A plan, checked."""
-    return checked(text(said), pathlib.Path(said).name)
+def read(name: str) -> Plan:
+    """The plan of that name or path, checked; raises ScenarioError."""
+    return parse_plan(plan_text(name), pathlib.Path(name).name)
 
 
-def checked(text, name="plan"):
-    told = s.checked(text, name, Plan)
+def parse_plan(text: str, name: str = "plan") -> Plan:
+    """The plan in that TOML text, checked; raises ScenarioError, which names the key."""
+    plan = scenarios.checked(text, name, Plan)
+    if plan.bank.proxies > MAX_PROXIES:
+        _refuse(name, "bank.proxies", f"{plan.bank.proxies} are too many for one machine, {MAX_PROXIES} at most")
+    if plan.clock:
+        _refuse(name, "clock", "a machine's own clock is never set; use a fault")
+    for index, trouble in enumerate(plan.trouble):
+        if isinstance(trouble, VIRTUAL_ONLY):
+            _refuse(name, f"trouble[{index}].what", "exists in virtual time alone; see the faults")
+    if plan.rig.audit_s and plan.rig.audit_s > plan.seconds:
+        _refuse(name, "rig.audit_s", "comes after the end")
+    for index, fault in enumerate(plan.fault):
+        _check_fault(plan, fault, name, f"fault[{index}]")
+    return plan
 
-    def no(key, why):
-        raise ScenarioError(f"{name}: {key}: {why}")
 
-    if told.bank.proxies > MOST:
-        no("bank.proxies", f"{told.bank.proxies} are too many for one machine, {MOST} at most")
-    if told.clock:
-        no("clock", "a machine's own clock is never set; use a fault")
-    for at, trouble in enumerate(told.trouble):
-        if isinstance(trouble, VIRTUAL_ONLY):
-            no(f"trouble[{at}].what", "exists in virtual time alone; see the faults")
-    if told.rig.audit_s and told.rig.audit_s > told.seconds:
-        no("rig.audit_s", "comes after the end")
-    for at, fault in enumerate(told.fault):
-        if fault.at + fault.lasts > told.seconds:
-            no(f"fault[{at}].lasts", "goes on past the end")
-        for number in fault.proxies:
-            if number >= told.bank.proxies:
-                no(f"fault[{at}].proxies", f"there is no proxy {number}")
-    return told
-
-
-def altered(told, proxies=None, nodes=None):
-    """The same plan with so many proxies, and so many nodes in all; load goes with the nodes."""
-    if proxies:
-        told = msgspec.structs.replace(told, bank=msgspec.structs.replace(told.bank, proxies=proxies))
-    if nodes:
-        have = sum(n.count for n in told.nodes)
-        counts = [max(1, round(n.count * nodes / have)) for n in told.nodes]
-        curve = [(length, rate * sum(counts) / have) for length, rate in told.callers.curve]
-        told = msgspec.structs.replace(
-            told,
-            nodes=[msgspec.structs.replace(n, count=count) for n, count in zip(told.nodes, counts)],
-            callers=msgspec.structs.replace(told.callers, curve=curve),
-        )
-    return told
-
-
-def twin(told):
-    """The scenario that plays in virtual time, and what of the plan has no part there."""
-    troubles, without = list(told.trouble), []
-    for fault in told.fault:
-        kind = TWIN.get(type(fault))
-        if kind is None:
-            without.append(word(fault))
-        elif kind is s.ProxiesStop:
-            troubles.append(kind(at=fault.at, part=share(told, fault), ms=fault.lasts * 1000))
-        else:
-            troubles.append(kind(at=fault.at, part=share(told, fault), lasts=fault.lasts))
-    fields = {name: getattr(told, name) for name in s.Scenario.__struct_fields__}
-    return s.Scenario(**{**fields, "trouble": troubles}), without
+def _check_fault(plan: Plan, fault: Fault, name: str, key: str) -> None:
+    if fault.at_seconds + fault.lasts_seconds > plan.seconds:
+        _refuse(name, f"{key}.lasts", "goes on past the end")
+    for number in fault.proxies:
+        if number >= plan.bank.proxies:
+            _refuse(name, f"{key}.proxies", f"there is no proxy {number}")
 
 
-def share(told, fault):
-    return len(fault.proxies) / told.bank.proxies if fault.proxies else fault.part
+def _refuse(name: str, key: str, reason: str) -> NoReturn:
+    raise ScenarioError(f"{name}: {key}: {reason}")
 
 
-def word(fault):
-    return type(fault).__struct_config__.tag
+def resize(plan: Plan, proxies: int | None = None, backends: int | None = None) -> Plan:
+    """The same plan with so many proxies, and so many backends in all; load goes with the backends."""
+    replace = msgspec.structs.replace
+    if proxies:
+        plan = replace(plan, bank=replace(plan.bank, proxies=proxies))
+    if backends:
+        before = sum(nodes.count for nodes in plan.nodes)
+        groups = [replace(nodes, count=max(1, round(nodes.count * backends / before))) for nodes in plan.nodes]
+        after = sum(nodes.count for nodes in groups)
+        curve = [(seconds, rate * after / before) for seconds, rate in plan.callers.curve]
+        plan = replace(plan, nodes=groups, callers=replace(plan.callers, curve=curve))
+    return plan
+
+
+def virtual_twin(plan: Plan) -> tuple[Scenario, list[str]]:
+    """The scenario that plays in virtual time, and the kinds of the faults that have no part there."""
+    troubles = list(plan.trouble)
+    left_out = []
+    for fault in plan.fault:
+        trouble_type = VIRTUAL_COUNTERPARTS.get(type(fault))
+        if trouble_type is None:
+            left_out.append(fault.kind)
+            continue
+        ratio = len(fault.proxies) / plan.bank.proxies if fault.proxies else fault.struck_ratio
+        if trouble_type is scenarios.ProxiesStop:
+            troubles.append(trouble_type(at=fault.at_seconds, part=ratio, ms=fault.lasts_seconds * 1000))
+        else:
+            troubles.append(trouble_type(at=fault.at_seconds, part=ratio, lasts=fault.lasts_seconds))
+    fields = {name: getattr(plan, name) for name in Scenario.__struct_fields__}
+    return Scenario(**{**fields, "trouble": troubles}), left_out
--- /dev/null
+++ b/sloeferry/fault_testing/process_fleet.py
@@ -0,0 +1,213 @@
+"""The proxies and everybody round them, in processes: started, wired, told to begin, and ended, each by its id.
+
+The driver is also discovery, and the only one that starts, stops and signals proxies.  It has for the rest what a fleet has
+in a rehearsal (rehearsal/proxy_fleet.py), so that scenarios' troubles strike here as they do there.
+"""
+
+import asyncio
+import pathlib
+from typing import Any
+
+from sloeferry.fault_testing.event_recorder import EventRecorder
+from sloeferry.fault_testing.fault_actions import action_of
+from sloeferry.fault_testing.fleet_audit import audit_fleet
+from sloeferry.fault_testing.placement import (
+    Address,
+    Place,
+    RelayedLink,
+    Targets,
+    backend_address,
+    callers_link,
+    discovery_addresses,
+    discovery_link,
+    proxy_places,
+)
+from sloeferry.fault_testing.plan import Plan
+from sloeferry.fault_testing.process_host import ProcessHost
+from sloeferry.fault_testing.recorded_events import Event
+from sloeferry.fault_testing.run_options import RunOptions
+from sloeferry.fault_testing.shared_front import SharedFront
+from sloeferry.fault_testing.worker_processes import RemoteBackend, WorkerProcess
+from sloeferry.fault_testing.worker_protocol import ReportKind, WorkerConfig, WorkerReport, WorkerRole
+from sloeferry.rehearsal.faults import Troubles
+from sloeferry.rehearsal.proxy_fleet import Bank, expand
+from sloeferry.rehearsal.scenario import Nodes
+from sloeferry.stand_ins.discovery import Roster
+
+END_SECONDS = 5.0  # until proxies that were killed must have gone
+POLL_SECONDS = 0.05
+OPERATOR_SETTINGS = "[versions]\ntell = true\ncarry = true\n"
+
+
+class ProcessFleet(Bank):
+    """Everybody who takes part in a run.
+
+    The names without an underscore that are not explained here are those of a rehearsal's fleet: troubles, proxies and
+    stand-ins use them.
+    """
+
+    def __init__(self, options: RunOptions, host: ProcessHost, port: int):
+        plan = options.plan
+        self.plan: Plan = plan
+        self.scenario = plan
+        self.house = host
+        self.loop = host.loop
+        self.port = port
+        self.tool_faults: list[str] = []  # of the tool's own processes
+        self.objective_ratios: dict[int, float] = {}  # proxy -> its latency objective, times what the plan says
+        self.judge = EventRecorder(plan, options.seed, pathlib.Path(host.folder, "driver.jsonl"), self.loop.time)
+        self.places: list[Place] = proxy_places(plan, port)
+        targets = Targets(plan, port, host.rng)
+        self.fault_targets = targets.of_fault
+        self._links = targets.links
+        self._links_open = asyncio.Event()
+        addresses = discovery_addresses(self.places, port)
+        self.roster = Roster(self.loop, plan.discovery, addresses, self.judge, host.rng("roster"), host.unix)
+        host.operator_file.write_text(OPERATOR_SETTINGS)
+        self._options = options
+        self._backend_workers = self._workers(WorkerRole.BACKENDS, plan.rig.nodes)
+        self._caller_workers = self._workers(WorkerRole.CALLERS, plan.rig.callers)
+        relays = self._workers(WorkerRole.RELAY, 1 if self._links else 0)
+        self.relay = relays[0] if relays else None
+        self._all_workers = [*self._backend_workers, *self._caller_workers, *relays]
+        self.front = SharedFront(self.loop, plan.front, self.places, self._tell_alive)
+        self.nodes: list[RemoteBackend] = []
+        self._backends: dict[int, RemoteBackend] = {}  # by number: all that ever were
+        self.proxies = [host.proxy(self, number) for number in range(plan.bank.proxies)]
+
+    def _workers(self, role: WorkerRole, count: int) -> list[WorkerProcess]:
+        options = self._options
+        places = [(place.name, self._address_for_callers(number), place.zone) for number, place in enumerate(self.places)]
+        return [
+            WorkerProcess(
+                self.house,
+                WorkerConfig(
+                    role=role,
+                    number=number,
+                    plan_text=options.plan_text,
+                    proxy_count=options.proxy_count,
+                    backend_count=options.backend_count,
+                    seed=options.seed,
+                    record_path=str(pathlib.Path(self.house.folder, f"{role}-{number}.jsonl")),
+                    caller_workers=self.plan.rig.callers,
+                    places=places,
+                ),
+                self._on_report,
+            )
+            for number in range(count)
+        ]
+
+    def _address_for_callers(self, proxy: int) -> Address:
+        link = self._links.get(callers_link(proxy))
+        return link.listen if link else self.places[proxy].address
+
+    def record_paths(self) -> list[str]:
+        """The records of all processes, the driver's first."""
+        return [str(self.judge.path), *(str(worker.record_path) for worker in self._all_workers)]
+
+    # Reports and orders of workers
+
+    def _on_report(self, report: WorkerReport) -> None:
+        if report.kind is ReportKind.FAILED:
+            self.tool_faults.append(report.value)
+        elif report.kind is ReportKind.BACKEND_STARTED:
+            self._backends[report.value].has_started()
+        elif report.kind is ReportKind.BACKEND_IDLE:
+            self._backends[report.value].has_become_idle()
+        elif report.kind is ReportKind.LINKS_OPEN:
+            self._links_open.set()
+
+    def _tell_alive(self, proxy: str, is_alive: bool) -> None:
+        for worker in self._caller_workers:
+            worker.command("set_alive", proxy, is_alive)
+
+    def busy(self) -> bool:
+        """Whether calls are open still, as far as callers have reported."""
+        return any(worker.open_calls != 0 for worker in self._caller_workers)
+
+    # What troubles, proxies and stand-ins ask of a fleet
+
+    def node(self, told: Nodes, zone: str) -> RemoteBackend:
+        """Another backend of that group of the plan's; it does not listen yet."""
+        number = len(self._backends)
+        worker = self._backend_workers[number % len(self._backend_workers)]
+        group = self.plan.nodes.index(told)
+        backend = RemoteBackend(worker, number, backend_address(number, self.port), told, group, zone)
+        self._backends[number] = backend
+        return backend
+
+    def settings(self, at: int) -> dict[str, Any]:
+        """The settings of the proxy of that number."""
+        settings = super().settings(at)
+        ratio = self.objective_ratios.get(at, 1.0)
+        for request_class in settings["schemes"]:
+            request_class["sla_time"] = min(request_class["expiry"], round(request_class["sla_time"] * ratio))
+        return settings
+
+    def berth(self, at: int, seed: int) -> dict[str, Any]:
+        """The configuration of the proxy of that number."""
+        config = super().berth(at, seed)
+        link = self._links.get(discovery_link(at))
+        if link:
+            config["discovery"] = "{}:{}".format(*link.listen)
+        return config
+
+    # The course of a run
+
+    async def open(self) -> None:
+        """Worker processes, links, warm backends, and discovery."""
+        await asyncio.gather(*(worker.start() for worker in self._all_workers))
+        for group, zone in expand(self.plan):
+            self.nodes.append(self.node(group, zone))
+        await self._open_links()
+        await asyncio.gather(*(backend.start(warm=True) for backend in self.nodes))
+        for backend in self.nodes:
+            self.roster.publish(backend, "active", 0.0)
+        await self.roster.start()
+
+    async def _open_links(self) -> None:
+        if not self.relay:
+            return
+        for name, link in self._links.items():
+            leads_to_backend = link.backend is not None
+            self.relay.command("add_link", name, link.listen, self._target(link), leads_to_backend)
+            if leads_to_backend:
+                way = f"p{link.proxy}", self.nodes[link.backend].ident
+                self.roster.ways[way] = "{}:{}".format(*link.listen)
+        self.relay.command("confirm_links")
+        await self._links_open.wait()
+
+    def _target(self, link: RelayedLink) -> Address:
+        if link.backend is not None:
+            return self.nodes[link.backend].address
+        place = self.places[link.proxy]
+        return place.address if link.between == "callers" else self.roster.addresses[place.name]
+
+    def begin(self, now: float) -> None:
+        """Callers, troubles and faults, from that loop time on."""
+        self.judge.begin = now
+        self.judge.note(now, Event.RUN_BEGAN)
+        for worker in self._caller_workers:
+            worker.command("begin", now)
+        Troubles(self).begin(now)
+        for number, fault in enumerate(self.plan.fault):
+            self.loop.call_at(now + fault.at_seconds, action_of(self, number, fault).strike)
+        if self.plan.rig.audit_s:
+            self.loop.call_at(now + self.plan.rig.audit_s, lambda: self.loop.create_task(self._audit()))
+
+    async def _audit(self) -> None:
+        self.judge.note(self.loop.time(), Event.AUDIT_BEGAN, self.roster.revision)
+        result = await audit_fleet(self.places, self.roster)
+        self.judge.note(self.loop.time(), Event.AUDIT_ENDED, result)
+
+    async def end(self) -> None:
+        """Ends all processes, and completes the records."""
+        for proxy in self.proxies:
+            proxy.over = True
+            proxy.end()
+        await asyncio.gather(*(worker.end() for worker in self._all_workers))
+        self.roster.out()
+        until = self.loop.time() + END_SECONDS
+        while any(proxy.process for proxy in self.proxies) and self.loop.time() < until:
+            await asyncio.sleep(POLL_SECONDS)
+        self.judge.close()
--- /dev/null
+++ b/sloeferry/fault_testing/process_host.py
@@ -0,0 +1,52 @@
+"""How the processes of a run are started: on which cores, with which environment, of which source tree."""
+
+import asyncio
+import contextlib
+import os
+import pathlib
+
+from sloeferry.rehearsal.live import Daemon, Street
+from sloeferry.stand_ins import processes
+
+SOURCE_TREE = str(pathlib.Path(__file__).resolve().parents[2])
+FLAKY_PROXY = "sloeferry.fault_testing.flaky_proxy"
+# Of three cores or more, processes that measure have three in eight to themselves.
+MEASURING_CORES_OF_8 = 3
+
+
+class ProcessHost(Street):
+    """Where processes stand: measuring ones on cores of their own, proxies on the rest."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, seed: int, folder: str, proxy_tree: str | None):
+        super().__init__(loop, seed, folder)
+        self.operator_file = pathlib.Path(folder, "operator.toml")
+        self.clock_offsets: dict[int, float] = {}  # proxy -> seconds by which its wall clock is off
+        self.failing_calls: set[int] = set()  # proxies whose system calls fail at times
+        self.started_at: dict[int, float] = {}  # proxy -> loop time of its newest process's start
+        self._proxy_tree = proxy_tree or SOURCE_TREE
+        cores = sorted(os.sched_getaffinity(0))
+        count = max(1, len(cores) * MEASURING_CORES_OF_8 // 8)
+        self.measuring_cores = set(cores[:count]) if len(cores) > 2 else set(cores)
+        self._proxy_cores = set(cores[count:]) if len(cores) > 2 else set(cores)
+        os.sched_setaffinity(0, self.measuring_cores)
+
+    def placed(self, process: asyncio.subprocess.Process, cores: set[int] | None = None) -> None:
+        """A process has been started: a proxy where no cores are given."""
+        with contextlib.suppress(ProcessLookupError):  # it has ended already: whoever waits for it will say so
+            os.sched_setaffinity(process.pid, cores or self._proxy_cores)
+
+    def command(self, daemon: Daemon) -> tuple[list[str], dict[str, str], str]:
+        """Arguments, environment and folder of a proxy: as `run` starts it, or with a clock or calls that misbehave."""
+        number = daemon.at
+        self.started_at[number] = self.loop.time()
+        clock_offset = self.clock_offsets.get(number)
+        has_failing_calls = number in self.failing_calls
+        is_flaky = clock_offset is not None or has_failing_calls
+        arguments, environment = processes.command(FLAKY_PROXY if is_flaky else "sloeferry")
+        if clock_offset is not None:
+            environment["SLOEFERRY_RIG_CLOCK"] = repr(clock_offset)
+        if has_failing_calls:
+            environment["SLOEFERRY_RIG_CALLS"] = "yes"
+        if daemon.bank.plan.rig.audit_s:
+            environment["SLOEFERRY_OPERATOR"] = str(self.operator_file)
+        return arguments, environment, self._proxy_tree
--- /dev/null
+++ b/sloeferry/fault_testing/recorded_events.py
@@ -0,0 +1,50 @@
+"""The events that processes of a run record; the value is the word in the record."""
+
+import enum
+
+
+class Event(enum.StrEnum):
+    """What happened.  The fields that follow time and word in a record stand beside each."""
+
+    RUN_BEGAN = "begin"
+    FAULT_STRUCK = "fault"  # number, kind, proxies, how many links
+    FAULT_OVER = "over"  # number
+    PROCESS_LATE = "late"  # role, ms
+
+    # Callers
+    REQUEST_BEGAN = "asked"  # id, proxy, deadline
+    REQUEST_SENT = "sent"  # id, deadline
+    RESPONSE_RECEIVED = "answered"  # id, status, whether its body is its own
+    IDLE_CLOSE_CROSSED = "crossed"  # id
+    RESPONSE_MISSING = "lost"  # id, reason
+    CALL_ENDED = "ended"  # number of the call, outcome, when it began, how many requests it made
+
+    # Backends
+    ATTEMPT_RECEIVED = "posted"  # backend, zone, id, when its first byte came
+    ATTEMPT_VERSIONS = "acted"  # backend, id, under which versions its proxy sent it
+    ATTEMPT_RAN = "ran"  # backend, id
+    BACKEND_CHOKED = "choked"  # backend
+    BACKEND_FELL_OVER = "fell"  # backend, its warm-up fraction, what it was sent
+    RULE_BROKEN = "breach"  # rule, text
+
+    # Links
+    LINK_ENTERED = "entered"  # link, id, when its first byte came
+    LINK_REFUSED = "refused"  # link
+    CLIENTS_CUT_OFF = "apart"  # proxy, until when
+    DISCOVERY_HELD = "unfed"  # proxy, until when
+    DISCOVERY_UNREACHABLE = "unreached"  # proxy, until when
+
+    # Discovery
+    ENDPOINT_NOTIFIED = "told"  # proxy, endpoint, its phase, when it started
+    LIST_WRITTEN = "listed"  # proxy, revision
+    ENDPOINT_PUBLISHED = "published"  # endpoint, its phase
+    BACKEND_STARTED = "started"  # backend, when
+
+    # Proxies
+    PROXY_KILLED = "killed"  # proxy
+    PROXY_CRASHED = "crashed"  # proxy, how
+    PROXY_STOPPED = "stopped"  # proxy, until when
+
+    # The fleet's audit
+    AUDIT_BEGAN = "auditing"  # discovery's revision
+    AUDIT_ENDED = "audited"  # its result
--- /dev/null
+++ b/sloeferry/fault_testing/shared_front.py
@@ -0,0 +1,38 @@
+"""The front before the proxies, for callers in several processes."""
+
+import asyncio
+from collections.abc import Callable
+
+from sloeferry.fault_testing.placement import Place
+from sloeferry.rehearsal.scenario import Front as FrontSettings
+from sloeferry.stand_ins.clients import Front
+
+MIN_POLL_SECONDS = 0.05
+POLLS_PER_SECOND = 400  # of all proxies together
+
+
+class ObservedAlive(dict[str, bool]):
+    """Which proxies are held for alive; `on_change` is called with each that is set."""
+
+    def __init__(self, alive: dict[str, bool], on_change: Callable[[str, bool], None]):
+        super().__init__(alive)
+        self._on_change = on_change
+
+    def __setitem__(self, proxy: str, is_alive: bool) -> None:
+        super().__setitem__(proxy, is_alive)
+        self._on_change(proxy, is_alive)
+
+
+class SharedFront(Front):
+    """The driver asks who is ready, the callers' processes are told."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        settings: FrontSettings,
+        places: list[Place],
+        on_change: Callable[[str, bool], None],
+    ):
+        super().__init__(loop, settings, places)
+        self.alive = ObservedAlive(self.alive, on_change)
+        self.poll = max(MIN_POLL_SECONDS, len(places) / POLLS_PER_SECOND)
--- a/sloeferry/fault_testing/verdict.py
+++ b/sloeferry/fault_testing/verdict.py
@@ -1,270 +1,120 @@
-"""All records of a play joined, and judged: the four rules by the rehearsal's own judge, and the plan's own properties.
-
-What a process of the rig saw counts at the time when it saw it; one machine, one monotonic clock.  Nothing here is
-decided by how long anything took but where a rule itself sets a limit.
-"""
+"""The verdict of a run: all its records joined, and held against the four rules and the plan's own expectations."""
 
+import enum
+import pathlib
 from collections import defaultdict
+from collections.abc import Sequence
+from dataclasses import dataclass, field
 from random import Random
-
-from sloeferry.fault_testing.event_recorder import read
-from sloeferry.rehearsal.judge import Judge, arrivals
-
-MOMENT = 0.4  # seconds in which who was told may not have taken it in yet
-SHOWN = 14  # events of one txn that are printed beside a broken rule
-
-
-class Bench(Judge):
-    """A judge that hears all at once, in order, what a rehearsal's is told as it happens."""
-
-    def __post_init__(self):
-        super().__post_init__()
-        self.entered, self.apart, self.hows, self.crossed = {}, defaultdict(list), {}, set()
-        self.after, self.unfed, self.deferred = {}, defaultdict(list), []
-        self.unreached = defaultdict(list)  # proxy -> spans in which discovery could not be reached from there
-        self.audit, self.auditing, self.history, self.old = None, None, defaultdict(list), []
-        self.late, self.by_ident, self.about, self.lists = defaultdict(float), defaultdict(list), [], {}
-
-    def breach(self, rule, now, text):
-        super().breach(rule, now, text)
-        self.about.append((rule, now, text))
-
-    def kept_apart(self, found, now):
-        """Whether a fault was on the link between a try's caller and its proxy while it was under way."""
-        return any(since <= now and until >= found.at for since, until in self.apart[found.proxy])
-
-    def stood(self, found):
-        return super().stood(found) or self.kept_apart(found, found.ends)
-
-    def posted(self, node, zone, ident, since):
-        # Held on its way to the proxy, it had less time than the proxy could know.
-        found = self.tries[ident]
-        ends = found.ends
-        if self.kept_apart(found, ends):
-            found.ends = float("inf")
-        super().posted(node, zone, ident, since)
-        found.ends = ends
-
-    def on_refused(self, at, link):
-        between, _, ends = link.partition("/")
-        if between == "callers":  # a relay took the connection for a proxy that was not there
-            self.apart["p" + ends].append((at - MOMENT / 4, at + MOMENT / 4))
-
-    def lost(self, ident, now, why):
-        found = self.tries[ident]
-        # Its link was cut or held by a fault: nobody could have answered there.
-        if self.kept_apart(found, now):
-            return "apart"
-        if ident in self.crossed and not found.posted and not self.died(found):
-            return "untaken"  # it crossed the proxy's closing of an idle connection
-        return super().lost(ident, now, why)
-
-    def hear(self, event):
-        at, what, *more = event
-        while self.deferred and self.deferred[0][0] <= at:
-            when, *said = self.deferred.pop(0)
-            self.on_told(when, *said)
-        if (call := getattr(self, "on_" + what, None)) is not None:
-            call(at, *more)
-
-    def on_begin(self, at):
-        self.begin = at
-
-    def on_asked(self, at, ident, proxy, ends):
-        ident = ident.encode()
-        self.asked(ident, self.asks[int(ident[:12], 16)], proxy, at, ends)
-
-    def on_sent(self, at, ident, ends):
-        self.sent(ident.encode(), at, ends)
-
-    def on_answered(self, at, ident, status, own):
-        ident = ident.encode()
-        body = ident.ljust(self.scheme(ident).answer) if own else b""
-        self.answered(ident, at, status, body)
-
-    def on_crossed(self, at, ident):
-        self.crossed.add(ident.encode())
-
-    def on_lost(self, at, ident, why):
-        self.hows[int(ident[:12], 16)] = self.lost(ident.encode(), at, why)
-
-    def on_ended(self, at, number, how, first, tries):
-        ask = self.asks[number]
-        ask.first, ask.tries = first, tries
-        self.ended(ask, self.hows.get(number, how) if how == "lost" else how, at)
-
-    def on_entered(self, at, link, ident, since):
-        self.entered[f"s-{int(link.rpartition('/')[2]):04x}", ident] = since
-
-    def on_posted(self, at, node, zone, ident, since):
-        # On its way through a link it may have waited: it was sent when its first byte went in.
-        self.posted(node, zone, ident.encode(), self.entered.pop((node, ident), since))
-
-    def on_ran(self, at, node, ident):
-        self.ran(node, ident.encode(), at)
-
-    def on_fell(self, at, node, warmth, sent):
-        self.fell(node, at, warmth, [(then, work, ident.encode()) for then, work, ident in sent])
-
-    def on_choked(self, at, node):
-        self.choked(node)
-
-    def on_breach(self, at, rule, text):
-        self.breach(rule, at, text)
-
-    def on_told(self, at, proxy, node, phase, launched):
-        # What discovery wrote into a link that holds it is written to the proxy once the link lets it go.
-        if until := max((until for since, until in self.unfed[proxy] if since <= at < until), default=0.0):
-            self.deferred.append((until, proxy, node, phase, launched))
-            self.deferred.sort(key=lambda said: said[0])
-        else:
-            self.told(proxy, node, phase, at, launched)
-
-    def on_listed(self, at, proxy, revision):
-        self.lists[proxy] = revision, at
-        if self.history[proxy] and revision < self.history[proxy][-1][1]:
-            self.history[proxy].clear()  # another count, or another replica: what came before says nothing of it
-        self.history[proxy].append((at, revision))
-
-    def on_published(self, at, node, phase):
-        self.published(node, phase, at)
-
-    def on_started(self, at, node, launched):
-        self.started(node, at, launched)
-
-    def on_killed(self, at, proxy):
-        self.was_killed(proxy, at)
-
-    def on_crashed(self, at, proxy, how):
-        self.crashed(proxy, at, how)
-
-    def on_stopped(self, at, proxy, until):
-        self.stopped(proxy, at, until)
-
-    def on_apart(self, at, proxy, until):
-        self.apart[proxy].append((at, until))
-
-    def on_auditing(self, at, revision):
-        # Between being told and having read it a moment passes, and the audit takes one too.
-        self.auditing = at, revision, {proxy: told for proxy, (told, when) in self.lists.items() if when < at - MOMENT}
-
-    def on_audited(self, at, said):
-        self.audit, self.after = said, dict(self.lists)
-
-    def on_unreached(self, at, proxy, until):
-        self.unreached[proxy].append((at, until))
-
-    def deemed_when(self, proxy, node):
-        """What discovery could not have told counts as told so long after it could."""
-        deemed = super().deemed_when(proxy, node)
-        if deemed is None:
-            return None
-        span = self.scenario.discovery.deemed_s
-        could = max((until for since, until in self.unreached[proxy] if since <= deemed - span < until), default=None)
-        return deemed if could is None else could + span
-
-    def on_unfed(self, at, proxy, until):
-        self.unfed[proxy].append((at, until))
-
-    def on_acted(self, at, node, ident, said):
-        """The posting's own word, as a node saw it: it acts on nothing older than its proxy was told a moment before."""
-        proxy = self.tries[ident.encode()].proxy
-        incarnation, _, revision = said.partition("list=")[2].partition(":")[0].partition(".")
-        told = max((told for when, told in self.history[proxy] if when < at - MOMENT), default=0)
-        kept = [*self.stops.get(proxy, ()), *self.unfed[proxy]]
-        if (
-            incarnation == "1"
-            and int(revision) < told
-            and not any(since - MOMENT <= at <= until + MOMENT for since, until in kept)
-        ):
-            self.old.append(f"{ident} was posted to {node} by {proxy} on revision {revision}, told of {told} before")
-
-    def audit_failures(self):
-        """Where the audit's word and the records contradict each other."""
-        if self.audit is None:
-            return []
-        at, newest, told = self.auditing
-        found = []
-        for row in self.audit["rows"]:
-            name, behind = row["name"], "list" in row.get("behind", ())
-            if row["state"] == "unknown":
-                if not self.silent(name, at):
-                    found.append(f"audit: {name} is called unknown, {row['cause']}, and nothing kept it from answering")
-            elif any(since <= at <= until + MOMENT for since, until in self.unfed[name]):
-                continue  # what was written to it may wait on its way: either may be true
-            elif self.after.get(name, (newest,))[0] != newest and not behind:
-                found.append(f"audit: {name} was last told revision {self.after[name][0]} of {newest} and is called current")
-            elif told.get(name) == newest and behind:
-                found.append(f"audit: {name} was told revision {newest} and is called a straggler: {row['cause']}")
-        return found
-
-    def silent(self, name, at):
-        """Whether it was killed or stopped just before."""
-        return self.killed.get(name, -1.0) > at - 30 or any(
-            since <= at + MOMENT and until >= at - MOMENT for since, until in self.stops.get(name, ())
-        )
-
-    def on_late(self, at, role, ms):
-        # What runs late while all is being started measures nothing yet.
-        if self.begin and at > self.begin:
-            self.late[role] = max(self.late[role], ms)
-
-
-def judge(plan, seed, records, struck, figures, faults=()):
-    """The record of a play; `verdict` is kept, broken or void."""
-    bench = Bench(plan, arrivals(plan, Random(f"{seed}/arrivals")))
-    bench.proxies = {f"p{at}": plan.network.zones[at % len(plan.network.zones)] for at in range(plan.bank.proxies)}
-    events = read(records)
-    last = max((event[0] for event in events), default=0.0)
-    for event in events:
-        for word in event[2:]:
-            if type(word) is str and len(word) == 16:
-                bench.by_ident[word].append(event)
-        bench.hear(event)
-    for ask in bench.asks:
-        if not ask.how:
-            bench.breach("1", last, f"txn {ask.number} had no end")
-    said = bench.record()
-    expect, failed = plan.expect, []
-    if (service := said["service"]["whole"]) is not None and service < expect.service:
-        failed.append(f"service {service:.3f}, at least {expect.service:g} was to be")
-    if (lost := said["txns"]["lost"]) > expect.lost:
-        failed.append(f"{lost} txns lost, {expect.lost} at the most were to be")
-    failed += bench.audit_failures() + bench.old[:5]
-    if plan.rig.audit_s and bench.audit is None:
-        failed.append("the audit never ended")
-    failed += [f"the rig itself: {fault}" for fault in faults]
-    if figures.get("ready", plan.bank.proxies) < plan.bank.proxies:
-        failed.append(f"{plan.bank.proxies - figures['ready']} proxies were never ready")
-    late = {role: round(ms, 1) for role, ms in sorted(bench.late.items())}
-    void = [f"{role} ran {ms:g} ms late, {plan.rig.late_ms:g} at the most" for role, ms in late.items() if ms > plan.rig.late_ms]
-    broken = bool(failed) or any(said["rules"].values())
-    if bench.audit:
-        said["audit"] = {key: bench.audit[key] for key in ("current", "straggler", "unknown", "acts_after_bound", "reached")} | {
-            "causes": sorted(f"{row['name']}: {row['cause']}" for row in bench.audit["rows"] if row["cause"])
-        }
-    said |= {
+from typing import Any
+
+from sloeferry.fault_testing.event_recorder import ID_CHARACTERS, RecordedEvent, read_events
+from sloeferry.fault_testing.placement import FaultTargets
+from sloeferry.fault_testing.plan import Plan
+from sloeferry.fault_testing.record_judge import Breach, RecordJudge
+from sloeferry.rehearsal.judge import arrivals
+
+SHOWN_EVENTS = 14  # of a request that are shown beside a broken rule
+SHOWN_BREACHES = 5
+SHOWN_STALE_ATTEMPTS = 5
+
+
+class Verdict(enum.StrEnum):
+    """What a run says of the proxies."""
+
+    KEPT = "kept"
+    BROKEN = "broken"  # a rule, or what the plan expects
+    VOID = "void"  # who measures ran late: it says nothing
+
+
+@dataclass(slots=True)
+class RunResult:
+    """What a run left behind."""
+
+    record_paths: Sequence[pathlib.Path | str]
+    targets: list[FaultTargets] = field(default_factory=list)  # of each fault of the plan
+    figures: dict[str, Any] = field(default_factory=dict)  # of the processes, as they go into the run's record
+    tool_faults: list[str] = field(default_factory=list)  # of the tool's own processes, and errors that proxies logged
+
+
+def judge_run(plan: Plan, seed: int, result: RunResult) -> dict[str, Any]:
+    """The run's record, as it is written as JSON."""
+    judge = RecordJudge(plan, arrivals(plan, Random(f"{seed}/arrivals")))
+    zones = plan.network.zones
+    judge.proxies = {f"p{number}": zones[number % len(zones)] for number in range(plan.bank.proxies)}
+    evidence = Evidence(judge, read_events(result.record_paths))
+    last_at = max((event[0] for event in evidence.events), default=0.0)
+    for event in evidence.events:
+        judge.hear(event)
+    for call in judge.asks:
+        if not call.how:
+            judge.breach("1", last_at, f"txn {call.number} had no end")
+    record = judge.record()
+    failures = _failures(plan, judge, record, result)
+    lateness_ms = {role: round(ms, 1) for role, ms in sorted(judge.lateness_ms.items())}
+    void_reasons = [
+        f"{role} ran {ms:g} ms late, {plan.rig.late_ms:g} at the most"
+        for role, ms in lateness_ms.items()
+        if ms > plan.rig.late_ms
+    ]
+    is_broken = bool(failures) or any(record["rules"].values())
+    if judge.audit.result:
+        record["audit"] = judge.audit.summary()
+    return record | {
         "plan": plan.name,
         "seed": seed,
-        "late_ms": late,
-        "failed": failed,
-        "void": void,
-        "figures": figures,
-        "struck": {str(at): some for at, (some, _) in struck.items()},
-        "evidence": [evidence(bench, *one) for one in bench.about[:5]],
-        "verdict": "void" if void else "broken" if broken else "kept",
+        "late_ms": lateness_ms,
+        "failed": failures,
+        "void": void_reasons,
+        "figures": result.figures,
+        "struck": {str(number): targets.proxies for number, targets in enumerate(result.targets)},
+        "evidence": [evidence.of(breach) for breach in judge.breach_log[:SHOWN_BREACHES]],
+        "verdict": _verdict(bool(void_reasons), is_broken).value,
     }
-    return said
 
 
-def evidence(bench, rule, now, text):
-    """A broken rule, and what all processes wrote down of its txn."""
-    for word in text.replace(",", " ").split():
-        if word in bench.by_ident:
-            events = bench.by_ident[word]
-            return {
-                "rule": rule,
-                "text": text,
-                "events": [[round(at - bench.begin, 4), what, *more] for at, what, *more in events[:SHOWN]],
-            }
-    return {"rule": rule, "text": text, "events": []}
+def _verdict(is_void: bool, is_broken: bool) -> Verdict:
+    if is_void:
+        return Verdict.VOID
+    return Verdict.BROKEN if is_broken else Verdict.KEPT
+
+
+def _failures(plan: Plan, judge: RecordJudge, record: dict[str, Any], result: RunResult) -> list[str]:
+    """What the plan expects beside the rules, and was not so."""
+    failures = []
+    service = record["service"]["whole"]
+    if service is not None and service < plan.expect.service:
+        failures.append(f"service {service:.3f}, at least {plan.expect.service:g} was to be")
+    lost = record["txns"]["lost"]
+    if lost > plan.expect.lost:
+        failures.append(f"{lost} txns lost, {plan.expect.lost} at the most were to be")
+    failures += judge.audit_failures()
+    failures += judge.stale_attempts[:SHOWN_STALE_ATTEMPTS]
+    if plan.rig.audit_s and judge.audit.result is None:
+        failures.append("the audit never ended")
+    failures += [f"the rig itself: {fault}" for fault in result.tool_faults]
+    proxies = plan.bank.proxies
+    ready = result.figures.get("ready", proxies)
+    if ready < proxies:
+        failures.append(f"{proxies - ready} proxies were never ready")
+    return failures
+
+
+class Evidence:
+    """All events, and those of each request by its id."""
+
+    def __init__(self, judge: RecordJudge, events: list[RecordedEvent]):
+        self.events = events
+        self._judge = judge
+        self._by_ident: defaultdict[str, list[RecordedEvent]] = defaultdict(list)
+        for event in events:
+            for word in event[2:]:
+                if type(word) is str and len(word) == ID_CHARACTERS:
+                    self._by_ident[word].append(event)
+
+    def of(self, breach: Breach) -> dict[str, Any]:
+        """A broken rule, and what all processes recorded of its request."""
+        idents = (word for word in breach.text.replace(",", " ").split() if word in self._by_ident)
+        events = self._by_ident.get(next(idents, ""), [])
+        shown = [[round(at - self._judge.begin, 4), event, *fields] for at, event, *fields in events[:SHOWN_EVENTS]]
+        return {"rule": breach.rule, "text": breach.text, "events": shown}
--- /dev/null
+++ b/sloeferry/fault_testing/worker.py
@@ -0,0 +1,77 @@
+"""A process of stand-ins: python -m sloeferry.fault_testing.worker, started by a driver (worker_protocol.py).
+
+What the driver has to know at once goes to standard output, what was seen goes into the process's record.
+"""
+
+import asyncio
+import os
+import sys
+from typing import Any
+
+import msgspec
+import uvloop
+
+from sloeferry.fault_testing.event_recorder import EventRecorder
+from sloeferry.fault_testing.measuring import tune_garbage_collection
+from sloeferry.fault_testing.plan import parse_plan, resize
+from sloeferry.fault_testing.worker_protocol import ReportKind, WorkerConfig
+from sloeferry.fault_testing.worker_roles import ROLES, Worker, report
+
+
+class CommandReader(asyncio.Protocol):
+    """Commands, one after the other; with the end of the pipe this process ends."""
+
+    def __init__(self, worker: Worker):
+        self._worker = worker
+        self._unread = b""
+        self._commands: asyncio.Queue[list[Any]] = asyncio.Queue()
+        self._task = asyncio.get_running_loop().create_task(self._run())
+
+    def data_received(self, data: bytes) -> None:
+        """Some bytes of the commands."""
+        *lines, self._unread = (self._unread + data).split(b"\n")
+        for line in lines:
+            self._commands.put_nowait(msgspec.json.decode(line))
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """The driver has gone."""
+        self._worker.is_over.set()
+
+    async def _run(self) -> None:
+        while True:
+            name, *arguments = await self._commands.get()
+            try:
+                await getattr(self._worker, name)(*arguments)
+            except Exception as error:  # a worker goes on: the driver has the run fail
+                report(ReportKind.FAILED, f"{name} {arguments!r:.200}: {error!r}")
+
+
+def _report_exception(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    report(ReportKind.FAILED, f"{context.get('message')}: {context.get('exception')!r}")
+
+
+async def serve(config: WorkerConfig) -> None:
+    """One worker, until it is told to end."""
+    loop = asyncio.get_running_loop()
+    plan = resize(parse_plan(config.plan_text), config.proxy_count, config.backend_count)
+    recorder = EventRecorder(plan, config.seed, config.record_path, loop.time)
+    loop.set_exception_handler(_report_exception)
+    worker = ROLES[config.role](loop, config, plan, recorder)
+    tune_garbage_collection()
+    recorder.watch_lateness(loop, config.role.value)
+    await loop.connect_read_pipe(lambda: CommandReader(worker), sys.stdin)
+    report(ReportKind.READY)
+    await worker.is_over.wait()
+    recorder.close()
+
+
+def main() -> None:
+    """Reads the configuration, unbuffered: what follows it on standard input is read by the loop."""
+    with os.fdopen(os.dup(0), "rb", 0) as first_line:
+        config = msgspec.json.decode(first_line.readline(), type=WorkerConfig)
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        runner.run(serve(config))
+
+
+if __name__ == "__main__":
+    main()
--- a/sloeferry/fault_testing/worker_processes.py
+++ b/sloeferry/fault_testing/worker_processes.py
@@ -1,497 +1,157 @@
-"""The course of a play: processes started, faults carried out, everything ended again, by id.
-
-The driver is also discovery, and the only one that starts, stops and signals proxies.  It holds for the rest what a
-bank holds in a rehearsal (rehearsal/bank.py), so that scenarios' troubles strike here as they do there.
-"""
+"""Worker processes as their driver sees them, and the backends in them."""
 
 import asyncio
-import gc
-import json
-import os
 import pathlib
-import signal
-import socket
 import sys
 from asyncio.subprocess import PIPE
+from collections.abc import Callable
+from typing import Any
+
+import msgspec
 
-import uvloop
+from sloeferry.fault_testing.placement import Address
+from sloeferry.fault_testing.process_host import SOURCE_TREE, ProcessHost
+from sloeferry.fault_testing.worker_protocol import ReportKind, WorkerConfig, WorkerReport, WorkerRole
+from sloeferry.rehearsal.proxy_fleet import READY
+from sloeferry.rehearsal.scenario import Nodes
 
-from sloeferry.fault_testing import plan as p
-from sloeferry.fault_testing.event_recorder import Scribe
-from sloeferry.fleet.ask import ask_all
-from sloeferry.fleet.audit import BOUND, audit
-from sloeferry.fleet.roll import Proxy, Roll
-from sloeferry.rehearsal import live
-from sloeferry.rehearsal.faults import Troubles
-from sloeferry.rehearsal.proxy_fleet import READY, Bank, expand, spot
-from sloeferry.stand_ins import processes
-from sloeferry.stand_ins.call_failures import CallFailure
-from sloeferry.stand_ins.clients import OPS, Front
-from sloeferry.stand_ins.discovery import Roster
+END_SECONDS = 10.0  # until a worker that was told to end is killed
 
-APART = 0.05  # seconds between two starts of processes: a start holds the driver up
-STARTS = 2.0  # seconds in which a process has read its file for certain
-GROUND = 12000, 32000, 2500  # ports: from, to, and how many a play may take
-ROOT = str(pathlib.Path(__file__).resolve().parents[2])
 
+class WorkerProcess:
+    """A process of stand-ins.  `on_report` is called with what the worker itself has no use for."""
 
-class Hand:
-    """A process of stand-ins, as the driver sees it; `heard` is called with all it says."""
+    def __init__(self, host: ProcessHost, config: WorkerConfig, on_report: Callable[[WorkerReport], None]):
+        self.config = config
+        self.record_path = pathlib.Path(config.record_path)
+        self.open_calls: int | None = None  # None: not reported yet
+        self._host = host
+        self._on_report = on_report
+        self._process: asyncio.subprocess.Process | None = None
+        self._ready = asyncio.Event()
 
-    def __init__(self, crew, role, number=0):
-        self.crew, self.role, self.number, self.process = crew, role, number, None
-        self.record = pathlib.Path(crew.house.folder) / f"{role}-{number}.jsonl"
-        self.ready, self.open = asyncio.Event(), None
+    @property
+    def role(self) -> WorkerRole:
+        """What it stands for."""
+        return self.config.role
 
-    async def start(self, **more):
-        crew = self.crew
-        self.process = await asyncio.create_subprocess_exec(
+    async def start(self) -> None:
+        """Returns once it takes commands; raises TimeoutError."""
+        self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "sloeferry.fault_testing.fault_actions",
-            cwd=ROOT,
+            "sloeferry.fault_testing.worker",
+            cwd=SOURCE_TREE,
             stdin=PIPE,
             stdout=PIPE,
             start_new_session=True,
         )
-        crew.house.placed(self.process, crew.house.ours)
-        crew.loop.create_task(self.listen())
-        self.say(
-            {
-                "role": self.role,
-                "plan": crew.text,
-                "proxies": crew.proxies_wanted,
-                "nodes": crew.nodes_wanted,
-                "seed": crew.house.seed,
-                "record": str(self.record),
-                "number": self.number,
-                **more,
-            }
-        )
-        await asyncio.wait_for(self.ready.wait(), READY)
-
-    def say(self, what):
-        self.process.stdin.write(json.dumps(what).encode() + b"\n")
-
-    def do(self, name, *what):
-        self.say([name, *what])
-
-    async def listen(self):
-        async for line in self.process.stdout:
-            said = json.loads(line)
-            if "ready" in said:
-                self.ready.set()
-            elif "open" in said:
-                self.open = said["open"]
-            elif "fault" in said:
-                self.crew.faults.append(f"{self.role}: {said['fault']}")
+        self._host.placed(self._process, self._host.measuring_cores)
+        self._host.loop.create_task(self._read_reports())
+        self._write(self.config)
+        await asyncio.wait_for(self._ready.wait(), READY)
+
+    def command(self, name: str, *arguments: Any) -> None:
+        """Has the worker call the method of that name."""
+        self._write([name, *arguments])
+
+    def _write(self, message: Any) -> None:
+        self._process.stdin.write(msgspec.json.encode(message) + b"\n")
+
+    async def _read_reports(self) -> None:
+        async for line in self._process.stdout:
+            report = msgspec.json.decode(line, type=WorkerReport)
+            if report.kind is ReportKind.READY:
+                self._ready.set()
+            elif report.kind is ReportKind.OPEN_CALLS:
+                self.open_calls = report.value
+            elif report.kind is ReportKind.FAILED:
+                self._on_report(WorkerReport(report.kind, f"{self.role}: {report.value}"))
             else:
-                self.crew.heard(said)
+                self._on_report(report)
 
-    async def end(self):
-        """Its record is whole once it has ended by itself."""
-        if self.process is None or self.process.returncode is not None:
+    async def end(self) -> None:
+        """Its record is complete once it has ended by itself."""
+        if self._process is None or self._process.returncode is not None:
             return
-        self.do("end")
+        self.command("end")
         try:
-            await asyncio.wait_for(self.process.wait(), 10)
+            await asyncio.wait_for(self._process.wait(), END_SECONDS)
         except TimeoutError:
-            self.process.kill()
-            await self.process.wait()
+            self._process.kill()
+            await self._process.wait()
 
 
-class Node:
-    """A node, as troubles see it: what they do to it is done by the process that has it."""
-
-    def __init__(self, crew, at, told, kind, zone):
-        self.crew, self.at, self.told, self.zone = crew, at, told, zone
-        self.ident, self.address = f"s-{at:04x}", (spot(20, at), crew.port)
-        self.hand, self.up, self.draining, self.works, self.came = (
-            crew.hands_of_nodes[at % crew.plan.rig.nodes],
-            False,
-            False,
-            True,
-            None,
-        )
-        self.hand.do("make", at, self.ident, self.address, zone, kind)
+class RemoteBackend:
+    """A backend in a worker process; what scenarios' troubles do to it is done there.
 
-    def do(self, name, *what):
-        self.hand.do(name, self.at, *what)
+    It stands where a rehearsal's own backend stands: the names are those that troubles and discovery use.
+    """
 
-    async def start(self, warm=False):
-        self.up, self.draining, self.works = True, False, True
-        self.came = self.crew.loop.create_future()
-        self.do("start", warm)
-        await self.came
-
-    def die(self):
+    def __init__(self, worker: WorkerProcess, number: int, address: Address, told: Nodes, group: int, zone: str):
+        self.ident = f"s-{number:04x}"
+        self.address = address
+        self.told = told
+        self.zone = zone
+        self.up = False
+        self.draining = False
+        self._worker = worker
+        self._number = number
+        self._is_idle = False
+        self._is_drain_asked = False
+        self._started: asyncio.Future[None] | None = None
+        worker.command("create", number, self.ident, address, zone, group)
+
+    def _command(self, name: str, *arguments: Any) -> None:
+        self._worker.command(name, self._number, *arguments)
+
+    async def start(self, warm: bool = False) -> None:
+        """Returns once it listens."""
+        self.up = True
+        self.draining = False
+        self._is_idle = False
+        self._is_drain_asked = False
+        self._started = asyncio.get_running_loop().create_future()
+        self._command("start", warm)
+        await self._started
+
+    def has_started(self) -> None:
+        """Its process reports that it listens."""
+        self._started.set_result(None)
+
+    def die(self) -> None:
+        """At once, with all that it has."""
         self.up = False
-        self.do("die")
+        self._command("die")
 
-    def crowd(self):
+    def crowd(self) -> bool:
         """Whether it still has something to do; asked once it drains."""
-        if self.works is True:
-            self.works = None
-            self.do("leave")
-        return self.works is None
-
-    def change(self, **what):
-        self.do("change", what)
-
-    def refuse(self, so):
-        self.do("refuse", so)
-
-    def stall(self, seconds):
-        self.do("stall", seconds)
-
-    def report(self):
-        self.do("report")
-
-    mute = property(None, lambda self, so: self.change(mute=so))
-
-
-class Gate(Front):
-    """The front, for all callers at once: the driver asks who is ready, the callers' processes are told."""
-
-    def __init__(self, loop, told, places, tell):
-        super().__init__(loop, told, places)
-        self.alive, self.poll = Alive(self.alive, tell), max(0.05, len(places) / 400)
-
-
-class Alive(dict):
-    def __init__(self, before, tell):
-        super().__init__(before)
-        self.tell = tell
-
-    def __setitem__(self, name, so):
-        super().__setitem__(name, so)
-        self.tell(name, so)
-
-
-class Yard(live.Street):
-    """Where processes stand: measuring ones on cores of their own, proxies on the rest."""
-
-    def __init__(self, loop, seed, folder, tree):
-        super().__init__(loop, seed, folder)
-        self.tree, self.offsets, self.flaky = tree, {}, set()
-        self.began = {}  # proxy -> when its newest process was started
-        cores = sorted(os.sched_getaffinity(0))
-        many = max(1, len(cores) * 3 // 8)
-        self.ours, self.theirs = (set(cores[:many]), set(cores[many:])) if len(cores) > 2 else (set(cores), set(cores))
-        os.sched_setaffinity(0, self.ours)
-
-    def placed(self, process, cores=None):
-        try:
-            os.sched_setaffinity(process.pid, cores or self.theirs)
-        except ProcessLookupError:
-            pass  # it has ended already: whoever waits for it will say so
-
-    def command(self, daemon):
-        """As `run` starts it; where its wall clock is to be off, through the seam of machine.py."""
-        self.began[daemon.at] = self.loop.time()
-        off, flaky = self.offsets.get(daemon.at), daemon.at in self.flaky
-        words, environ = processes.command("sloeferry" if off is None and not flaky else "sloeferry.fault_testing.flaky_proxy")
-        if off is not None:
-            environ |= {"SLOEFERRY_RIG_CLOCK": repr(off)}
-        if flaky:
-            environ |= {"SLOEFERRY_RIG_CALLS": "yes"}
-        if daemon.bank.plan.rig.audit_s:
-            environ |= {"SLOEFERRY_OPERATOR": str(pathlib.Path(self.folder, "operator.toml"))}
-        return words, environ, self.tree or ROOT
-
-    def proxy(self, bank, at):
-        return live.Daemon(self, bank, at)
-
+        if not self._is_drain_asked:
+            self._is_drain_asked = True
+            self._command("drain")
+        return not self._is_idle
 
-class Crew(Bank):
-    """Everybody, and the course of the play (bank.Bank for scenarios' troubles)."""
+    def has_become_idle(self) -> None:
+        """Its process reports that it drains and has nothing left to do."""
+        self._is_idle = True
 
-    def __init__(self, text, plan, house, port, proxies, nodes):
-        self.text, self.plan, self.scenario, self.house, self.loop, self.port = text, plan, plan, house, house.loop, port
-        self.proxies_wanted, self.nodes_wanted = proxies, nodes
-        zones, folder = plan.network.zones, pathlib.Path(house.folder)
-        self.faults, self.made, self.sla, self.made_of = [], 0, {}, {}
-        self.judge = Scribe(plan, house.seed, folder / "driver.jsonl", self.loop.time)
-        self.places = [(f"p{at}", (spot(10, at), port), zones[at % len(zones)]) for at in range(plan.bank.proxies)]
-        self.struck, self.links = {}, {}  # fault -> what it strikes; link -> where it listens, where it leads
-        self.draw()
-        lists = {name: (spot(30, 0), port + 500 + at) for at, (name, _, _) in enumerate(self.places)}
-        self.roster = Roster(self.loop, plan.discovery, lists, self.judge, house.rng("roster"), house.unix)
-        (folder / "operator.toml").write_text("[versions]\ntell = true\ncarry = true\n")
-        self.hands_of_nodes = [Hand(self, "nodes", at) for at in range(plan.rig.nodes)]
-        self.hands_of_callers = [Hand(self, "callers", at) for at in range(plan.rig.callers)]
-        self.relay = Hand(self, "relay") if self.links else None
-        self.hands = [*self.hands_of_nodes, *self.hands_of_callers, *([self.relay] if self.relay else [])]
-        self.front = Gate(self.loop, plan.front, self.places, self.alive)
-        self.nodes, self.proxies = [], [house.proxy(self, at) for at in range(plan.bank.proxies)]
+    def change(self, **values: Any) -> None:
+        """Other values for what it is or does."""
+        self._command("change", values)
 
-    def draw(self):
-        """Whom each fault strikes, and the links that takes, all from the seed."""
-        plan, count, turns = self.plan, sum(nodes.count for nodes in self.plan.nodes), {}
-        for at, fault in enumerate(plan.fault):
-            rng = self.house.rng(f"fault-{at}")
-            some = fault.proxies or sorted(rng.sample(range(plan.bank.proxies), max(1, round(fault.part * plan.bank.proxies))))
-            names = []
-            if isinstance(fault, p.BETWEEN):
-                ends = (
-                    sorted(rng.sample(range(count), max(1, round(fault.nodes * count)))) if fault.between == "nodes" else [None]
-                )
-                for proxy in some:
-                    for node in ends:
-                        name = f"{fault.between}/{proxy}" + (f"/{node}" if node is not None else "")
-                        if name not in self.links:  # one address a proxy for its links, a port each
-                            turn = turns[proxy] = turns.get(proxy, -1) + 1
-                            self.links[name] = fault.between, proxy, node, (spot(50, proxy), self.port + turn)
-                        names.append(name)
-            self.struck[at] = some, names
-
-    def node(self, told, zone):
-        at, self.made = self.made, self.made + 1
-        node = Node(self, at, told, self.plan.nodes.index(told), zone)
-        self.made_of[at] = node
-        return node
-
-    def heard(self, said):
-        if "up" in said:
-            self.made_of[said["up"]].came.set_result(None)
-        elif "idle" in said:
-            self.made_of[said["idle"]].works = False
-        elif "laid" in said:
-            self.laid.set()
-
-    def alive(self, name, so):
-        for hand in self.hands_of_callers:
-            hand.do("alive", name, so)
-
-    def settings(self, at):
-        told = super().settings(at)
-        for scheme in told["schemes"]:
-            scheme["sla_time"] = min(scheme["expiry"], round(scheme["sla_time"] * self.sla.get(at, 1.0)))
-        return told
-
-    def berth(self, at, seed):
-        told = super().berth(at, seed)
-        if f"discovery/{at}" in self.links:
-            told["discovery"] = "{}:{}".format(*self.links[f"discovery/{at}"][3])
-        return told
-
-    # The course
-
-    async def open(self):
-        self.laid = asyncio.Event()
-        seen = [
-            (name, self.links.get(f"callers/{at}", (0, 0, 0, address))[3], zone)
-            for at, (name, address, zone) in enumerate(self.places)
-        ]
-        await asyncio.gather(*(hand.start(places=seen, of=self.plan.rig.callers) for hand in self.hands))
-        for told, zone in expand(self.plan):
-            self.nodes.append(self.node(told, zone))
-        for name, (between, proxy, node, listen) in self.links.items():
-            target = (
-                self.nodes[node].address
-                if between == "nodes"
-                else self.places[proxy][1]
-                if between == "callers"
-                else self.roster.addresses[f"p{proxy}"]
-            )
-            self.relay.do("link", name, listen, target, between == "nodes")
-            if between == "nodes":
-                self.roster.ways[f"p{proxy}", self.nodes[node].ident] = "{}:{}".format(*listen)
-        if self.relay:
-            self.relay.do("laid")
-            await self.laid.wait()
-        await asyncio.gather(*(node.start(warm=True) for node in self.nodes))
-        for node in self.nodes:
-            self.roster.publish(node, "active", 0.0)
-        await self.roster.start()
-
-    def begin(self, now):
-        self.judge.begin = now
-        self.judge.note(now, "begin")
-        for hand in self.hands_of_callers:
-            hand.do("begin", now)
-        Troubles(self).begin(now)
-        for at, fault in enumerate(self.plan.fault):
-            self.loop.call_at(now + fault.at, self.strike, at, fault)
-        if self.plan.rig.audit_s:
-            self.loop.call_at(now + self.plan.rig.audit_s, lambda: self.loop.create_task(self.audit()))
-
-    async def audit(self):
-        """The fleet's own word of itself, as operators get it, into the record."""
-        proxies = tuple(Proxy(name, (host, port + OPS)) for name, (host, port), _ in self.places)
-        self.judge.note(self.loop.time(), "auditing", self.roster.revision)
-        answers, newest = await ask_all(Roll(proxies, None), None)
-        said = audit(Roll(proxies, None), answers, {"revision": self.roster.revision}, BOUND)
-        self.judge.note(self.loop.time(), "audited", said)
-
-    def busy(self):
-        return any(hand.open != 0 for hand in self.hands_of_callers)
-
-    def strike(self, at, fault):
-        some, links = self.struck[at]
-        self.judge.note(self.loop.time(), "fault", at, p.word(fault), some, len(links))
-        if links:
-            # Written down before the relay hears of it: what it does is seen by others within a ms, and a loss that
-            # stands in the records before its cause is held against a proxy.
-            if fault.between == "discovery":
-                for number in some:
-                    self.judge.note(self.loop.time(), "unfed", f"p{number}", self.loop.time() + fault.lasts)
-            if fault.between == "callers":  # nobody can answer through it
-                for number in some:
-                    self.judge.stopped(f"p{number}", self.loop.time(), self.loop.time() + fault.lasts)
-                    self.judge.note(self.loop.time(), "apart", f"p{number}", self.loop.time() + fault.lasts + 0.1)
-            told = {name: getattr(fault, name) for name in ("way", "ms", "bytes") if hasattr(fault, name)}
-            self.relay.do("do", links, p.word(fault), told)
-            self.loop.call_later(fault.lasts, self.relay.do, "do", links, "", {})
-            return
-        getattr(self, type(fault).__name__.lower())(fault, some)
-        self.loop.call_later(fault.lasts, self.judge.note, self.loop.time() + fault.lasts, "over", at)
-
-    # Faults of processes
-
-    def kill(self, fault, some):
-        for turn, at in enumerate(some):
-            self.proxies[at].kill()
-            self.loop.call_later(fault.lasts + APART * turn, self.proxies[at].start)
-
-    def stop(self, fault, some):
-        for at in some:
-            self.proxies[at].stop(fault.lasts)
-
-    def term(self, fault, some):
-        for turn, at in enumerate(some):
-            self.loop.call_later(fault.lasts * turn / len(some), self.proxies[at].leave)
-
-    def hup(self, fault, some):
-        rng = self.house.rng(f"hup-{fault.at}")
-        deaf = set(rng.sample(some, round(fault.lost * len(some))))
-        for at in some:
-            self.sla[at], proxy = fault.sla, self.proxies[at]
-            if fault.file == "stale":
-                del self.sla[at]
-            proxy.write()
-            if self.loop.time() < self.house.began.get(at, 0.0) + STARTS:
-                continue  # it may not have read its file yet: started on half of one it would rightly end
-            text = proxy.path.read_text()
-            if fault.file == "cut":
-                proxy.path.write_text(text[: len(text) // 2])
-            elif fault.file == "missing":
-                proxy.path.unlink()
-            elif fault.file == "swapped":  # another file in its place, while it is read
-                other = proxy.path.with_suffix(".new")
-                other.write_text(text)
-                self.loop.call_soon(os.replace, other, proxy.path)
-            if at not in deaf:
-                proxy.end(signal.SIGHUP)
-
-    def clock(self, fault, some):
-        """It takes a new process: nothing sets a clock that others have too."""
-        for turn, at in enumerate(some):
-            self.house.offsets[at] = fault.by_s
-            self.proxies[at].kill()
-            self.loop.call_later(fault.lasts + APART * turn, self.proxies[at].start)
-
-    def calls(self, fault, some):
-        for turn, at in enumerate(some):
-            self.house.flaky.add(at)
-            self.proxies[at].kill()
-            self.loop.call_later(fault.lasts + APART * turn, self.proxies[at].start)
-
-    # Faults of discovery
-
-    def listout(self, fault, some):
-        for at in range(self.plan.bank.proxies):
-            self.judge.note(self.loop.time(), "unreached", f"p{at}", self.loop.time() + fault.lasts)
-        self.roster.out()
-        self.loop.call_later(fault.lasts, lambda: self.loop.create_task(self.roster.back()))
-
-    def listlag(self, fault, some):
-        for at in some:
-            self.roster.show(f"p{at}", until=self.loop.time())
-            self.loop.call_later(fault.lasts, self.roster.show, f"p{at}")
-
-    def listolder(self, fault, some):
-        for at in some:
-            self.roster.show(f"p{at}", late=fault.by_s)
-            self.loop.call_later(fault.lasts, self.roster.show, f"p{at}")
-        self.roster.hang_up({f"p{at}" for at in some})
-
-    def listanew(self, fault, some):
-        self.roster.anew()
-
-    def listfail(self, fault, some):
-        failure = CallFailure(fault.how)
-        for at in some:
-            if not failure.reachable:
-                self.judge.note(self.loop.time(), "unreached", f"p{at}", self.loop.time() + fault.lasts)
-            self.loop.create_task(self.roster.fail_calls(f"p{at}", failure))
-            self.loop.call_later(fault.lasts, lambda at=at: self.loop.create_task(self.roster.fail_calls(f"p{at}", None)))
-
-    async def end(self):
-        for proxy in self.proxies:
-            proxy.over = True
-            proxy.end()
-        await asyncio.gather(*(hand.end() for hand in self.hands))
-        self.roster.out()
-        until = self.loop.time() + 5
-        while any(proxy.process for proxy in self.proxies) and self.loop.time() < until:
-            await asyncio.sleep(0.05)
-        self.judge.close()
-
-
-def ground():
-    """Ports that no other play has: below those that the machine gives away, held by a socket for as long as it lasts."""
-    for port in range(*GROUND):
-        try:
-            return socket.create_server((spot(30, 249), port)), port
-        except OSError:
-            continue
-    raise p.ScenarioError("no ports are free for a play: eight go on at once")
+    def refuse(self, is_refusing: bool) -> None:
+        """Its listener goes, or comes back."""
+        self._command("refuse", is_refusing)
 
+    def stall(self, seconds: float) -> None:
+        """It stands still."""
+        self._command("stall", seconds)
 
-async def course(text, plan, seed, folder, proxies, nodes, tree, progress):
-    loop = asyncio.get_running_loop()
-    house = Yard(loop, seed, folder, tree)
-    lock, port = ground()
-    crew = Crew(text, plan, house, port, proxies, nodes)
-    figures = {}
-    try:
-        await crew.open()
-        began = loop.time()
-        for proxy in crew.proxies:
-            proxy.start()
-        while not all(crew.front.alive.values()) and loop.time() < began + READY:
-            await asyncio.sleep(0.05)
-        figures["ready_s"] = round(loop.time() - began, 2)
-        figures["ready"] = sum(crew.front.alive.values())
-        gc.freeze()
-        gc.set_threshold(50000, 20, 50)
-        began = loop.time() + 0.2
-        crew.begin(began)
-        crew.judge.beat(loop, "driver")
-        last, used = began + plan.seconds, {}
-        while loop.time() < last or crew.busy() and loop.time() < last + crew.longest():
-            await asyncio.sleep(0.25)
-            if not used and loop.time() > began + plan.seconds / 2:
-                used = {"memory_mb": [processes.memory(one.process.pid) for one in crew.proxies if one.process]}
-            if progress:
-                progress(loop.time() - began)
-        used["cpu_s"] = [processes.cpu_seconds(one.process.pid) for one in crew.proxies if one.process]
-        figures |= {
-            name: [round(min(each), 2), round(sum(each) / len(each), 2), round(max(each), 2)]
-            for name, each in used.items()
-            if each
-        }
-        figures["began"] = began
-    finally:
-        await crew.end()
-        lock.close()
-    return crew, figures
+    def report(self) -> None:
+        """Its load report is made now."""
+        self._command("report_load")
 
+    def _set_mute(self, is_mute: bool) -> None:
+        self.change(mute=is_mute)
 
-def play(text, plan, seed, folder, proxies=None, nodes=None, tree=None, progress=None):
-    """Plays a plan with real processes; the records' paths, what each fault struck, figures, and the rig's own faults."""
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        crew, figures = runner.run(course(text, plan, seed, folder, proxies, nodes, tree, progress))
-    records = [crew.judge.file.name, *(str(hand.record) for hand in crew.hands)]
-    return records, crew.struck, figures, crew.faults
+    mute = property(None, _set_mute)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner
 
 from sloeferry.errors import UsageError
-from sloeferry.fault_testing.link_relay import Link
+from sloeferry.fault_testing.link_relay import Link, LinkCondition, LinkState
 from sloeferry.fleet import ask
 from sloeferry.fleet import roll as r
 from sloeferry.fleet.audit import audit
@@ -100,7 +100,7 @@
         known = roster.known_to("p8")
         self.processes[8].kill()
         self.processes[8].wait()
-        await link.do("hold", {"way": "both"})
+        await link.set_condition(LinkCondition(LinkState.HOLD))
         roster.show("p7", until=loop.time())
         processes.tell(self.processes[2], signal.SIGSTOP)
         processes.tell(self.processes[3], signal.SIGKILL)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -2,6 +2,7 @@
 keeps every plan while a build with one wrong line is convicted."""
 
 import asyncio
+import hashlib
 import pathlib
 import subprocess
 import sys
@@ -12,13 +13,15 @@
 
 from click.testing import CliRunner
 
-from sloeferry.fault_testing import plan as p
-from sloeferry.fault_testing import planted_faults as planted
-from sloeferry.fault_testing import verdict
+from sloeferry.fault_testing import plan as plans
 from sloeferry.fault_testing.cli import rig
-from sloeferry.fault_testing.event_recorder import Scribe, read
-from sloeferry.fault_testing.link_relay import Link
-from sloeferry.fault_testing.worker_processes import Crew
+from sloeferry.fault_testing.event_recorder import EventRecorder, read_events
+from sloeferry.fault_testing.fault_actions import ACTIONS, LinkAction
+from sloeferry.fault_testing.link_relay import Link, LinkCondition
+from sloeferry.fault_testing.placement import FaultTargets
+from sloeferry.fault_testing.plan_faults import AnyFault, CutLink
+from sloeferry.fault_testing.planted_faults import PLANTED
+from sloeferry.fault_testing.verdict import RunResult, judge_run
 from sloeferry.policy.start_times import StartTimes
 from sloeferry.rehearsal import scenario as s
 from sloeferry.stand_ins.processes import free_ports
@@ -46,9 +49,18 @@
 
 class Plans(unittest.TestCase):
     def test_shipped(self):
-        for name in p.shipped():
-            self.assertEqual(p.read(name).name, name)
-        self.assertLessEqual({one.plan for one in planted.PLANTED.values()}, set(p.shipped()))
+        for name in plans.shipped():
+            self.assertEqual(plans.read(name).name, name)
+        self.assertLessEqual({one.plan for one in PLANTED.values()}, set(plans.shipped()))
+
+    def test_drawn(self):
+        """A seed stands for the same plan everywhere: the texts of some, byte for byte as they were first drawn."""
+        for kind, digest in (
+            ("drawn", "583495791073821cc910a82cf2cb8307409d9052df2b492477d4b10a5a23e9c0"),
+            ("soak", "dd27eb572230da3e96f85d313293d63fb580484721ee71df23b3beb3c482794c"),
+        ):
+            texts = "".join(plans.plan_text(f"{kind}-{seed}") for seed in range(1, 31))
+            self.assertEqual(hashlib.sha256(texts.encode()).hexdigest(), digest, kind)
 
     def test_faults(self):
         """A fault names its key; the command line ends with one line."""
@@ -65,7 +77,7 @@
             "clock",
         ):
             with self.assertRaises(s.ScenarioError) as caught:
-                p.checked(SMALL + more, "small.toml")
+                plans.parse_plan(SMALL + more, "small.toml")
             lines.lines.append(f"{more.splitlines()[-1]}  ->  {caught.exception}")
         trace.compare(self, lines, "rig_faults")
         for words in (
@@ -77,15 +89,15 @@
             self.assertIsInstance(CliRunner().invoke(rig, words).exception, s.ScenarioError, words)
 
     def test_altered(self):
-        told = p.altered(p.read("calm"), 40, 24)
+        told = plans.resize(plans.read("calm"), 40, 24)
         self.assertEqual((told.bank.proxies, sum(n.count for n in told.nodes)), (40, 24))
-        self.assertEqual(told.callers.curve[0][1], 2 * p.read("calm").callers.curve[0][1])
+        self.assertEqual(told.callers.curve[0][1], 2 * plans.read("calm").callers.curve[0][1])
 
     def test_twin(self):
         """The same plan in virtual time: what has its part there is played, the rest is named."""
-        scenario, without = p.twin(p.read("deaths"))
+        scenario, without = plans.virtual_twin(plans.read("deaths"))
         self.assertEqual(([t.__struct_config__.tag for t in scenario.trouble], without), (["proxies-die", "proxies-roll"], []))
-        self.assertEqual(p.twin(p.read("links"))[1], ["break", "cut", "hold", "half-open", "delay"])
+        self.assertEqual(plans.virtual_twin(plans.read("links"))[1], ["break", "cut", "hold", "half-open", "delay"])
 
 
 class Clocks(unittest.TestCase):
@@ -117,22 +129,22 @@
     """Records written by hand: what several processes saw of a few txns, and what the judge makes of it."""
 
     def judged(self, *events):
-        plan = p.checked(SMALL, "small")
+        plan = plans.parse_plan(SMALL, "small")
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, "all.jsonl")
-            scribe = Scribe(plan, 1, path, lambda: 0.0)
-            numbers = len(scribe.asks)
-            scribe.note(10.0, "begin")
+            recorder = EventRecorder(plan, 1, path, lambda: 0.0)
+            numbers = len(recorder.asks)
+            recorder.note(10.0, "begin")
             for event in events:
-                scribe.note(*event)
+                recorder.note(*event)
             for number in range(numbers):  # whoever has no other end
                 if not any(event[1] == "ended" and event[2] == number for event in events):
-                    scribe.note(13.0, "ended", number, "untaken", 10.0, 1)
-            scribe.close()
+                    recorder.note(13.0, "ended", number, "untaken", 10.0, 1)
+            recorder.close()
             path.write_bytes(path.read_bytes() + b'[11.0, 11.0, "post')  # its writer was killed
-            return verdict.judge(plan, 1, [path], {}, {})
+            return judge_run(plan, 1, RunResult([path]))
 
-    IDENT = "%012x0000" % 3
+    IDENT = f"{3:012x}0000"
     ASKED = (11.0, "asked", IDENT, "p1", 11.8), (11.0, "sent", IDENT, 11.8)
 
     def test_kept(self):
@@ -253,12 +265,12 @@
                 lines.lines.append(f"{what or 'whole'} {told}")
                 lines.lines.append(f"  before: {await ask(kept, b'a')}")
                 seen.clear()
-                await link.do(what, told)
+                await link.set_condition(LinkCondition.of_plan(what, told))
                 lines.lines.append(f"  kept: {await ask(kept, b'bcd')}; the far end saw {seen}")
                 seen.clear()
                 new = await dial()
                 lines.lines.append(f"  new: {await ask(new, b'e') if new else 'refused'}; the far end saw {seen}")
-                await link.do("", {})
+                await link.set_condition(LinkCondition())
                 lines.lines.append(
                     f"  over: kept {await hear(kept)}, new {await hear(new) if new else '-'}; the far end saw {seen}"
                 )
@@ -273,40 +285,48 @@
 
     def test_records(self):
         """Events of several records in the order they were written, whatever their own loops' times were."""
-        plan = p.checked(SMALL, "small")
+        plan = plans.parse_plan(SMALL, "small")
         with tempfile.TemporaryDirectory() as folder:
             paths = [pathlib.Path(folder, name) for name in "ab"]
-            one, other = (Scribe(plan, 1, path, lambda: 0.0) for path in paths)
+            one, other = (EventRecorder(plan, 1, path, lambda: 0.0) for path in paths)
             for at in range(6):
                 (one, other)[at % 2].note(5.0, "n", at)
             one.close()
             other.close()
-            self.assertEqual([event[2] for event in read(paths)], list(range(6)))
+            self.assertEqual([event[2] for event in read_events(paths)], list(range(6)))
 
     def test_beat_after_the_end(self):
         """A look at how late the process runs that comes due after its record is closed writes nothing, and is the last."""
         with tempfile.TemporaryDirectory() as folder:
-            scribe = Scribe(p.checked(SMALL, "small"), 1, pathlib.Path(folder, "a"), lambda: 0.0)
+            recorder = EventRecorder(plans.parse_plan(SMALL, "small"), 1, pathlib.Path(folder, "a"), lambda: 0.0)
             calls = []
             loop = types.SimpleNamespace(time=lambda: 5.0, call_later=lambda *what: calls.append(what))
-            scribe.close()
-            scribe.beat(loop, "nodes", 1.0)
+            recorder.close()
+            recorder.watch_lateness(loop, "nodes", 1.0)
             self.assertEqual(calls, [])
 
 
 class Strikes(unittest.TestCase):
     def test_written_down_first(self):
-        """Guards Crew.strike: what a link's fault excuses stands in the record before the relay hears of the fault."""
+        """Guards LinkAction.strike: what a link's fault excuses stands in the record before the relay hears of the fault."""
         for between, excuse in (("callers", "apart"), ("discovery", "unfed")):
-            said = []
-            crew = types.SimpleNamespace(
-                struck={0: ([8], [f"{between}/8"])},
-                loop=types.SimpleNamespace(time=lambda: 5.0, call_later=lambda *_: None),
-                judge=types.SimpleNamespace(note=lambda at, what, *_: said.append(what), stopped=lambda *_: None),
-                relay=types.SimpleNamespace(do=lambda *what: said.append(what[0])),
-            )
-            Crew.strike(crew, 0, p.Cut(at=1.0, between=between))
-            self.assertEqual(said, ["fault", excuse, "do"])
+            self.assertEqual(self.recorded(between), ["fault", excuse, "set_condition"])
+
+    @staticmethod
+    def recorded(between):
+        """The events that are recorded as a link's fault strikes, and the relay's commands, in their order."""
+        found = []
+        fleet = types.SimpleNamespace(
+            fault_targets=[FaultTargets([8], [f"{between}/8"])],
+            loop=types.SimpleNamespace(time=lambda: 5.0, call_later=lambda *_: None),
+            judge=types.SimpleNamespace(note=lambda at, event, *_: found.append(event), stopped=lambda *_: None),
+            relay=types.SimpleNamespace(command=lambda *words: found.append(words[0])),
+        )
+        LinkAction(fleet, 0, CutLink(at_seconds=1.0, between=between)).strike()
+        return found
+
+    def test_each_fault_has_an_action(self):
+        self.assertEqual(set(ACTIONS), set(AnyFault.__args__))
 
 
 class Processes(unittest.TestCase):
@@ -336,8 +356,8 @@
                 (
                     f"{name} planted",
                     1,
-                    f"RULES BROKEN: {planted.PLANTED[name].rules}",
-                    pool.submit(self.play, [planted.PLANTED[name].plan, "--plant", name]),
+                    f"RULES BROKEN: {PLANTED[name].rules}",
+                    pool.submit(self.play, [PLANTED[name].plan, "--plant", name]),
                 )
                 for name in self.PLANTED
             ]
