--- a/sloeferry/fault_testing/flaky_sockets.py
+++ b/sloeferry/fault_testing/flaky_sockets.py
@@ -28,7 +28,7 @@
 class FlakySocket(socket.socket):
     """A TCP socket whose calls fail for a while, or do a part of what they were asked."""
 
-    def connect(self, address) -> None:
+    def connect(self, address: tuple[str, int]) -> None:
         """As socket.connect, or one of CONNECT_ERRORS."""
         if is_failing():
             _fail(CONNECT_ERRORS)
@@ -41,13 +41,13 @@
         fd, address = self._accept()
         return FlakySocket(self.family, self.type, self.proto, fileno=fd), address
 
-    def recv_into(self, buffer, nbytes: int = 0, flags: int = 0) -> int:
+    def recv_into(self, buffer: bytearray | memoryview, nbytes: int = 0, flags: int = 0) -> int:
         """As socket.recv_into, of a random part of the buffer."""
         if flags or len(buffer) <= SHORTEST_BYTES:
             return super().recv_into(buffer, nbytes, flags)
         return super().recv_into(memoryview(buffer)[: random.randint(SHORTEST_BYTES, len(buffer))], 0, flags)
 
-    def send(self, data, flags: int = 0) -> int:
+    def send(self, data: bytes | memoryview, flags: int = 0) -> int:
         """As socket.send, of a random part of the data."""
         if len(data) <= SHORTEST_BYTES:
             return super().send(data, flags)
--- a/sloeferry/fault_testing/link_relay.py
+++ b/sloeferry/fault_testing/link_relay.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sloeferry.fault_testing.recorded_events import Event
+from sloeferry.fault_testing.recorded_events import Event, EventSink
 from sloeferry.stand_ins.http_messages import Frames
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 seconds
@@ -81,7 +81,7 @@
         name: str,
         listen: Address,
         target: Address,
-        recorder,
+        recorder: EventSink,
         records_requests: bool = False,
     ):
         self.loop = loop
--- /dev/null
+++ b/sloeferry/fault_testing/record_replay.py
@@ -0,0 +1,213 @@
+"""The records of several processes, replayed to one judge in the order in which they were recorded.
+
+What a process of a run saw counts at the time when it saw it; one machine, one monotonic clock.  Nothing here is decided by
+how long anything took but where a rule itself sets a limit.
+"""
+
+from collections import defaultdict
+from typing import NamedTuple
+
+from sloeferry.fault_testing.audit_check import AuditCheck, ListWritten
+from sloeferry.fault_testing.event_recorder import RecordedEvent, call_number
+from sloeferry.fault_testing.record_judge import RecordJudge
+from sloeferry.fault_testing.recorded_events import Event
+from sloeferry.fault_testing.spans import NOTICE_SECONDS, ProxySpans
+
+
+class HeldNotification(NamedTuple):
+    """What discovery wrote into a link that holds it, as an event that counts once the link lets it go."""
+
+    at: float
+    proxy: str
+    endpoint: str
+    phase: str
+    launched: int
+
+
+class RecordReplay:
+    """Calls the judge as a rehearsal's stand-ins do, and keeps what is no rule's: the audit, stale attempts, lateness."""
+
+    def __init__(self, judge: RecordJudge):
+        self.audit = AuditCheck()
+        self.stale_attempts: list[str] = []  # that acted on an older list than their proxy had been notified of
+        self.lateness_ms: defaultdict[str, float] = defaultdict(float)  # role -> the most
+        self._judge = judge
+        self._entered_at: dict[tuple[str, str], float] = {}  # backend, id -> when its first byte went into the link
+        self._lists_held = ProxySpans()
+        self._stopped = ProxySpans()
+        self._held_notifications: list[HeldNotification] = []
+        self._missing_outcomes: dict[int, str] = {}  # number of a call -> the outcome of its request without a response
+        self._list_history: defaultdict[str, list[ListWritten]] = defaultdict(list)  # proxy -> what was written to it
+
+    def hear(self, event: RecordedEvent) -> None:
+        """The next event; those that no rule is about are passed over."""
+        at, word, *fields = event
+        while self._held_notifications and self._held_notifications[0].at <= at:
+            self._endpoint_notified(*self._held_notifications.pop(0))
+        handler = self._HANDLERS.get(word)
+        if handler is not None:
+            handler(self, at, *fields)
+
+    def audit_failures(self) -> list[str]:
+        """Where the audit's result and the records contradict each other."""
+        return self.audit.failures(self._judge.killed, self._stopped, self._lists_held)
+
+    # Events of callers
+
+    def _run_began(self, at: float) -> None:
+        self._judge.begin = at
+
+    def _request_began(self, at: float, ident: str, proxy: str, deadline: float) -> None:
+        self._judge.asked(ident.encode(), self._judge.asks[call_number(ident)], proxy, at, deadline)
+
+    def _request_sent(self, at: float, ident: str, deadline: float) -> None:
+        self._judge.sent(ident.encode(), at, deadline)
+
+    def _response_received(self, at: float, ident: str, status: int, is_own: bool) -> None:
+        request_id = ident.encode()
+        body = request_id.ljust(self._judge.scheme(request_id).answer) if is_own else b""
+        self._judge.answered(request_id, at, status, body)
+
+    def _idle_close_crossed(self, at: float, ident: str) -> None:
+        self._judge.crossed_idle_close.add(ident.encode())
+
+    def _response_missing(self, at: float, ident: str, reason: str) -> None:
+        self._missing_outcomes[call_number(ident)] = self._judge.lost(ident.encode(), at, reason)
+
+    def _call_ended(self, at: float, number: int, outcome: str, first: float, requests: int) -> None:
+        call = self._judge.asks[number]
+        call.first = first
+        call.tries = requests
+        if outcome == "lost":
+            outcome = self._missing_outcomes.get(number, outcome)
+        self._judge.ended(call, outcome, at)
+
+    # Events of links
+
+    def _link_entered(self, at: float, link: str, ident: str, since: float) -> None:
+        backend_number = int(link.rpartition("/")[2])
+        self._entered_at[f"s-{backend_number:04x}", ident] = since
+
+    def _link_refused(self, at: float, link: str) -> None:
+        between, _, proxy_number = link.partition("/")
+        if between == "callers":  # a relay took the connection for a proxy that was not there
+            self._judge.clients_cut_off.add("p" + proxy_number, at - NOTICE_SECONDS / 4, at + NOTICE_SECONDS / 4)
+
+    def _clients_were_cut_off(self, at: float, proxy: str, until: float) -> None:
+        self._judge.clients_cut_off.add(proxy, at, until)
+
+    def _discovery_was_held(self, at: float, proxy: str, until: float) -> None:
+        self._lists_held.add(proxy, at, until)
+
+    def _discovery_was_unreachable(self, at: float, proxy: str, until: float) -> None:
+        self._judge.discovery_unreachable.add(proxy, at, until)
+
+    # Events of backends
+
+    def _attempt_received(self, at: float, backend: str, zone: str, ident: str, since: float) -> None:
+        # On its way through a link it may have waited: it was sent when its first byte went in.
+        sent_at = self._entered_at.pop((backend, ident), since)
+        self._judge.posted(backend, zone, ident.encode(), sent_at)
+
+    def _attempt_ran(self, at: float, backend: str, ident: str) -> None:
+        self._judge.ran(backend, ident.encode(), at)
+
+    def _attempt_versions(self, at: float, backend: str, ident: str, versions: str) -> None:
+        """An attempt acts on no older list than its proxy was notified of a moment before."""
+        proxy = self._judge.tries[ident.encode()].proxy
+        incarnation, _, revision = versions.partition("list=")[2].partition(":")[0].partition(".")
+        settled = (written.revision for written in self._list_history[proxy] if written.at < at - NOTICE_SECONDS)
+        notified = max(settled, default=0)
+        if incarnation != "1" or int(revision) >= notified:
+            return
+        if not any(spans.covers(proxy, at, NOTICE_SECONDS) for spans in (self._stopped, self._lists_held)):
+            self.stale_attempts.append(
+                f"{ident} was posted to {backend} by {proxy} on revision {revision}, told of {notified} before"
+            )
+
+    def _backend_fell_over(self, at: float, backend: str, warm_up_fraction: float, sent: list) -> None:
+        self._judge.fell(backend, at, warm_up_fraction, [(sent_at, work, ident.encode()) for sent_at, work, ident in sent])
+
+    def _backend_choked(self, at: float, backend: str) -> None:
+        self._judge.choked(backend)
+
+    def _backend_started(self, at: float, backend: str, launched: int) -> None:
+        self._judge.started(backend, at, launched)
+
+    def _rule_broken(self, at: float, rule: str, text: str) -> None:
+        self._judge.breach(rule, at, text)
+
+    # Events of discovery
+
+    def _endpoint_notified(self, at: float, proxy: str, endpoint: str, phase: str, launched: int) -> None:
+        until = self._lists_held.end_after(proxy, at)
+        if until is None:
+            self._judge.told(proxy, endpoint, phase, at, launched)
+            return
+        self._held_notifications.append(HeldNotification(until, proxy, endpoint, phase, launched))
+        self._held_notifications.sort(key=lambda notification: notification.at)
+
+    def _endpoint_published(self, at: float, endpoint: str, phase: str) -> None:
+        self._judge.published(endpoint, phase, at)
+
+    def _list_written(self, at: float, proxy: str, revision: int) -> None:
+        written = ListWritten(revision, at)
+        self.audit.written[proxy] = written
+        history = self._list_history[proxy]
+        if history and revision < history[-1].revision:
+            history.clear()  # another count, or another replica: what came before says nothing of it
+        history.append(written)
+
+    # Events of proxies and of the run
+
+    def _proxy_killed(self, at: float, proxy: str) -> None:
+        self._judge.was_killed(proxy, at)
+
+    def _proxy_crashed(self, at: float, proxy: str, how: str) -> None:
+        self._judge.crashed(proxy, at, how)
+
+    def _proxy_stopped(self, at: float, proxy: str, until: float) -> None:
+        self._stopped.add(proxy, at, until)
+        self._judge.stopped(proxy, at, until)
+
+    def _audit_began(self, at: float, newest_revision: int) -> None:
+        self.audit.begin(at, newest_revision)
+
+    def _audit_ended(self, at: float, result: dict) -> None:
+        self.audit.end(result)
+
+    def _process_late(self, at: float, role: str, late_ms: float) -> None:
+        # What runs late while all is being started measures nothing yet.
+        if self._judge.begin and at > self._judge.begin:
+            self.lateness_ms[role] = max(self.lateness_ms[role], late_ms)
+
+    _HANDLERS = {
+        Event.RUN_BEGAN: _run_began,
+        Event.REQUEST_BEGAN: _request_began,
+        Event.REQUEST_SENT: _request_sent,
+        Event.RESPONSE_RECEIVED: _response_received,
+        Event.IDLE_CLOSE_CROSSED: _idle_close_crossed,
+        Event.RESPONSE_MISSING: _response_missing,
+        Event.CALL_ENDED: _call_ended,
+        Event.LINK_ENTERED: _link_entered,
+        Event.LINK_REFUSED: _link_refused,
+        Event.ATTEMPT_RECEIVED: _attempt_received,
+        Event.ATTEMPT_VERSIONS: _attempt_versions,
+        Event.ATTEMPT_RAN: _attempt_ran,
+        Event.BACKEND_FELL_OVER: _backend_fell_over,
+        Event.BACKEND_CHOKED: _backend_choked,
+        Event.BACKEND_STARTED: _backend_started,
+        Event.RULE_BROKEN: _rule_broken,
+        Event.ENDPOINT_NOTIFIED: _endpoint_notified,
+        Event.ENDPOINT_PUBLISHED: _endpoint_published,
+        Event.LIST_WRITTEN: _list_written,
+        Event.PROXY_KILLED: _proxy_killed,
+        Event.PROXY_CRASHED: _proxy_crashed,
+        Event.PROXY_STOPPED: _proxy_stopped,
+        Event.CLIENTS_CUT_OFF: _clients_were_cut_off,
+        Event.DISCOVERY_HELD: _discovery_was_held,
+        Event.DISCOVERY_UNREACHABLE: _discovery_was_unreachable,
+        Event.AUDIT_BEGAN: _audit_began,
+        Event.AUDIT_ENDED: _audit_ended,
+        Event.PROCESS_LATE: _process_late,
+    }
--- a/sloeferry/fault_testing/recorded_events.py
+++ b/sloeferry/fault_testing/recorded_events.py
@@ -1,6 +1,7 @@
 """The events that processes of a run record; the value is the word in the record."""
 
 import enum
+from typing import Any, Protocol
 
 
 class Event(enum.StrEnum):
@@ -48,3 +49,10 @@
     # The fleet's audit
     AUDIT_BEGAN = "auditing"  # discovery's revision
     AUDIT_ENDED = "audited"  # its result
+
+
+class EventSink(Protocol):
+    """Who takes events."""
+
+    def note(self, at: float, event: Event, *fields: Any) -> None:
+        """An event; `at` is loop time."""
--- a/sloeferry/fault_testing/verdict.py
+++ b/sloeferry/fault_testing/verdict.py
@@ -12,6 +12,7 @@
 from sloeferry.fault_testing.placement import FaultTargets
 from sloeferry.fault_testing.plan import Plan
 from sloeferry.fault_testing.record_judge import Breach, RecordJudge
+from sloeferry.fault_testing.record_replay import RecordReplay
 from sloeferry.rehearsal.judge import arrivals
 
 SHOWN_EVENTS = 14  # of a request that are shown beside a broken rule
@@ -42,24 +43,25 @@
     judge = RecordJudge(plan, arrivals(plan, Random(f"{seed}/arrivals")))
     zones = plan.network.zones
     judge.proxies = {f"p{number}": zones[number % len(zones)] for number in range(plan.bank.proxies)}
+    replay = RecordReplay(judge)
     evidence = Evidence(judge, read_events(result.record_paths))
     last_at = max((event[0] for event in evidence.events), default=0.0)
     for event in evidence.events:
-        judge.hear(event)
+        replay.hear(event)
     for call in judge.asks:
         if not call.how:
             judge.breach("1", last_at, f"txn {call.number} had no end")
     record = judge.record()
-    failures = _failures(plan, judge, record, result)
-    lateness_ms = {role: round(ms, 1) for role, ms in sorted(judge.lateness_ms.items())}
+    failures = _failures(plan, replay, record, result)
+    lateness_ms = {role: round(ms, 1) for role, ms in sorted(replay.lateness_ms.items())}
     void_reasons = [
         f"{role} ran {ms:g} ms late, {plan.rig.late_ms:g} at the most"
         for role, ms in lateness_ms.items()
         if ms > plan.rig.late_ms
     ]
     is_broken = bool(failures) or any(record["rules"].values())
-    if judge.audit.result:
-        record["audit"] = judge.audit.summary()
+    if replay.audit.result:
+        record["audit"] = replay.audit.summary()
     return record | {
         "plan": plan.name,
         "seed": seed,
@@ -79,7 +81,7 @@
     return Verdict.BROKEN if is_broken else Verdict.KEPT
 
 
-def _failures(plan: Plan, judge: RecordJudge, record: dict[str, Any], result: RunResult) -> list[str]:
+def _failures(plan: Plan, replay: RecordReplay, record: dict[str, Any], result: RunResult) -> list[str]:
     """What the plan expects beside the rules, and was not so."""
     failures = []
     service = record["service"]["whole"]
@@ -88,9 +90,9 @@
     lost = record["txns"]["lost"]
     if lost > plan.expect.lost:
         failures.append(f"{lost} txns lost, {plan.expect.lost} at the most were to be")
-    failures += judge.audit_failures()
-    failures += judge.stale_attempts[:SHOWN_STALE_ATTEMPTS]
-    if plan.rig.audit_s and judge.audit.result is None:
+    failures += replay.audit_failures()
+    failures += replay.stale_attempts[:SHOWN_STALE_ATTEMPTS]
+    if plan.rig.audit_s and replay.audit.result is None:
         failures.append("the audit never ended")
     failures += [f"the rig itself: {fault}" for fault in result.tool_faults]
     proxies = plan.bank.proxies
