--- a/sloeferry/network/client_shutdown.py
+++ b/sloeferry/network/client_shutdown.py
@@ -65,8 +65,8 @@
     def is_done_with(self, connection: ClientConnection) -> bool:
         """Drained or stopping, whether a connection may be closed that waits for a request.
 
-        A connection without a request so far has a little time; and so have all while another process takes over: each one closed from this
-        side may cross a request.
+        A connection without a request so far has a little time; and so have all while another process takes over: each one
+        closed from this side may cross a request.
         """
         if connection.stream.has_begun:
             return False
