--- a/sloeferry/policy/admission.py
+++ b/sloeferry/policy/admission.py
@@ -61,11 +61,16 @@
         misses = searches = 0
         max_searches = MAX_SEARCHES_WHEN_LATE if self._is_host_late() else inf
         self.held.sort(key=lambda request: (-request.weight / request.typical_ms(), request.objective_at))
+        mean_weight = self._classes.mean_weight or 1.0
         for request in self.held:
-            self._give_up_if_kind_waits(request, now)
+            objective_ms = request.request_class.objective_ms
+            pause_ms = AT_FAULT_PAUSE_OBJECTIVES * objective_ms
+            if any(tracker.must_wait(now, pause_ms) for tracker in request.trackers):
+                self._requests.give_up(request)
             if request.is_answered:
                 continue
-            has_waited = self._has_waited(request, now)
+            max_held_ms = objective_ms * HOLD_RATIO * min(MAX_RELATIVE_WEIGHT, request.weight / mean_weight)
+            has_waited = now - request.arrived_at > max_held_ms
             may_search = misses < MAX_MISSES or has_waited and searches < max_searches
             searches += may_search
             if not self._send_or_give_up(request, now, may_search, has_waited):
@@ -82,16 +87,6 @@
         """Whether the host has no time to spare."""
         return self._timers.lateness_ms > self._max_lateness_ms
 
-    def _give_up_if_kind_waits(self, request: Request, now: float) -> None:
-        pause_ms = AT_FAULT_PAUSE_OBJECTIVES * request.request_class.objective_ms
-        if any(tracker.must_wait(now, pause_ms) for tracker in request.trackers):
-            self._requests.give_up(request)
-
-    def _has_waited(self, request: Request, now: float) -> bool:
-        """Whether it was held for as long as it may be."""
-        relative_weight = min(MAX_RELATIVE_WEIGHT, request.weight / (self._classes.mean_weight or 1.0))
-        return now - request.arrived_at > request.request_class.objective_ms * HOLD_RATIO * relative_weight
-
     def _send_or_give_up(self, request: Request, now: float, may_search: bool, has_waited: bool) -> bool:
         """Whether the request was sent or given up; otherwise it is held."""
         endpoint, odds, expected_ms = self._selector.choose(request, now) if may_search else (None, 0.0, 0.0)
--- a/sloeferry/policy/endpoint_selection.py
+++ b/sloeferry/policy/endpoint_selection.py
@@ -79,15 +79,14 @@
             # Where not even certainty elsewhere would pay for crossing zones, the others need no look.
             if best and not self._is_report_age_unknown and (1 - best_value) * request.weight <= self._crossing_cost():
                 break
-            leader = search.leader(endpoints)
+            leader = search.leader(endpoints) if endpoints else None
             if leader is None:
                 continue
             odds = 0.0
             if not leader.is_crowded:
                 odds = self.latency.spread.fraction_below((request.objective_at - now) / leader.expected_ms)
             value = odds * leader.endpoint.path_quality
-            cost = self._crossing_cost(lowest_rank - leader.rank)
-            if best is None or (value - best_value) * request.weight > cost:
+            if best is None or (value - best_value) * request.weight > self._crossing_cost(lowest_rank - leader.rank):
                 best, best_value = leader, value
             lowest_rank = min(lowest_rank, leader.rank)
         if best is None:
@@ -106,6 +105,10 @@
         """Whether requests come too fast to ask, and too little is out to learn from."""
         return self._arrivals.is_rush() and self.load.may_send_uninformed(self.candidates.all)
 
+    def passes_over_crowded(self) -> bool:
+        """Whether crowded endpoints are passed over: where endpoints were just asked, unless this proxy knows too little."""
+        return not self.is_uninformed_in_rush() and self.can_ask
+
 
 class _Search:
     """The search for one attempt: its inputs, and what was decided on the way."""
@@ -170,8 +173,11 @@
             is_crowded = (
                 expected_ms > self._crowded_ms and expected_ms > CROWDED_STRETCH * work_ms * slowdown * key_ratio * stretch[0]
             )
-            if is_crowded and self._is_passed_over():
-                continue
+            if is_crowded:
+                if self._passes_over_crowded is None:
+                    self._passes_over_crowded = selector.passes_over_crowded()
+                if self._passes_over_crowded:
+                    continue
             # Few endpoints are warming up: a call costs time.
             if endpoint.started_at > warm_since and not may_start(endpoint, now, work_ms):
                 continue
@@ -179,10 +185,10 @@
             quality = endpoint.path_quality * (1.0 if has_connection else self._connect_odds)
             rank = expected_ms / quality if self._is_long else rank_of(estimate, slowdown, key_ratio / quality)
             if rank < lowest:
-                lowest, ties = rank, [_Leader(endpoint, expected_ms, is_crowded, rank)]
+                lowest, ties = rank, [(endpoint, expected_ms, is_crowded)]
             elif rank == lowest:
-                ties.append(_Leader(endpoint, expected_ms, is_crowded, rank))
-        return selector.rng.choice(ties) if ties else None
+                ties.append((endpoint, expected_ms, is_crowded))
+        return _Leader(*selector.rng.choice(ties), lowest) if ties else None
 
     def _may_get_it(self, endpoint: Endpoint) -> bool:
         """Not an endpoint ejected for the request's class; of a retry, only one that was not excluded and is safe."""
@@ -191,9 +197,3 @@
         if not self._is_retry:
             return True
         return endpoint not in self._excluded and self._selector.rules.would_deduplicate(self._request, endpoint)
-
-    def _is_passed_over(self) -> bool:
-        """Whether crowded endpoints are passed over: where endpoints were just asked, unless this proxy knows too little."""
-        if self._passes_over_crowded is None:
-            self._passes_over_crowded = not self._selector.is_uninformed_in_rush()
-        return self._passes_over_crowded and self._selector.can_ask
