--- /dev/null
+++ b/tests/support/fake_backends.py
@@ -0,0 +1,85 @@
+"""Backends on loopback that answer as a test says, and record what they are asked."""
+
+import asyncio
+import contextlib
+import functools
+import re
+from collections.abc import Awaitable, Callable, Mapping, Sequence
+from typing import Any
+
+RECORDED_HEADERS = ("x-call-id", "idempotency")
+HEADER_THAT_VARIES = "x-budget"
+
+# The bytes of a response; b"" closes the connection; None is silence; an event is waited for; or a function of the
+# number of the request, counted over all backends, that returns one of these.
+Script = Any
+Listen = Callable[[Callable[..., Awaitable[None]]], Awaitable[int]]
+
+
+def response(body: str = "done", status: int = 200, *headers: str) -> bytes:
+    """An HTTP response."""
+    return "\r\n".join([f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers, "", body]).encode()
+
+
+def content_length(head: str) -> int:
+    """The length of the body (bytes) that a head promises; 0 where it names none."""
+    found = re.search(r"(?i)content-length: (\d+)", head)
+    return int(found[1]) if found else 0
+
+
+class FakeBackends:
+    """Backends by name, each with its script; what they are asked is recorded in the order in which it comes."""
+
+    def __init__(self, scripts: Mapping[str, Script]):
+        self.scripts = dict(scripts)
+        self.ports: dict[str, int] = {}
+        self.requests_received = 0
+        self.records_all_headers = False
+        self.late_response = response("late")  # behind an event that was waited for
+        self.writers: list[asyncio.StreamWriter] = []
+        self.record: Callable[[str], None] = lambda text: None
+        self.connection_counts: dict[str, int] = {}
+        self._labels: dict[str, str] = {}  # "backend 1" is the one that is met first
+
+    async def start(self, listen: Listen, record: Callable[[str], None]) -> None:
+        """Listens for each backend that has no port yet; another harness may have started them."""
+        for name, script in self.scripts.items():
+            if name not in self.ports:
+                self.record = record
+                self.ports[name] = await listen(functools.partial(self.serve, name, script))
+
+    def begin_connection(self, name: str, writer: asyncio.StreamWriter) -> int:
+        """Counts a connection to a backend; its number there."""
+        self.writers.append(writer)
+        self.connection_counts[name] = self.connection_counts.get(name, 0) + 1
+        return self.connection_counts[name]
+
+    async def serve(self, name: str, script: Script, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """One connection to a backend."""
+        number = self.begin_connection(name, writer)
+        label = self._labels.setdefault(name, f"backend {len(self._labels) + 1}")
+        with contextlib.suppress(OSError, asyncio.IncompleteReadError):
+            while True:
+                head = (await reader.readuntil(b"\r\n\r\n")).decode(errors="replace")
+                body = (await reader.readexactly(content_length(head))).decode()
+                first_line, *headers = head.split("\r\n")
+                self.record(f"  {label}, connection {number}: {first_line}  {body} {self._recorded(headers)}")
+                self.requests_received += 1
+                reply = script(self.requests_received) if callable(script) else script
+                if isinstance(reply, asyncio.Event):
+                    await reply.wait()
+                    reply = self.late_response
+                if reply is None:
+                    continue
+                writer.write(reply)
+                if not reply or b"Connection: close" in reply:
+                    writer.close()
+                    return
+
+    def _recorded(self, headers: Sequence[str]) -> list[str]:
+        def is_recorded(header: str) -> bool:
+            name = header.lower()
+            is_shown = self.records_all_headers and header != "" and not name.startswith(HEADER_THAT_VARIES)
+            return is_shown or name.startswith(RECORDED_HEADERS)
+
+        return sorted(filter(is_recorded, headers))
--- /dev/null
+++ b/tests/support/policy_recorder.py
@@ -0,0 +1,153 @@
+"""A policy's host that records each command, and the events that a test gives to its policy."""
+
+from collections.abc import Mapping
+from typing import Any
+
+from sloeferry.config.settings import build_settings
+from sloeferry.policy.endpoint_staleness import StalenessLimits
+from sloeferry.policy.interface import AttemptOutcome, EndpointEntry, EndpointState, ListScope
+from sloeferry.policy.policy import Policy
+
+REQUEST_CLASSES = [("retryable", "all"), ("dedup", "zone"), ("fragile", "all")]  # idempotency, group that drops duplicates
+REQUEST_CLASS_SETTINGS = {"sla_time": 700.0, "expiry": 1000.0, "gain": 1.0, "dedup_window": 300.0}
+SETTINGS = {
+    "schemes.count": len(REQUEST_CLASSES),
+    "instances": 1,
+    "step": 1.0,
+    "limits.most_postings": 4,
+    "limits.cancel": True,
+    "load_info.fields": "inflight",
+    "load_info.via": "answers",
+}
+
+# What an outcome is called in the golden files.
+_WORDS = ["settled", "erred", "turned_away", "late", "unreached", "cut", "withdrawn", "never_sent", "unknown"]
+OUTCOME_WORDS = dict(zip(AttemptOutcome, _WORDS, strict=True))
+
+EndpointLine = str | tuple  # an endpoint's id; or id, zone, state, started at (ms), as far as they matter
+ENDPOINT_DEFAULTS = (0, EndpointState.READY, 0.0)
+
+
+def _entry(line: EndpointLine) -> EndpointEntry:
+    given = (line,) if isinstance(line, str) else tuple(line)
+    endpoint_id, zone, state, started_at = given + ENDPOINT_DEFAULTS[len(given) - 1 :]
+    return EndpointEntry(endpoint_id, zone, 0, zone, state, started_at)
+
+
+def _settings(changes: Mapping[str, Any]) -> dict[str, Any]:
+    values: dict[str, Any] = dict(SETTINGS)
+    for index, (idempotency, group) in enumerate(REQUEST_CLASSES):
+        for name, value in {"idempotency": idempotency, "group": group, **REQUEST_CLASS_SETTINGS}.items():
+            values[f"schemes.{index}.{name}"] = value
+    return values | {name.replace("__", "."): value for name, value in changes.items()}
+
+
+class PolicyRecorder:
+    """One policy with this as its host: records its commands at the time of the test's own clock (`now`, ms).
+
+    `settings` are changes to the settings above, by key with `__` for the dot.
+    """
+
+    def __init__(self, seed: int = 7, limits: StalenessLimits | None = None, **settings: Any):
+        self.lines: list[str] = []
+        self.now = 0.0
+        self.wakeups: list[tuple[float, int]] = []
+        self.last_attempt: dict[int, int] = {}  # the number of each request's last attempt
+        self.policy = Policy(self, 0.0, seed, build_settings(_settings(settings)), limits or StalenessLimits())
+
+    def record(self, text: str) -> None:
+        """One line."""
+        self.lines.append(f"{self.now:7.1f}  {text}")
+
+    # PolicyHost, in the words of the golden files
+
+    def send_attempt(self, request_id: int, endpoint_id: str) -> None:
+        """`PolicyHost`."""
+        attempt_number = self.last_attempt[request_id] = self.last_attempt.get(request_id, -1) + 1
+        self.record(f"post {request_id}/{attempt_number} to {endpoint_id}")
+
+    def cancel_attempt(self, request_id: int, attempt_number: int) -> None:
+        """`PolicyHost`."""
+        self.record(f"withdraw {request_id}/{attempt_number}")
+
+    def reject(self, request_id: int, retry_after_ms: float) -> None:
+        """`PolicyHost`."""
+        self.record(f"decline {request_id}, again after {retry_after_ms:.0f}")
+
+    def fail(self, request_id: int) -> None:
+        """`PolicyHost`."""
+        self.record(f"reverse {request_id}")
+
+    def send_health_check(self, endpoint_id: str) -> None:
+        """`PolicyHost`."""
+        self.record(f"probe {endpoint_id}")
+
+    def poll_endpoints(self) -> None:
+        """`PolicyHost`."""
+        self.record("watch")
+
+    def schedule_wakeup(self, at: float, token: int) -> None:
+        """`PolicyHost`."""
+        self.wakeups.append((at, token))
+
+    # What happens to the policy
+
+    def advance_to(self, now: float) -> None:
+        """The clock runs on to that time (ms), with every timer that falls due."""
+        while self.wakeups and min(self.wakeups)[0] <= now:
+            at, token = min(self.wakeups)
+            self.wakeups.remove((at, token))
+            self.now = max(self.now, at)
+            self.policy.timer_fired(self.now, token)
+        self.now = now
+
+    def advance_by(self, span_ms: float) -> None:
+        """The clock runs on by that much."""
+        self.advance_to(self.now + span_ms)
+
+    def list_endpoints(self, *lines: EndpointLine, scope: ListScope = ListScope.COMPLETE) -> None:
+        """An endpoint list has come."""
+        self.policy.endpoints_listed(self.now, scope, [_entry(line) for line in lines])
+
+    def request(
+        self,
+        request_id: int,
+        class_index: int = 0,
+        time_left_ms: float = 1000.0,
+        tenant_index: int = 0,
+        is_retry: bool = False,
+    ) -> None:
+        """A request has come."""
+        self.record(f"   txn {request_id} of scheme {class_index}")
+        self.policy.request_arrived(self.now, request_id, class_index, tenant_index, 0, time_left_ms, None, is_retry)
+
+    def report_load(self, endpoint_id: str, in_flight: float) -> None:
+        """A health check was answered with a load report."""
+        self.policy.health_check_ended(self.now, endpoint_id, AttemptOutcome.SERVED, 0.5, (in_flight,))
+
+    def end_attempt(
+        self,
+        request_id: int,
+        attempt_number: int,
+        outcome: AttemptOutcome,
+        in_flight: float | None = None,
+        is_answered: bool | None = None,
+        took_ms: float = 50.0,
+    ) -> None:
+        """An attempt has ended, with a load report where `in_flight` is given; one that is served answers its request."""
+        report = "" if in_flight is None else f", reports {in_flight}"
+        self.record(f"   {request_id}/{attempt_number} ends: {OUTCOME_WORDS[outcome]}{report}")
+        if is_answered is None:
+            is_answered = outcome is AttemptOutcome.SERVED
+        load_report = () if in_flight is None else (in_flight,)
+        self.policy.attempt_ended(self.now, request_id, attempt_number, outcome, is_answered, took_ms, load_report)
+
+    # What a test looks at
+
+    def was_sent(self, request_id: int) -> bool:
+        """Whether an attempt of that request was ever sent."""
+        return request_id in self.last_attempt
+
+    def last_word(self) -> str:
+        """The last word recorded: of an attempt that was just sent, its endpoint."""
+        return self.lines[-1].split()[-1]
