--- /dev/null
+++ b/tests/policy/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of `sloeferry.policy`, free of I/O."""
--- /dev/null
+++ b/tests/policy/test_health_checks.py
@@ -0,0 +1,34 @@
+"""When an endpoint is asked for its load."""
+
+from tests.support.golden import GoldenFiles
+from tests.support.policy_recorder import PolicyRecorder
+
+
+def test_long_request_is_no_silence(golden: GoldenFiles):
+    """At one request a second an endpoint is heard of by its own long request alone.  It is checked, then left alone."""
+    recorder = PolicyRecorder(limits__probing=True, tariffs__probe=0.002, limits__second_copies=False)
+    recorder.list_endpoints("a", "b")
+    for name in "ab":
+        recorder.report_load(name, 0)
+    recorder.request(1)
+    endpoint_id = recorder.last_word()
+    while recorder.now < 600.0:
+        recorder.advance_by(1)
+        if "probe" in recorder.lines[-1]:
+            recorder.report_load(endpoint_id, 1)
+            recorder.record(f"   {endpoint_id} answers")
+    golden.check(recorder.lines, "long_txn")
+
+
+def test_checks_go_on_until_one_is_idle(golden: GoldenFiles):
+    """The first endpoints checked are busy.  More are checked instead of holding or rejecting the request."""
+    recorder = PolicyRecorder(limits__probing=True, tariffs__probe=0.002)
+    recorder.list_endpoints(*"abcdefgh")
+    recorder.request(1)
+    answered: list[str] = []
+    for _ in range(3):
+        for line in [line for line in recorder.lines if "probe" in line and line not in answered]:
+            answered.append(line)
+            endpoint_id = line[-1]
+            recorder.report_load(endpoint_id, 0 if endpoint_id in "gh" else 3)
+    golden.check(recorder.lines, "waves")
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -182,29 +182,6 @@
             )
         compare(self, out, "settings_places")
 
-    def test_open_txns_keep_their_rules(self):
-        """Attempts and effects change while txns are out: each ends under what it was taken under."""
-        host = Printer(limits__most_postings=2)
-        host.list(("a",), ("b",), ("c",), ("d",))
-        host.take(1)
-        host.take(2)
-        before = host.policy.settings
-        first, *others = before.request_classes
-        first = dataclasses.replace(first, idempotency=Idempotency.NON_IDEMPOTENT)
-        limits = dataclasses.replace(before.limits, max_attempts=4)
-        other = dataclasses.replace(before, request_classes=(first, *others), limits=limits)
-        host.say("other settings: scheme 0 is once-only, four postings")
-        host.policy.update_settings(other)
-        host.take(3)
-        for ref in (1, 2, 3):
-            host.end(ref, 0, AttemptOutcome.CONNECTION_LOST)
-        host.end(1, 1, AttemptOutcome.CONNECTION_LOST)
-        host.take(4)
-        for seq in range(4):
-            host.end(4, seq, AttemptOutcome.UNREACHABLE)
-        host.until(2000.0)
-        compare(self, host, "settings_open_txns")
-
 
 class Desks(unittest.TestCase):
     def setUp(self):
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -7,13 +7,12 @@
 import unittest
 from heapq import heappop, heappush
 from itertools import count
-from random import Random
 
 import uvloop
 from loguru import logger
 
 from sloeferry.config.settings import build_settings
-from sloeferry.policy.interface import AttemptOutcome, EndpointEntry, EndpointState, ListScope
+from sloeferry.policy.interface import AttemptOutcome, EndpointEntry, ListScope
 from sloeferry.policy.policy import Policy
 from tests.trace import Harbour, Lines, answer, compare
 
@@ -140,109 +139,6 @@
     return shapes.count(shape)
 
 
-class Migration(unittest.TestCase):
-    SHAPES = ["old"] * 4 + ["new"] * 8
-
-    def test_both_shapes_before_the_same_backends(self):
-        """One answer each, nothing to a backend that drains, and neither shape starves the other."""
-        fleet, out = Fleet(self.SHAPES, all_told), Lines()
-        names = [f"b{n}" for n in range(8)]
-        fleet.list(*((name, EndpointState.READY, -10000.0) for name in names))  # warm
-        fleet.traffic(13.0, 0.0, 16000.0, Random(5))  # 156 a second; eight backends can do 200, seven 175
-        fleet.run(8000.0)
-        fleet.list(("b3", EndpointState.DRAINING, -10000.0), scope=ListScope.CHANGES)
-        fleet.run(20000.0)
-        part = {}
-        for shape in ("old", "new"):
-            those = [one for one in fleet.instances if one.shape == shape]
-            answers = [n for one in those for n in one.answers.values()]
-            self.assertEqual(set(answers), {1})
-            part[shape] = sum(len(one.settled) for one in those) / len(answers)
-            out.lines.append(f"{shape}: {len(answers)} txns, answered once each, {part[shape]:.3f} settled")
-        drained = sum(to == "b3" and at > 8000.0 for at, to, _ in fleet.posts)
-        out.lines.append(f"posted to the draining backend after it was told: {drained}")
-        self.assertEqual(drained, 0)
-        # The bound that docs/migration.md states: nine in ten settled for each, and the two within a tenth.
-        self.assertGreater(min(part.values()), 0.9)
-        self.assertLess(abs(part["old"] - part["new"]), 0.1)
-        compare(self, out, "migration_both")
-
-    def most_sent(self, told):
-        """The cold backend's work in its fullest span over what rule 4 allows there, all instances together."""
-        fleet = Fleet(["old"] * 12 + ["new"] * 24, told)
-        fleet.now = 50000.0
-        fleet.list(("cold", EndpointState.READY, 50000.0))  # nobody else is there: all want it
-        fleet.traffic(4.0, 50000.0, 54000.0, Random(3))
-        fleet.run(56000.0)
-        worst = 0.0
-        for at, _, _ in fleet.posts:
-            sent = WORK * sum(at <= when < at + 1000.0 for when, _, _ in fleet.posts)
-            warmth = 0.25 + 0.75 * (at - 50000.0) / 8000.0
-            worst = max(worst, sent / (3.0 * warmth * 1000.0))
-        return worst
-
-    def test_cold_budget_of_both_banks(self):
-        """`instances` counts every instance of both shapes; told its own bank alone, each takes the whole budget."""
-        out, both, own = Lines(), self.most_sent(all_told), self.most_sent(own_bank)
-        out.lines.append(f"of the cold budget: {both:.2f} where all are counted, {own:.2f} where each bank counts its own")
-        self.assertLessEqual(both, 1.0)
-        self.assertGreater(own, both)
-        compare(self, out, "migration_cold")
-
-    def test_a_key_has_its_backend(self):
-        """Every instance sends a key to the same backend, a frequent one to more; who goes moves its own keys alone."""
-        out, before, after = Lines(), {}, {}
-        fleet = Fleet(["new"] * 3, all_told)
-        names = [f"b{n}" for n in range(6)]
-        for where, listed in ((before, names), (after, names[:-1])):
-            fleet.list(*((name, EndpointState.READY, 0.0) for name in listed))
-            orders = set()
-            for one in fleet.instances:
-                policy, scheme = one.policy, one.policy.classes.all[0]
-                for n in range(400):
-                    policy.affinity.count(n % 200 + 1 if n % 4 else 999)
-                for key in range(1, 41):
-                    kept = policy.affinity.keepers(key, policy.table.ready)
-                    where.setdefault(key, set()).add(tuple(sorted(b.endpoint_id for b in kept)))
-                hot = policy.affinity.keepers(999, policy.table.ready)
-                orders.add(tuple(b.endpoint_id for b in hot))
-            # Not a set's order: it differs by memory addresses, and with it who wins a tie.
-            self.assertEqual(len(orders), 1)
-            out.lines.append(f"of {len(listed)} backends the frequent key has {len(hot)}")
-        self.assertTrue(all(len(kept) == 1 for kept in before.values()))
-        moved = [key for key in before if before[key] != after[key]]
-        self.assertTrue(all("b5" in next(iter(before[key])) for key in moved))
-        out.lines.append(f"of 40 keys {len(moved)} move when a backend goes, all of them its own")
-        compare(self, out, "migration_keys")
-
-    def test_late_endings_where_nobody_can_be_asked(self):
-        """A jammed backend reports nothing: one late ending has it rest, and its txn stays counted there."""
-        fleet, out = Fleet(["new"], all_told), Lines()
-        fleet.list(("a", EndpointState.READY, 0.0), ("b", EndpointState.READY, 0.0), ("c", EndpointState.READY, 0.0))
-        one = fleet.instances[0]
-        one.send_attempt = lambda ref, backend: fleet.posts.append((fleet.now, backend, ref))
-        one.policy.request_arrived(0.0, 1, 0, 0, 7, 1000.0, None, False)
-        jammed = fleet.posts[0][1]
-        one.policy.attempt_ended(900.0, 1, 0, AttemptOutcome.TIMED_OUT, True, 900.0, ())
-        b = one.policy.table.by_id[jammed]
-        out.lines.append(f"rests: {b.ejected_until > 900.0}; counted there: {one.policy.load.estimate(b, 950.0):.0f}")
-        fleet.now = 950.0
-        for ref in range(2, 8):
-            one.policy.request_arrived(950.0, ref, 0, 0, 7, 1000.0, None, False)
-        out.lines.append(f"six more of its key, sent there: {sum(to == jammed for _, to, _ in fleet.posts[1:])}")
-        compare(self, out, "migration_late")
-
-    def test_ends_say_when_to_come_back(self):
-        """A txn that is given up is told when to come back, wherever in the chain it ends."""
-        fleet, out = Fleet(["new"], all_told), Lines()
-        fleet.list()
-        one = fleet.instances[0]
-        one.policy.request_arrived(0.0, 1, 0, 0, 0, 300.0, None, False)
-        fleet.run(400.0)
-        out.lines.append(f"answers {one.answers}, of them with a time to come back: {fleet.paused}")
-        compare(self, out, "migration_pause")
-
-
 class OnSockets(unittest.TestCase):
     def setUp(self):
         logger.remove()
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -4,20 +4,15 @@
 import socket
 import types
 import unittest
-from math import inf as INF
 from unittest import mock
 
 import uvloop
-from hypothesis import given, settings
-from hypothesis import strategies as st
 from loguru import logger
 
 from sloeferry.network.admission_queue import AdmissionQueue
 from sloeferry.network.buffers import Buffers
 from sloeferry.network.deadline_timers import DeadlineTimers
 from sloeferry.policy import overload_control as overload
-from sloeferry.policy.interface import AttemptOutcome
-from sloeferry.policy.requests import Request
 from tests.trace import Harbour, Lines, Printer, answer, compare
 
 TWO = {"tenants.count": 2, "tenants.0.share": 3.0, "tenants.1.share": 1.0, "limits.retry_after": True, "schemes.2.gain": 5.0}
@@ -40,110 +35,6 @@
     return now
 
 
-class Doors(unittest.TestCase):
-    def test_bound(self):
-        """The bound comes with a window of late beats alone, follows what is served, and goes step by step."""
-        one, host = door()
-        out, now = Lines(), 0.0
-
-        def say(what):
-            out.lines.append(f"{what}: bound {one.limit:.1f}, {one.rate_per_ms * 1000:.0f} a second")
-
-        one.ended_in_window = 60
-        for at in range(20):
-            now += one.beat_interval_ms
-            one.beat(now, one.beat_interval_ms * (2 if at else 0))
-        say("one beat in time")
-        now = pressed(one, now)
-        say("all late")
-        now = pressed(one, now, 20)
-        say("less served")
-        for _ in range(12):
-            one.note_queued(0)
-            for _ in range(17):
-                now += one.beat_interval_ms
-                one.beat(now, 0.0)
-            say("beats in time")
-        one.beat(now + 400, 400.0)
-        out.lines.append(f"after a stall: shut {one.is_shedding()}")
-        one.beat(now + 450, 1.0)
-        out.lines.append(f"a beat later: shut {one.is_shedding()}")
-        compare(self, out, "door_bound")
-
-    def test_who_stays_outside(self):
-        """Past half of the bound customers keep to their parts; repeats have less room, the best gain more."""
-        one, host = door()
-        out, now = Lines(), pressed(one, 0.0)
-        one.active_tenants = {0, 1}
-        now = pressed(one, now)
-        schemes = host.policy.classes.all
-        ref = 0
-        for tenant in (1, 0):
-            taken = 0
-            while one.rejection_delay_ms(now, schemes[0], tenant, False, False) is None:
-                ref, taken = ref + 1, taken + 1
-                one.request_taken(now, Request(ref, schemes[0], now, 900.0, tenant))
-            out.lines.append(f"bound {one.limit:.0f}: customer {tenant} gets {taken}, open {one.open_requests}")
-        for name, scheme, repeat in (("usual", 0, False), ("best gain", 2, False), ("best gain again", 2, True)):
-            out.lines.append(f"{name}: {'outside' if one.rejection_delay_ms(now, schemes[scheme], 0, repeat, False) else 'in'}")
-        compare(self, out, "door_outside")
-
-    def test_reposts(self):
-        """Further postings have a budget while the bound stands, and none without it."""
-        one, host = door()
-        self.assertTrue(all(one.may_retry(0.0, None) for _ in range(100)))
-        now = pressed(one, 0.0)
-        for ref in range(20):
-            host.policy.request_arrived(now, ref, 0, 0, 0, 900.0, None, False)
-        self.assertEqual(sum(one.may_retry(now, None) for _ in range(100)), int(20 * overload.RETRIES_PER_REQUEST))
-
-    def test_nothing_learned_while_behind(self):
-        """How long things take while this proxy is behind says nothing of its backends."""
-        one, host = door()
-        host.list(("a",))
-        for behind in (False, True):
-            one.limit = 50.0 if behind else INF
-            before = host.policy.latency.spread.count
-            host.take(int(behind))
-            host.end(int(behind), 0, AttemptOutcome.SERVED, 0, took=600.0)
-            self.assertEqual(host.policy.latency.spread.count > before, not behind)
-
-    @settings(max_examples=150, deadline=None)
-    @given(
-        st.lists(
-            st.tuples(
-                st.sampled_from(["beat", "take", "over", "ask", "stall"]), st.integers(0, 2), st.integers(0, 1), st.floats(0, 200)
-            ),
-            max_size=120,
-        )
-    )
-    def test_properties(self, steps):
-        """Counts never go wrong; without a bound nobody is outside; the better gain is never outside alone."""
-        one, host = door()
-        now, out, schemes = 0.0, [], host.policy.classes.all
-        for what, scheme, tenant, figure in steps:
-            now += one.beat_interval_ms / 2
-            if what == "beat":
-                one.beat(now, figure)
-            elif what == "stall":
-                one.beat(now, 10 * figure)
-            elif what == "over" and out:
-                one.request_ended(out.pop(), bool(scheme))
-            elif what == "take":
-                out.append(Request(len(out), schemes[scheme], now, 900.0, tenant))
-                one.request_taken(now, out[-1])
-            said = [one.rejection_delay_ms(now, s, tenant, False, False) for s in schemes]
-            if not one.is_shedding():
-                self.assertEqual(said, [None] * 3)
-            self.assertTrue(all(pause is None or pause >= 0 for pause in said))
-            if said[2] is not None:
-                self.assertIsNotNone(said[0])
-            self.assertEqual((one.open_requests, sum(one.open_by_tenant)), (len(out), len(out)))
-            self.assertGreaterEqual(one.limit, overload.MIN_LIMIT)
-            if one.open_requests < overload.MIN_LIMIT and one.open_by_tenant[tenant] == 0 and not one.is_stalled:
-                self.assertIsNone(said[2])
-
-
 class Alarming(unittest.TestCase):
     def test_alarms(self):
         """One timer for all: what was called off never rings, the others do in the order of their times."""
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -12,10 +12,9 @@
 
 from sloeferry.network import sockets
 from sloeferry.network.json_stream import JsonStream
-from sloeferry.policy.endpoint_staleness import ON_SOCKETS, WATCH_DELAY_MS, PollEnd
-from sloeferry.policy.interface import AttemptOutcome, EndpointState, ListScope
+from sloeferry.policy.interface import EndpointState
 from tests.test_crossings import Crossing, Opened, until
-from tests.trace import Printer, answer, compare, play
+from tests.trace import answer, play
 
 
 class Watches(Crossing):
@@ -146,30 +145,6 @@
         ):
             play(self, story, "crossing_blank", h)
 
-    def test_what_a_silent_watch_missed(self):
-        """From when it counts as told nothing goes out, whatever calls fail meanwhile; a list ends that."""
-        host = Printer(discovery="subscribe", obligations__must_ask_in=40000.0, limits=ON_SOCKETS)
-        staleness = host.policy.polling.staleness
-        host.list(("a",))
-        staleness.confirmed(WATCH_DELAY_MS)  # what it says is true for certain until the beginning
-        host.take(0)
-        host.end(0, 0, AttemptOutcome.SERVED, 0)
-        host.until(2500.0)
-        staleness.watch_silent(WATCH_DELAY_MS)
-        host.list(scope=ListScope.POLL_FAILED)
-        host.until(5900.0)
-        host.take(1)
-        host.end(1, 0, AttemptOutcome.SERVED, 0)
-        host.until(6100.0)
-        staleness.poll_failed(6100.0, PollEnd.REFUSED, 6100.0, 6100.0)
-        host.list(scope=ListScope.POLL_FAILED)
-        host.take(2)
-        host.until(9000.0)
-        host.list(("a",))
-        staleness.confirmed(9000.0)
-        host.take(3)
-        compare(self, host, "crossing_missed")
-
     def test_a_silent_watch_says_so(self):
         """The watch falls silent, also the former one, with its successor not standing yet: what it missed counts."""
 
