--- /dev/null
+++ b/tests/dispatch/test_endpoint_events.py
@@ -0,0 +1,36 @@
+"""What discovery's events confirm, and from when."""
+
+from unittest import mock
+
+import pytest
+
+from sloeferry import environment
+from sloeferry.config.settings import build_settings
+from sloeferry.dispatch.dispatcher import Dispatcher
+from sloeferry.policy.endpoint_staleness import WATCH_DELAY_MS
+
+
+@pytest.mark.parametrize("is_timer_first", [False, True], ids=["network first", "timer first"])
+def test_read_after_a_stall(is_timer_first: bool):
+    """The process stood still.  What it reads once it goes on may have been written at any time since its last turn, and confirms
+    nothing after that, whichever of timer and network comes first."""
+    settings = build_settings({"schemes.count": 1, "schemes.0.sla_time": 300.0, "discovery": "subscribe"})
+    clock_seconds = [1000.0]
+    with mock.patch.object(environment, "monotonic", lambda: clock_seconds[0]):
+        dispatcher = Dispatcher(1, settings, lambda at: None)
+        events, monitor = dispatcher.endpoint_events, dispatcher.loop_monitor
+        clock_seconds[0] += 2.0
+        monitor.last_turn = clock_seconds[0] * 1000
+        events.watch_confirmed()
+        assert events.staleness.trusted_until == 1_002_000.0 - WATCH_DELAY_MS
+        clock_seconds[0] += 5.0
+        if is_timer_first:
+            monitor.turn_before_stall = monitor.last_turn
+            monitor.last_turn = clock_seconds[0] * 1000
+            monitor.catching_up = object()
+        events.watch_confirmed()
+        assert events.staleness.trusted_until == 1_002_000.0 - WATCH_DELAY_MS
+        monitor.last_turn = clock_seconds[0] * 1000
+        monitor.catching_up = None
+        events.watch_confirmed()
+        assert events.staleness.trusted_until == 1_007_000.0 - WATCH_DELAY_MS
--- /dev/null
+++ b/tests/dispatch/test_send_guard.py
@@ -0,0 +1,84 @@
+"""The send guard: what it refuses right before a first byte, and what it calls a violation afterwards."""
+
+import types
+
+import pytest
+
+from sloeferry.dispatch.send_guard import MAX_REMEMBERED_LEAVERS, Refusal, SendGuard, Violation
+from sloeferry.policy.endpoint_staleness import ON_SOCKETS
+from sloeferry.policy.interface import AttemptOutcome, EndpointState, ListScope
+from tests.support.policy_recorder import PolicyRecorder
+
+SLACK_MS = 50.0
+GRACE_MS = 250.0
+
+
+@pytest.fixture
+def recorder() -> PolicyRecorder:
+    """A policy with two endpoints, on a list that was confirmed at its beginning."""
+    recorder = PolicyRecorder(limits=ON_SOCKETS, discovery="subscribe", obligations__drain_grace=GRACE_MS)
+    recorder.list_endpoints("a", "b")
+    recorder.policy.polling.staleness.confirmed(0.0)
+    return recorder
+
+
+@pytest.fixture
+def guard(recorder: PolicyRecorder) -> SendGuard:
+    """Its send guard."""
+    return SendGuard(recorder.policy, SLACK_MS)
+
+
+def context(request_id: int = 0, deadline: float = 1000.0, is_answered: bool = False) -> types.SimpleNamespace:
+    """A request on its way."""
+    return types.SimpleNamespace(request_id=request_id, deadline=deadline, is_answered=is_answered, has_client_left=None)
+
+
+def test_refusals(recorder: PolicyRecorder, guard: SendGuard):
+    """Each cause by itself; refused sends are counted by cause, and by what made a list stale."""
+    now = 10.0
+    assert (guard.request_refusal(now, context(), 0) or guard.endpoint_refusal(now, "a")) is None
+    assert guard.request_refusal(now, context(is_answered=True), 0) == Refusal.REQUEST_OVER
+    assert guard.request_refusal(now, context(deadline=10.0), 0) == Refusal.DEADLINE
+    assert guard.endpoint_refusal(now, "nobody") == Refusal.ENDPOINT_LEAVING
+    recorder.list_endpoints(("a", 0, EndpointState.DRAINING), scope=ListScope.CHANGES)
+    assert guard.endpoint_refusal(now, "a") == Refusal.ENDPOINT_LEAVING
+    stale = recorder.policy.polling.staleness.usable_until + 1
+    assert guard.endpoint_refusal(stale, "b") == Refusal.LIST_STALE
+    for cause in Refusal:
+        assert not guard.allow(cause)
+    assert guard.allow(None)
+    assert guard.figures()["refused"] == {cause.value: 1 for cause in Refusal}
+    assert guard.figures()["refused_stale"] == {"watched": 1}
+
+
+def test_no_second_attempt_of_an_unsafe_request(recorder: PolicyRecorder, guard: SendGuard):
+    """A non-idempotent request whose earlier attempt may have run is not begun again, however it came to that."""
+    recorder.request(1, class_index=2)
+    recorder.policy.requests.by_id[1].attempts[0].end(20.0, AttemptOutcome.CONNECTION_LOST)
+    assert guard.request_refusal(30.0, context(1), 1) == Refusal.REPEAT_WINDOW
+    assert guard.check_written(30.0, context(1), 1, "a") == Violation.REPEATED
+
+
+def test_violations(recorder: PolicyRecorder, guard: SendGuard):
+    """By facts of the guard's own: when an endpoint was told to leave, the list's deadline, the request's."""
+    usable_until = recorder.policy.polling.staleness.usable_until
+    guard.endpoint_listed(100.0, "a", False)
+    for at, request, endpoint_id, violation in (
+        (100.0 + GRACE_MS + SLACK_MS, context(), "a", None),
+        (101.0 + GRACE_MS + SLACK_MS, context(), "a", Violation.DRAIN),
+        (101.0 + GRACE_MS + SLACK_MS, context(), "b", None),
+        (1051.0, context(), "b", Violation.DEADLINE),
+        (10.0, context(is_answered=True), "b", Violation.ANSWERED),
+        (usable_until + GRACE_MS + SLACK_MS + 1, context(deadline=99999.0), "b", Violation.LIST_STALE),
+    ):
+        assert guard.check_written(at, request, 0, endpoint_id) == violation
+    guard.endpoint_listed(2000.0, "a", True)
+    assert guard.check_written(900.0, context(), 0, "a") is None
+    assert sum(guard.figures()["violations"].values()) == 4
+
+
+def test_old_leavers_are_forgotten(guard: SendGuard):
+    """Endpoints that left long ago are forgotten, the oldest first."""
+    for at in range(MAX_REMEMBERED_LEAVERS + 5):
+        guard.endpoint_listed(float(at), at, False)
+    assert (len(guard._left_at), min(guard._left_at)) == (MAX_REMEMBERED_LEAVERS, 5)
--- /dev/null
+++ b/tests/dispatch/test_stale_list.py
@@ -0,0 +1,134 @@
+"""Each path by which a request or health check reaches a backend, with the list gone stale on the way: nothing is sent.
+
+However the list went stale (tests/policy/test_endpoint_staleness.py has each way), the paths read one deadline; here it is
+brought forward.
+"""
+
+import asyncio
+import socket
+from typing import Any
+from unittest import mock
+
+from sloeferry.dispatch.send_guard import Refusal
+from sloeferry.network import sockets
+from tests.support.fake_backends import response
+from tests.support.instrumented_harness import InstrumentedHarness, wait_until
+from tests.support.proxy_harness import PlayStory
+
+
+def make_stale(harness: InstrumentedHarness) -> None:
+    """The list counts as stale from now on."""
+    harness.dispatcher.endpoint_events.staleness.usable_until = 0.0
+
+
+def was_refused(harness: InstrumentedHarness) -> bool:
+    """Whether the send guard refused anything for a stale list."""
+    return harness.dispatcher.guard.refusals[Refusal.LIST_STALE] > 0
+
+
+def test_first_attempt(play_story: PlayStory):
+    """A request comes when the list is stale already.  It is rejected at once."""
+
+    async def story(harness: InstrumentedHarness) -> None:
+        make_stale(harness)
+        await harness.request("safe")
+        harness.record(f"refused for a stale list: {was_refused(harness)}")
+
+    play_story(story, "stale_first", InstrumentedHarness({"b": response()}))
+
+
+def test_after_connecting(play_story: PlayStory):
+    """The list goes stale while the connection to the backend comes up."""
+
+    async def story(harness: InstrumentedHarness) -> None:
+        connect = sockets.connect
+
+        async def connect_and_make_stale(*arguments: Any) -> socket.socket | None:
+            sock = await connect(*arguments)
+            make_stale(harness)
+            return sock
+
+        with mock.patch("sloeferry.network.sockets.connect", connect_and_make_stale):
+            await harness.request("once")
+        harness.record(f"asked {harness.backends.requests_received}, refused {was_refused(harness)}")
+
+    play_story(story, "stale_dial", InstrumentedHarness({"b": response()}))
+
+
+def test_after_a_wait(play_story: PlayStory):
+    """The list goes stale while the attempt waits right before its first byte, as after a stall."""
+
+    async def story(harness: InstrumentedHarness) -> None:
+        with harness.before_first_byte() as gate:
+            call = asyncio.ensure_future(harness.request("once"))
+            await gate.held.wait()
+            make_stale(harness)
+            gate.opened.set()
+            await call
+        harness.record(f"asked {harness.backends.requests_received}")
+
+    play_story(story, "stale_wait", InstrumentedHarness({"b": response()}))
+
+
+def test_retry(play_story: PlayStory):
+    """The list goes stale while the first attempt is out, which fails.  There is no retry, though it would be safe."""
+
+    async def story(harness: InstrumentedHarness) -> None:
+        await harness.request("safe")
+        harness.record(f"asked {harness.backends.requests_received}")
+
+    def reject(number: int) -> bytes:
+        make_stale(harness)
+        return response("no", 503, "X-Rejected: 1")
+
+    harness = InstrumentedHarness({"b": reject, "c": reject})
+    play_story(story, "stale_retry", harness)
+
+
+def test_upload(play_story: PlayStory):
+    """The list goes stale before the first byte of a streamed body."""
+
+    async def story(harness: InstrumentedHarness) -> None:
+        with harness.before_first_byte() as gate:
+            call = asyncio.ensure_future(harness.request("once", body="x" * 200_000))
+            await gate.held.wait()
+            make_stale(harness)
+            gate.opened.set()
+            await call
+        harness.record(f"asked {harness.backends.requests_received}")
+
+    play_story(story, "stale_upload", InstrumentedHarness({"b": response()}))
+
+
+def test_health_check(play_story: PlayStory):
+    """A health check was commanded, and the list goes stale before it is written."""
+
+    async def story(harness: InstrumentedHarness) -> None:
+        dispatcher = harness.dispatcher
+        with mock.patch.object(dispatcher, "health_check_ended", wraps=dispatcher.health_check_ended) as ended:
+            make_stale(harness)
+            dispatcher.send_health_check("b")
+            await wait_until(lambda: ended.called)
+        harness.record(f"asked {harness.backends.requests_received}")
+
+    play_story(story, "stale_probe", InstrumentedHarness({"b": response()}, probing=True))
+
+
+def test_hedge(play_story: PlayStory):
+    """A hedged request is due beside an attempt that is out.  None is begun by a stale list."""
+    release = asyncio.Event()
+
+    async def story(harness: InstrumentedHarness) -> None:
+        call = asyncio.ensure_future(harness.request("safe"))
+        await wait_until(lambda: harness.backends.requests_received)
+        make_stale(harness)
+        policy = harness.dispatcher.policy
+        [request] = policy.requests.by_id.values()
+        policy.table.candidates_chosen_at = -1e9
+        now = request.attempts[0].overdue_at + 1
+        policy.retries._review(now, request, request.attempts[0], True)
+        harness.record(f"attempts {len(request.attempts)}, asked {harness.backends.requests_received}")
+        release.set()
+        await call
+
+    play_story(story, "stale_hedge", InstrumentedHarness({"b": release, "c": release}, second_copies=True))
--- /dev/null
+++ b/tests/lifecycle/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of `sloeferry.lifecycle`."""
--- /dev/null
+++ b/tests/lifecycle/test_snapshot_store.py
@@ -0,0 +1,74 @@
+"""The folder that a proxy's processes share: who lives, and snapshots that are complete or none."""
+
+import errno
+import json
+import os
+from pathlib import Path
+from typing import Any
+from unittest import mock
+
+from sloeferry.lifecycle.snapshot_store import SnapshotError, SnapshotStore
+from tests.support.golden import GoldenFiles
+
+
+def read(store: SnapshotStore, now: float) -> tuple[Any, ...] | str:
+    """The list and what was learned, or why there is none."""
+    try:
+        return tuple(store.read(now))
+    except SnapshotError as error:
+        return str(error)
+
+
+def test_neighbours_and_snapshots(golden: GoldenFiles, tmp_path: Path):
+    """A process that lives is seen by its lock, however it ends.  A snapshot is complete, of this proxy and of now, or none."""
+    lines: list[str] = []
+    folder = str(tmp_path)
+    first, second, other = (SnapshotStore(folder, name, "s") for name in ("n", "n", "m"))
+    second.show(True)
+    lines.append(f"others: {tuple(first.neighbours())}, {tuple(second.neighbours())}, {tuple(other.neighbours())}")
+    os.close(second._lock_fd)  # it was killed: nothing is tidied up
+    lines.append(f"after one was killed: {tuple(first.neighbours())}")
+    lines.append(f"nothing yet: {read(first, 0.0)}")
+    first.write(100.0, {"revision": 1}, {"x": [1.5]})
+    third = SnapshotStore(folder, "n", "s")
+    for now in (200.0, 99.0, 1e6):
+        lines.append(f"at {now:.0f}: {read(third, now)}")
+    with mock.patch.object(third, "_boot_id", "another"):
+        lines.append(f"at 200, the machine started anew: {read(third, 200.0)}")
+    file = Path(third.path, "snapshot")
+    complete = file.read_bytes()
+    for damage, data in (
+        ("cut", complete[:-1]),
+        ("changed", complete.replace(b"1.5", b"2.5")),
+        ("empty", b""),
+        ("of another", complete.replace(b'"n"', b'"k"')),
+    ):
+        file.write_bytes(data)
+        lines.append(f"{damage}: {read(third, 200.0)}")
+    lines.append(f"no number: {third.write(1.0, {}, {'x': float('nan')})}")
+    for store in (first, third, other):
+        store.close()
+    golden.check(lines, "handover_folder")
+
+
+def test_write_that_fails(golden: GoldenFiles, tmp_path: Path):
+    """ENOSPC or EIO at any step of a write, or its end after any byte: what stands is the old snapshot or the new one."""
+    lines: list[str] = []
+    store = SnapshotStore(str(tmp_path), "n", "s")
+    store.write(100.0, {"revision": 1}, {})
+    file = Path(store.path, "snapshot")
+    complete = file.read_bytes()
+    for number in (errno.ENOSPC, errno.EIO):
+        for step in ("builtins.open", "os.replace"):
+            with mock.patch(step, side_effect=OSError(number, os.strerror(number))):
+                is_written = store.write(200.0, {"revision": 2}, {})
+            lines.append(f"{errno.errorcode[number]} at {step}: written {is_written}, stands {read(store, 300.0)}")
+    results: set[str] = set()
+    for length in range(len(complete)):  # a machine that went down in the middle of a write
+        file.write_bytes(complete[:length])
+        results.add(json.dumps(read(store, 300.0)))
+    lines.append(f"cut after each byte: {results}")
+    left = sorted(name.partition("-")[0] for name in os.listdir(store.path))
+    lines.append(f"in the folder: {left}")
+    store.close()
+    golden.check(lines, "system_snapshot")
--- /dev/null
+++ b/tests/lifecycle/test_state.py
@@ -0,0 +1,74 @@
+"""The states of a proxy's life, and what is said of each."""
+
+from collections.abc import Callable, Mapping
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from sloeferry.lifecycle.state import CLOSE_IDLE_AFTER_MS, Lifecycle
+from tests.support.golden import GoldenFiles
+
+Event = Callable[[Lifecycle], bool | None]
+
+DRAINED_AT_MS = 5.0
+
+
+def set_other_ready_processes(count: int) -> Event:
+    """So many other processes serve."""
+
+    def event(lifecycle: Lifecycle) -> None:
+        lifecycle.other_ready_processes = count
+
+    return event
+
+
+EVENTS: Mapping[str, Event] = {
+    "list": Lifecycle.list_arrived,
+    "quiesce": lambda lifecycle: lifecycle.drain(0.0),
+    "resume": Lifecycle.resume,
+    "sigterm": Lifecycle.stop,
+    "another serves": set_other_ready_processes(1),
+    "it ends": set_other_ready_processes(0),
+}
+# In the words of the golden file; between the events of a course stands ", " or a space.
+COURSES = (
+    ("list", ["list"]),
+    ("quiesce resume", ["quiesce", "resume"]),
+    ("list quiesce quiesce resume resume", ["list", "quiesce", "quiesce", "resume", "resume"]),
+    ("list quiesce sigterm resume", ["list", "quiesce", "sigterm", "resume"]),
+    ("list quiesce, another serves, it ends, resume", ["list", "quiesce", "another serves", "it ends", "resume"]),
+    ("list, another serves, sigterm", ["list", "another serves", "sigterm"]),
+    ("another serves, list, sigterm, it ends", ["another serves", "list", "sigterm", "it ends"]),
+    ("sigterm list", ["sigterm", "list"]),
+)
+
+
+def test_transitions(golden: GoldenFiles):
+    """Whatever comes in whatever order, what is said of it: one line a step."""
+    lines: list[str] = []
+    for course, events in COURSES:
+        lifecycle = Lifecycle()
+        lines.append(f"-- {course}")
+        for event in events:
+            result = EVENTS[event](lifecycle)
+            reply = "" if result is None else "yes " if result else "no "
+            ready = f"front {lifecycle.answers_ready()}, operators {lifecycle.is_ready()}"
+            state = f"{lifecycle.state(3)}, {lifecycle.state(0)}"
+            lines.append(f"{event}: {reply}{state}; {ready}, takes in {lifecycle.accepts_connections()}")
+    golden.check(lines, "duty_states")
+
+
+ANY_EVENTS: Mapping[str, Event] = EVENTS | {"quiesce": lambda lifecycle: lifecycle.drain(DRAINED_AT_MS)}
+
+
+@settings(max_examples=200, deadline=None)
+@given(st.lists(st.sampled_from(sorted(ANY_EVENTS)), max_size=12))
+def test_never_at_odds(events: list[str]):
+    """No order of events leaves the state at odds with itself."""
+    lifecycle = Lifecycle()
+    for event in events:
+        ANY_EVENTS[event](lifecycle)
+        assert lifecycle.is_ready() == (lifecycle.state(1) == "serving")
+        assert not (lifecycle.is_ready() and lifecycle.closes_connections())
+        assert lifecycle.accepts_connections() or lifecycle.other_ready_processes, "nobody accepts connections"
+        assert not lifecycle.may_close_idle(DRAINED_AT_MS + CLOSE_IDLE_AFTER_MS - 1)
--- a/tests/support/proxy_harness.py
+++ b/tests/support/proxy_harness.py
@@ -175,6 +175,17 @@
         server.close()
         return port
 
+    async def ask_admin(self, text: str) -> str:
+        """Sends that to the admin address: what comes back until its end; recorded in a line."""
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.admin_port)
+        writer.write(text.encode())
+        received = (await reader.read()).decode()
+        writer.close()
+        first_line = text.splitlines()[0] if text else ""
+        found = re.search(r'"(?:state|error)": ?"[^"]*"', received)
+        self.record(f"operators: {first_line}: {' '.join(received.split()[1:2])} {found and found[0]}")
+        return received
+
     # The client
 
     async def connect(self) -> Connection:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,7 @@
 
 from loguru import logger
 
-from sloeferry.config.settings import REQUEST_CLASS_DEFAULTS, build_settings
+from sloeferry.config.settings import build_settings
 from sloeferry.dispatch.attempt_end import AttemptEnd
 from sloeferry.lifecycle.proxy_process import ProxyProcess
 from sloeferry.network import admin_server, listener, sockets
@@ -731,37 +731,6 @@
 
 
 class Renewed(Crossing):
-    def test_settings_at_their_ends(self):
-        """A drain without grace, a step longer than the time between txns that is supposed at first, gains of nought:
-        each starts, and serves."""
-        for name, settings, gain in (
-            ("grace", {"obligations": {"must_ask_in": 4000000, "drain_grace": 0}}, 1.0),
-            ("step", {"step": 20000}, 1.0),
-            ("gain", {}, 0.0),
-        ):
-
-            class Odd(Opened):
-                def say(self, text):
-                    self.lines.append(f"{name}: {text}")
-
-            with mock.patch.dict(REQUEST_CLASS_DEFAULTS, gain=gain):
-                play(self, lambda h: h.call("once"), f"crossing_{name}", Odd({"b": answer()}, expiry=500, more=settings))
-
-    def test_names(self):
-        """Names that Latin-1 lacks are each their own: by one sign for all such letters two schemes were one."""
-
-        async def story(h):
-            for scheme in ("จอด", "ผูก", "?" * 3, "gehört"):
-                told = h.head("c" + scheme.encode().hex(), scheme="SCHEME").replace(b"SCHEME", scheme.encode())
-                h.say(f"{scheme} in UTF-8: {await h.ask(told, quiet=True)}")
-            told = h.head("c9", scheme="SCHEME").replace(b"SCHEME", "gehört".encode("latin-1"))
-            h.say(f"gehört in Latin-1: {await h.ask(told, quiet=True)}")
-
-        class Abroad(Opened):
-            SCHEMES = [("จอด", "retryable"), ("ผูก", "fragile"), ("gehört", "retryable")]
-
-        play(self, story, "crossing_names", Abroad({"b": answer()}))
-
     def test_between_head_and_last_byte(self):
         """SIGHUP between a request's head and its last byte makes its scheme a referenced one, or drops it: it came
         without a key, and is turned away unsent."""
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,19 +1,14 @@
 """System calls that fail for a moment: what was taken on is still answered, and nothing is blamed for it that is not."""
 
 import errno
-import json
-import os
-import tempfile
 import types
 from unittest import mock
 
-from sloeferry.lifecycle.snapshot_store import SnapshotStore
 from sloeferry.network import sockets
 from sloeferry.network.discovery_watch import DiscoveryWatch, PollPhase
 from sloeferry.policy.endpoint_staleness import PollEnd
 from tests.test_crossings import Crossing, Opened
-from tests.test_duty import read_snapshot
-from tests.trace import Lines, answer, compare, play
+from tests.trace import answer, play
 
 
 class Connect(Crossing):
@@ -57,31 +52,3 @@
         self.assertEqual(watch.poll_end(now, 2500.0), PollEnd.NOT_MADE)
         watch.phase = PollPhase.DIALED
         self.assertEqual(watch.poll_end(now, 2500.0), PollEnd.UNREACHABLE)
-
-
-class Snapshots(Crossing):
-    def test_write_that_fails(self):
-        """ENOSPC or EIO at any step of a write, or its end after any byte: what stands is the old state or the new."""
-        lines = Lines()
-        with tempfile.TemporaryDirectory() as path:
-            folder = SnapshotStore(path, "n", "s")
-            folder.write(100.0, {"revision": 1}, {})
-            with open(f"{folder.path}/snapshot", "rb") as file:
-                whole = file.read()
-            for number in (errno.ENOSPC, errno.EIO):
-                for step in ("builtins.open", "os.replace"):
-                    with mock.patch(step, side_effect=OSError(number, os.strerror(number))):
-                        wrote = folder.write(200.0, {"revision": 2}, {})
-                    lines.lines.append(
-                        f"{errno.errorcode[number]} at {step}: written {wrote}, stands {read_snapshot(folder, 300.0)}"
-                    )
-            kept = set()
-            for cut in range(len(whole)):  # a machine that went down in the middle of a write
-                with open(f"{folder.path}/snapshot", "wb") as file:
-                    file.write(whole[:cut])
-                kept.add(json.dumps(read_snapshot(folder, 300.0)))
-            lines.lines.append(f"cut after each byte: {kept}")
-            left = sorted(name.partition("-")[0] for name in os.listdir(folder.path))
-            lines.lines.append(f"in the folder: {left}")
-            folder.close()
-        compare(self, lines, "system_snapshot")
