--- a/tests/decision_log/test_versions.py
+++ b/tests/decision_log/test_versions.py
@@ -46,12 +46,12 @@
 def test_shared_settings():
     """All proxies that hold the same settings have one version, whatever each held before: its own place, the order of classes
     and those that were dropped make no other."""
-    a, b, c = ({"name": name, "gain": weight} for name, weight in (("a", 1.0), ("b", 2.0), ("c", 3.0)))
-    started = shared_settings(settings_of(a, b, ordinal=3, zone=1).canonical)
-    former = settings_of(c, b, a, ordinal=5)
-    assert shared_settings(settings_of(a, b, ordinal=5).aligned_with(former).canonical) == started
-    assert shared_settings(settings_of(a, c).canonical) != started
-    assert shared_settings(settings_of(a, dict(b, gain=9.0)).canonical) != started
+    first, second, third = ({"name": name, "gain": weight} for name, weight in (("a", 1.0), ("b", 2.0), ("c", 3.0)))
+    started = shared_settings(settings_of(first, second, ordinal=3, zone=1).canonical)
+    former = settings_of(third, second, first, ordinal=5)
+    assert shared_settings(settings_of(first, second, ordinal=5).aligned_with(former).canonical) == started
+    assert shared_settings(settings_of(first, third).canonical) != started
+    assert shared_settings(settings_of(first, dict(second, gain=9.0)).canonical) != started
 
 
 def test_digests():
--- /dev/null
+++ b/tests/lifecycle/test_takeover.py
@@ -0,0 +1,131 @@
+"""One process of a proxy takes over from another."""
+
+import asyncio
+import json
+import re
+import socket
+import sys
+from collections.abc import Callable
+from pathlib import Path
+
+from sloeferry.policy.interface import EndpointState
+from tests.support.fake_backends import response
+from tests.support.golden import GoldenFiles
+from tests.support.policy_recorder import PolicyRecorder
+from tests.support.proxy_harness import READY_REQUEST, ProxyHarness, run_story
+
+LOOK_SECONDS = 0.02  # between two looks at a process
+
+
+def test_slow_start_budget_is_divided(golden: GoldenFiles):
+    """Rule 4 while two processes are one proxy: each keeps to half of what an endpoint that warms up gets."""
+    lines: list[str] = []
+    for process_count in (1, 2):
+        recorder = PolicyRecorder(
+            obligations__cold=10000.0,
+            obligations__cold_from=0.5,
+            obligations__fall=1500.0,
+            obligations__fall_multiple=3.0,
+            limits__probing=True,
+        )
+        policy = recorder.policy
+        policy.fleet.process_count = process_count
+        recorder.list_endpoints(("a", 0, EndpointState.READY, 1.0))
+        endpoint = policy.table.by_id["a"]
+        sent = 0
+        while policy.slow_start.may_send(endpoint, 1000.0, 50.0):
+            endpoint.recent_sends.append((1000.0, 50.0))
+            sent += 1
+        lines.append(f"{process_count}: {sent} at once")
+    golden.check(lines, "handover_divided")
+
+
+class ProxyProcesses:
+    """Processes of one proxy on one listening socket that they inherit, each with an admin address of its own."""
+
+    def __init__(self, harness: ProxyHarness, listener: socket.socket, folder: Path):
+        self._harness = harness
+        self._listener = listener
+        self._folder = folder
+        self._admin_ports: list[int] = []
+
+    async def start(self) -> tuple[int, asyncio.subprocess.Process]:
+        """The next process, once it is ready; its index, and itself."""
+        index = len(self._admin_ports)
+        self._admin_ports.append(await self._harness.free_port())
+        listen = f"127.0.0.1:{self._listener.getsockname()[1]}"
+        config = self._folder / f"config{index}"
+        config.write_text(json.dumps(dict(self._harness.config, listen=listen, ops=f"127.0.0.1:{self._admin_ports[index]}")))
+        listen_fd = self._listener.fileno()
+        process = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "sloeferry",
+            pass_fds=[listen_fd],
+            stderr=asyncio.subprocess.DEVNULL,
+            env={"BALANCER_CONFIG": str(config), "TMPDIR": str(self._folder), "BALANCER_LISTEN_FD": str(listen_fd)},
+        )
+        await self.until(index, lambda health: "200 OK" in health)
+        return index, process
+
+    async def ask(self, index: int, call: str = "GET /admin/health") -> str:
+        """What an admin call to that process returns; empty where nobody listens."""
+        try:
+            reader, writer = await asyncio.open_connection("127.0.0.1", self._admin_ports[index])
+        except OSError:
+            return ""
+        writer.write(f"{call} HTTP/1.1\r\n\r\n".encode())
+        received = (await reader.read()).decode()
+        writer.close()
+        return received
+
+    async def until(self, index: int, condition: Callable[[str], bool]) -> str:
+        """The health of that process once it is as the condition says."""
+        while not condition(health := await self.ask(index)):
+            await asyncio.sleep(LOOK_SECONDS)
+        return health
+
+
+async def play_takeover(harness: ProxyHarness, processes: ProxyProcesses) -> None:
+    """The second process takes over from the first, and a third one is killed."""
+    first, first_process = await processes.start()
+    await harness.request("safe")
+    kept = await harness.connect()
+    await harness.request("safe", connection=kept)
+    second, second_process = await processes.start()
+    harness.record("the second is ready")
+    first_process.terminate()
+    await processes.until(first, lambda health: "200 OK" not in health)  # a signal and a request cross on their ways
+    await harness.request("safe", connection=kept)
+    harness.record(f"the kept connection ends: {await kept[0].read() == b''}")
+    await harness.send(READY_REQUEST)
+    harness.record(f"the first ends: {await first_process.wait()}")
+    await harness.request("safe")
+    _, third_process = await processes.start()
+    harness.record(f"quiesced beside another: {'200 OK' in await processes.ask(second, 'POST /admin/quiesce')}")
+    await harness.send(READY_REQUEST)
+    third_process.kill()
+    await third_process.wait()
+    health = await processes.until(second, lambda health: '"quie' in health)
+    harness.record(f"the other is killed: {'503' in health}")
+    while "503" not in await harness.send(READY_REQUEST, is_recorded=False):
+        await asyncio.sleep(LOOK_SECONDS)
+    harness.record("it takes clients in again, and says no")
+    second_process.terminate()
+    harness.record(f"the second ends: {await second_process.wait()}")
+
+
+def test_two_processes(golden: GoldenFiles, tmp_path: Path):
+    """The second process takes over on the inherited socket while the first serves.  Each request is answered, the first one ends
+    by itself, and a third that never gets ready changes nothing."""
+
+    async def story(harness: ProxyHarness) -> None:
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            harness.port = listener.getsockname()[1]
+            await play_takeover(harness, ProxyProcesses(harness, listener, tmp_path))
+
+    harness = ProxyHarness({"b": response()})
+    run_story(story, harness)
+    # Which of its connections a backend has been asked on depends on which process asks.
+    lines = [re.sub(r"backend 1, connection \d+", "backend", line) for line in harness.lines]
+    golden.check(lines, "handover_two")
--- /dev/null
+++ b/tests/network/test_admin_server.py
@@ -0,0 +1,63 @@
+"""The admin address."""
+
+import asyncio
+import socket
+from collections.abc import Awaitable
+from unittest import mock
+
+from sloeferry.network.admin_server import AdminServer
+from tests.support.fake_backends import response
+from tests.support.proxy_harness import PlayStory, ProxyHarness
+
+CALLS = (
+    "GET /admin/health",
+    "POST /admin/health",
+    "GET /admin/nothing",
+    "GET /admin/guard",
+    "POST /admin/resume",
+    "GET http://x/admin/health",
+    "GET /admin/health?x=1",
+    "BREW /admin/health",
+)
+
+
+def test_response_is_not_held_back(play_story: PlayStory):
+    """A response follows a 100 Continue, the caller's bytes unread.  The kernel holds no small write back, or it would be lost
+    with the close."""
+
+    async def story(harness: ProxyHarness) -> None:
+        serve = AdminServer._serve
+        sent_at_once: list[bool] = []
+
+        def serve_and_look(server: AdminServer, sock: socket.socket) -> Awaitable[None]:
+            sent_at_once.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) > 0)
+            return serve(server, sock)
+
+        with mock.patch.object(AdminServer, "_serve", serve_and_look):
+            reader, writer = await asyncio.open_connection("127.0.0.1", harness.admin_port)
+            writer.write(b"POST /admin/resume HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n")
+            harness.record(f"caller gets: {await reader.readline()}")
+            writer.write(b"xGET")
+            harness.record(f"caller gets: {(await reader.read()).splitlines()[1]}, sent at once: {sent_at_once}")
+            writer.close()
+
+    play_story(story, "crossing_operators", ProxyHarness({"b": response()}, has_admin=True))
+
+
+def test_calls(play_story: PlayStory):
+    """One response to each call; a caller that says nothing, or half a call, keeps nobody out."""
+
+    async def story(harness: ProxyHarness) -> None:
+        for call in CALLS:
+            await harness.ask_admin(call + " HTTP/1.1\r\nHost: x\r\n\r\n")
+        await harness.ask_admin("POST /admin/resume HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}")
+        await harness.ask_admin("nonsense\r\n\r\n")
+        silent = [await asyncio.open_connection("127.0.0.1", harness.admin_port) for _ in range(60)]
+        for _, writer in silent[::2]:
+            writer.write(b"GET /admin/hea")
+        await harness.ask_admin("GET /admin/health HTTP/1.1\r\n\r\n")
+        harness.record(f"beside {len(silent)} that say nothing or half a call")
+        for _, writer in silent:
+            writer.close()
+
+    play_story(story, "desk_calls", ProxyHarness({"b": response()}, has_admin=True))
--- /dev/null
+++ b/tests/network/test_attempt.py
@@ -0,0 +1,19 @@
+"""An attempt's end: what the policy is told of it."""
+
+from sloeferry.dispatch.attempt_end import AttemptEnd, AttemptProgress, attempt_outcome
+from tests.support.golden import GoldenFiles
+from tests.support.policy_recorder import OUTCOME_WORDS
+
+# In the words of the golden file.
+PROGRESS_WORDS = ("NOTHING", "PART", "WHOLE", "BEGUN")
+END_WORDS = ("SERVED", "ERRED", "REJECTED", "BROKEN", "LATE", "WITHDRAWN", "VOID", "SPOILT")
+
+
+def test_outcome_by_progress(golden: GoldenFiles):
+    """What the policy is told of an attempt's end, by its progress."""
+    lines: list[str] = []
+    for name, progress in zip(PROGRESS_WORDS, AttemptProgress, strict=True):
+        outcomes = [attempt_outcome(progress, end) for end in AttemptEnd]
+        words = {word: OUTCOME_WORDS[outcome] for word, outcome in zip(END_WORDS, outcomes, strict=True)}
+        lines.append(f"{name}: {words}")
+    golden.check(lines, "outcomes")
--- /dev/null
+++ b/tests/network/test_forwarding.py
@@ -0,0 +1,160 @@
+"""Requests and responses on their way through the proxy, on loopback.  Nothing is decided by how long anything takes."""
+
+import asyncio
+import re
+from unittest import mock
+
+from sloeferry.policy.policy import Policy
+from tests.support.fake_backends import Script, response
+from tests.support.proxy_harness import PlayStory, ProxyHarness
+
+LOAD_REPORT = 'X-Load-Report: {"inflight":1}'
+REQUEST_HEAD = "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: c1\r\nX-Call-Class: once\r\nX-Caller: acme\r\nX-Budget-Ms: 3000\r\n"
+
+# What a backend sends on its first request.
+BAD_RESPONSES = (
+    ("cut", b""),
+    ("erred", response("no", 500)),
+    ("foreign", response("no", 429)),
+    ("busy", response("no", 503)),
+    ("rejected", response("no", 503, "X-Rejected: 1")),
+    ("half", b"HTTP/1.1 200 X\r\nContent-Length: 99\r\n\r\nhalf, Connection: close"),
+    ("endless", b"HTTP/1.1 200 X\r\n\r\nno end told, Connection: close"),
+    ("huge", response("x" * (1 << 22))),
+    ("nonsense", b"220 who is there?\r\n\r\n"),
+    # These come on connections that stay open, and none of them waits for more.
+    ("3 GB", b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nx"),
+    ("head without end", b"HTTP/1.1 200 X\r\n" + b"A: b\r\n" * 9000),
+    ("1xx without end", b"HTTP/1.1 103 X\r\n\r\n" * 2000),
+    ("length too long", b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\nshort"),
+    ("two lengths", b"HTTP/1.1 200 X\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc"),
+)
+# Good responses, with more behind them, ahead of them or in their load report.
+RESPONSES_WITH_MORE = (
+    response("x" * 400000),
+    response() + b"\x00\xff noise\r\n\r\n",
+    response() * 2,
+    response("done", 200, 'X-Load-Report: {"inflight":[[["no"'),
+    response("done", 200, "X-Load-Report: 7"),
+    b"HTTP/1.1 103 X\r\nLink: x\r\n\r\n" + response(),
+    response() + b"HT",
+    response(),
+)
+
+
+def test_request_and_response_are_forwarded(play_story: PlayStory):
+    """Method, path, query, body, id and key are forwarded unchanged, the response back; connections are kept."""
+
+    async def story(harness: ProxyHarness) -> None:
+        client = await harness.connect()
+        await harness.request("keyed", "some body", client)
+        await harness.request("safe", connection=client)
+        await harness.request("safe", connection=client, X_Budget_Ms="99999999")
+
+    play_story(story, "sockets_passing_on", ProxyHarness({"b": response("done", 200, LOAD_REPORT)}))
+
+
+class CaseHarness(ProxyHarness):
+    """One case of a table."""
+
+    def __init__(self, case: str, class_name: str, first_response: Script):
+        def script(number: int) -> Script:
+            return first_response if number == 1 else response()
+
+        is_reachable = first_response is not None
+        if is_reachable:
+            super().__init__({"b": script, "c": script})
+        else:
+            super().__init__({}, cached_endpoints=["nobody"])
+        self.case = case
+        self.class_name = class_name
+
+
+def test_progress_decides_what_follows(play_story: PlayStory):
+    """A backend fails in every way, on its first request.  How many bytes went out decides: a non-idempotent request is rejected
+    only where nothing ran, else it fails; an idempotent one is retried at the other backend; a backend's own 429 or 503 is
+    never forwarded."""
+
+    async def story(harness: CaseHarness) -> None:
+        harness.record(f"-- {harness.case}")
+        await harness.request(harness.class_name)
+
+    cases = [CaseHarness(case, class_name, bad) for case, bad in BAD_RESPONSES for class_name in ("once", "safe")]
+    cases.append(CaseHarness("refused", "once", None))
+    play_story(story, "sockets_bytes", *cases)
+
+
+def test_bytes_beyond_a_response(play_story: PlayStory):
+    """A good response stands, however large within memory and whatever comes behind it, ahead of it or in its load report.  A
+    connection on which more came is closed."""
+
+    async def story(harness: ProxyHarness) -> None:
+        for _ in RESPONSES_WITH_MORE:
+            await harness.request("once")
+
+    play_story(story, "sockets_more", ProxyHarness({"b": lambda number: RESPONSES_WITH_MORE[number - 1]}))
+
+
+def test_silent_backend(play_story: PlayStory):
+    """Nothing comes back.  There is a final answer all the same, before the client gives up."""
+
+    async def story(harness: ProxyHarness) -> None:
+        await harness.request("once")
+        await asyncio.sleep(0.7)  # what was given up on counts as in flight for as long again
+        await harness.request("safe")
+
+    play_story(story, "sockets_silent", ProxyHarness({"b": None}, deadline_ms=300))
+
+
+def test_dead_connection(play_story: PlayStory):
+    """A kept connection that its backend has closed is found before anything is written to it."""
+
+    async def story(harness: ProxyHarness) -> None:
+        for _ in range(3):
+            await harness.request("once")
+            for writer in harness.backends.writers:
+                writer.close()
+            await asyncio.sleep(0.05)  # for the end to arrive
+
+    play_story(story, "sockets_dead_connection", ProxyHarness({"b": response()}))
+
+
+def test_what_http_allows_a_client(play_story: PlayStory):
+    """What HTTP/1.1 allows a client, and an old one: all of it is served."""
+
+    async def story(harness: ProxyHarness) -> None:
+        pipelining = await harness.connect()
+        pipelining[1].write((REQUEST_HEAD + "Content-Length: 3\r\n\r\none").encode())  # both at once
+        await harness.send(REQUEST_HEAD + "Content-Length: 3\r\n\r\ntwo", pipelining)
+        await harness.send(b"", pipelining)
+        await harness.send(REQUEST_HEAD + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
+        await harness.send(REQUEST_HEAD.replace("1.1", "1.0", 1) + "Content-Length: 0\r\n\r\n")
+        await harness.send(REQUEST_HEAD + "Connection: close\r\nContent-Length: 0\r\n\r\n")
+        patient = await harness.connect()
+        patient[1].write((REQUEST_HEAD + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n").encode())
+        harness.record((await patient[0].readuntil(b"\r\n\r\n")).decode().strip())
+        await harness.send("body", patient)
+        slow = await harness.connect()
+        for part in re.findall(r"(?s).{1,40}", REQUEST_HEAD + "Content-Length: 4\r\n\r\n"):
+            slow[1].write(part.encode())
+            await asyncio.sleep(0.001)
+        await harness.send("drip", slow)
+
+    chunked = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nit\r\n3\r\n is\r\n0\r\n\r\n"
+    play_story(story, "sockets_manners", ProxyHarness({"b": chunked}))
+
+
+def test_failing_policy(play_story: PlayStory):
+    """The policy raises, or never decides.  One request is lost with it, answered in time; others go on."""
+
+    async def story(harness: ProxyHarness) -> None:
+        with mock.patch.object(Policy, "request_arrived", side_effect=ZeroDivisionError):
+            await harness.request("once")
+        with mock.patch.object(Policy, "request_arrived"):
+            await harness.request("once")
+        await harness.request("safe")
+        with mock.patch.object(Policy, "attempt_ended", side_effect=ZeroDivisionError):
+            await harness.request("safe")
+        await harness.request("safe")
+
+    play_story(story, "sockets_failing_decisions", ProxyHarness({"b": response()}, deadline_ms=300))
--- a/tests/support/instrumented_harness.py
+++ b/tests/support/instrumented_harness.py
@@ -44,6 +44,47 @@
         await self.opened.wait()
 
 
+class RawClient:
+    """A client on a plain socket, and the proxy's side of its connection."""
+
+    def __init__(self, harness: "InstrumentedHarness", sock: socket.socket):
+        self._harness = harness
+        self._address = sock.getsockname()
+        self.sock = sock
+
+    def connection(self) -> ClientConnection | None:
+        """The proxy's side, once it is admitted and until it is closed."""
+        connections = self._harness.clients.connections
+        return next((each for each in connections if each.sock.getpeername() == self._address), None)
+
+    async def until(self, condition: Callable[[ClientConnection], Any]) -> ClientConnection:
+        """The proxy's side once it is there and the condition holds of it."""
+        while (connection := self.connection()) is None or not condition(connection):
+            await asyncio.sleep(POLL_SECONDS)
+        return connection
+
+    async def send(self, data: bytes) -> None:
+        """Sends that."""
+        await asyncio.get_running_loop().sock_sendall(self.sock, data)
+
+    async def record_received(self, byte_count: int) -> None:
+        """Records the first so many bytes of what comes next."""
+        received = await asyncio.get_running_loop().sock_recv(self.sock, 999)
+        self._harness.record(f"client gets: {received[:byte_count]!r}")
+
+    async def leave(self, end: Callable[[socket.socket], Any] = socket.socket.close) -> ClientConnection:
+        """Ends its connection, and the kernel knows; the proxy's side, which has not looked yet."""
+        connection = self.connection()
+        assert connection is not None
+        end(self.sock)
+        await wait_until(lambda: has_peer_closed(connection.sock))
+        return connection
+
+    def close(self) -> None:
+        """Closes its socket."""
+        self.sock.close()
+
+
 class InstrumentedHarness(ProxyHarness):
     """A harness with the proxy's own parts: dispatcher, client server, connection pool, discovery client."""
 
@@ -66,36 +107,18 @@
             f"X-Budget-Ms: {self.deadline_ms}\r\nContent-Length: {body_bytes}\r\n{headers}\r\n"
         ).encode()
 
-    async def send_raw(self, data: bytes) -> tuple[socket.socket, Callable[[], ClientConnection | None]]:
-        """A client that has sent this: its socket, and what finds the proxy's side of it once it is admitted."""
-        sock = socket.create_connection(("127.0.0.1", self.port))
-        sock.setblocking(False)
-        await asyncio.get_running_loop().sock_sendall(sock, data)
-        address = sock.getsockname()
-
-        def find_connection() -> ClientConnection | None:
-            return next((each for each in self.clients.connections if each.sock.getpeername() == address), None)
-
-        return sock, find_connection
-
-    async def record_received(self, sock: socket.socket, byte_count: int) -> None:
-        """Records the first so many bytes of what that client gets next."""
-        received = await asyncio.get_running_loop().sock_recv(sock, 999)
-        self.record(f"client gets: {received[:byte_count]!r}")
+    async def send_raw(self, data: bytes) -> RawClient:
+        """A client that has sent this."""
+        client = RawClient(self, socket.create_connection(("127.0.0.1", self.port)))
+        client.sock.setblocking(False)
+        await client.send(data)
+        return client
 
     async def stop_proxy(self) -> None:
         """SIGTERM; returns once the proxy knows."""
         os.kill(os.getpid(), signal.SIGTERM)
         await wait_until(lambda: self.clients.lifecycle.is_stopping)
 
-    @staticmethod
-    async def leave(
-        sock: socket.socket, connection: ClientConnection, end: Callable[[socket.socket], Any] = socket.socket.close
-    ) -> None:
-        """That client ends its connection, and the kernel knows; the proxy has not looked yet."""
-        end(sock)
-        await wait_until(lambda: has_peer_closed(connection.sock))
-
     @contextlib.contextmanager
     def before_first_byte(self) -> Iterator[Gate]:
         """A gate right before each first byte, where the proxy catches up with the list after a stall."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,7 +23,7 @@
 from sloeferry.stand_ins import platform, processes
 from sloeferry.stand_ins.discovery import Roster
 from sloeferry.stand_ins.effect_log import Ledger
-from tests.trace import Lines, compare
+from tests.support.golden import Lines, compare
 
 ROOT = pathlib.Path(__file__).parents[1]
 SCHEMES = [platform.scheme("pull", "repeatable", 300, 800, 1.0)]
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -34,7 +34,7 @@
 from sloeferry.rehearsal.cli import rehearse
 from sloeferry.rehearsal.network import SENT, Epoll, Host, Net
 from sloeferry.rehearsal.virtual_time import BEGIN, Process, World
-from tests import trace
+from tests.support import golden as trace
 
 HERE = pathlib.Path(__file__).parent
 SQUALL = HERE / "squall.toml"
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -22,7 +22,7 @@
 from sloeferry.policy.start_times import StartTimes
 from sloeferry.rehearsal import scenario as s
 from sloeferry.stand_ins.processes import free_ports
-from tests import trace
+from tests.support import golden as trace
 
 SMALL = """
 name = "small"
