--- a/sloeferry/rehearsal/cli.py
+++ b/sloeferry/rehearsal/cli.py
@@ -4,81 +4,64 @@
 import pathlib
 import statistics
 import sys
-import time
+from collections.abc import Callable, Iterable, Sequence
+from typing import Any, NamedTuple
 
 import click
 
-from sloeferry.rehearsal import scenario as s
-from sloeferry.rehearsal.baselines import POLICIES
-from sloeferry.rehearsal.judge import WINDOW
+from sloeferry.rehearsal import scenario as scenarios
+from sloeferry.rehearsal.baselines import DESIGN, POLICIES
+from sloeferry.rehearsal.report import clear_progress_line, format_record, progress_line
+from sloeferry.rehearsal.scenario import Scenario, ScenarioError
 
+MAX_SEEDS = 100
 
-@click.group()
-def rehearse():
-    """Plays days: stand-in nodes, discovery and clients round real proxies, judged on the wire.  All figures are simulated."""
 
+class Pair(NamedTuple):
+    """One seed, played with the design and with a baseline."""
 
-def progress(text):
-    """A line that is written over on a terminal; nothing in a pipe."""
-    if not sys.stderr.isatty():
-        return None
-    begun = time.monotonic()
+    seed: int
+    design_service: float
+    baseline_service: float
+    design_violations: int
+    baseline_violations: int
 
-    def show(now, bank):
-        ended = sum(1 for ask in bank.judge.asks if ask.how)
-        click.echo(f"\r{text}: {now:5.1f} s played in {time.monotonic() - begun:.0f} s, {ended} txns ended ", nl=False, err=True)
 
-    return show
+class MeanDifference(NamedTuple):
+    """A mean, and by how much it may be off: two standard errors."""
 
+    mean: float
+    noise: float
 
-def say_shipped(kind, wide):
-    """A line for each that `kind`, a module of scenarios or of plans, has shipped."""
-    for name in kind.shipped():
-        told = kind.read(name)
-        click.echo(
-            f"{name:{wide}s} {told.seconds:4.0f} s  {told.bank.proxies:3d} proxies  "
-            f"{sum(nodes.count for nodes in told.nodes):3d} nodes  {told.about}"
-        )
+
+@click.group()
+def rehearse() -> None:
+    """Plays days: stand-in nodes, discovery and clients round real proxies, judged on the wire.  All figures are simulated."""
 
 
-def clear():
-    if sys.stderr.isatty():
-        click.echo("\r\033[K", nl=False, err=True)
-
-
-def short(record):
-    """A record in some lines."""
-    service, txns = record["service"], record["txns"]
-    parts = " ".join(f"{key} {value:.3f}" for key, value in service.items() if isinstance(value, float) and key != "total")
-    prices = " ".join(f"{key} {value:.3f}" for key, value in service["prices"].items())
-    lines = [
-        f"{record['scenario']}, seed {record['seed']}, {record['policy']}: service {service['total']:.3f}",
-        f"  {parts}; prices: {prices}",
-        "  txns: " + ", ".join(f"{value} {key.replace('_', ' ')}" for key, value in txns.items() if value),
-        "  seconds  asked  service  declined  reversed",
-    ]
-    for window in record["windows"]:
-        share = "      -" if window["service"] is None else f"{window['service']:7.3f}"
-        lines.append(
-            f"  {window['at']:3.0f}-{window['at'] + WINDOW:3.0f}  {window['asked']:5d}  {share}"
-            f"  {window['declined']:8d}  {window['reversed']:8d}"
+def print_shipped(names: Iterable[str], read: Callable[[str], Scenario], name_width: int) -> None:
+    """A line for each scenario, or plan, that is shipped."""
+    for name in names:
+        scenario = read(name)
+        backend_count = sum(backends.count for backends in scenario.backends)
+        click.echo(
+            f"{name:{name_width}s} {scenario.seconds:4.0f} s  {scenario.proxies.count:3d} proxies  "
+            f"{backend_count:3d} nodes  {scenario.about}"
         )
-    broken = {rule: count for rule, count in record["rules"].items() if count}
-    lines.append(
-        "  rules kept" if not broken else "  RULES BROKEN: " + ", ".join(f"{rule}: {count}" for rule, count in broken.items())
-    )
-    lines += [f"    {text}" for text in record["breaches"]]
-    lines += [f"  fault in a process: {text}" for text in record["faults"]]
-    return "\n".join(lines)
 
 
-def keep(record, text):
+def write_record(path: pathlib.Path | None, text: str) -> None:
     """Writes a record where one is wanted."""
-    if record:
+    if path:
         try:
-            record.write_text(text)
-        except OSError as fault:
-            raise s.ScenarioError(f"--record: {record} can't be written: {fault.strerror}") from None
+            path.write_text(text)
+        except OSError as error:
+            raise ScenarioError(f"--record: {path} can't be written: {error.strerror}") from None
+
+
+def print_to_stderr(text: str) -> None:
+    """One line."""
+    click.echo(text, err=True)
 
 
 @rehearse.command("run")
@@ -88,12 +71,13 @@
 @click.option(
     "--policy",
     type=click.Choice(POLICIES),
-    default="design",
+    default=DESIGN,
     show_default=True,
     help="A baseline in the place of the design; not live.",
 )
 @click.option(
     "--chance",
+    "luck",
     type=click.IntRange(0),
     default=0,
     show_default=True,
@@ -102,83 +86,107 @@
 @click.option("--record", type=click.Path(dir_okay=False, path_type=pathlib.Path), help="Where the record is written, as JSON.")
 @click.option("--json", "as_json", is_flag=True, help="The record on standard output.")
 @click.option("--log", is_flag=True, help="The proxies' log on standard error.")
-def run_one(scenario, seed, live, policy, chance, record, as_json, log):
+def run_scenario(
+    scenario: str, seed: int, live: bool, policy: str, luck: int, record: pathlib.Path | None, as_json: bool, log: bool
+) -> None:
     """Plays SCENARIO (a shipped name, or a path).  Exit 0: rules kept, 1: one broken, 2: can't be played."""
-    told, show = s.read(scenario), (lambda text: click.echo(text, err=True)) if log else None
-    if live and policy != "design":
-        raise s.ScenarioError("--policy: a live play has the design alone")
-    if live and chance:
-        raise s.ScenarioError("--chance: a live play has luck of its own")
+    checked = scenarios.read(scenario)
+    if live and policy != DESIGN:
+        raise ScenarioError("--policy: a live play has the design alone")
+    if live and luck:
+        raise ScenarioError("--chance: a live play has luck of its own")
     if record and not record.parent.is_dir():
-        raise s.ScenarioError(f"--record: {record.parent} is no folder")
+        raise ScenarioError(f"--record: {record.parent} is no folder")
+    played = play_scenario(checked, seed, live, policy, luck, print_to_stderr if log else None)
+    clear_progress_line()
+    text = json.dumps(played, indent=1, sort_keys=True) + "\n"
+    write_record(record, text)
+    click.echo(text if as_json else format_record(played), nl=not as_json)
+    is_clean = not any(played["rules"].values()) and not played["faults"]
+    sys.exit(0 if is_clean else 1)
+
+
+def play_scenario(
+    scenario: Scenario, seed: int, live: bool, policy: str, luck: int, show_line: Callable[[str], object] | None
+) -> dict[str, Any]:
+    """The record of a play, in virtual time or live."""
+    progress = progress_line(scenario.name)
+    # What a play needs is imported where it is played: the other commands are quick.
     if live:
-        from sloeferry.rehearsal.live import play
+        from sloeferry.rehearsal import live as live_play
 
-        said = play(told, seed, progress(told.name), show)
-    else:
-        from sloeferry.rehearsal.play import play
+        return live_play.play(scenario, seed, progress, show_line)
+    from sloeferry.rehearsal import play as virtual_play
 
-        said = play(told, seed, policy, progress(told.name), show, chance)
-    clear()
-    text = json.dumps(said, indent=1, sort_keys=True) + "\n"
-    keep(record, text)
-    click.echo(text if as_json else short(said), nl=not as_json)
-    sys.exit(0 if not any(said["rules"].values()) and not said["faults"] else 1)
+    return virtual_play.play(scenario, seed, policy, progress, show_line, luck)
 
 
 @rehearse.command("list")
-def list_all():
+def list_scenarios() -> None:
     """The scenarios that are shipped."""
-    say_shipped(s, 20)
+    print_shipped(scenarios.shipped(), scenarios.read, 20)
 
 
 @rehearse.command("check")
 @click.argument("scenario")
-def check(scenario):
+def check(scenario: str) -> None:
     """Reads and checks SCENARIO; exit 2 and one line where it can't be played."""
-    told = s.read(scenario)
+    checked = scenarios.read(scenario)
+    backend_count = sum(backends.count for backends in checked.backends)
     click.echo(
-        f"{told.name}: {told.seconds:g} s, {told.bank.proxies} proxies, {sum(n.count for n in told.nodes)} nodes, "
-        f"{len(told.trouble)} troubles: good"
+        f"{checked.name}: {checked.seconds:g} s, {checked.proxies.count} proxies, {backend_count} nodes, "
+        f"{len(checked.scenario_faults)} troubles: good"
     )
 
 
-def span(text):
+def parse_seeds(text: str) -> range:
+    """Seeds from and to, or one."""
     first, _, last = text.partition("-")
     try:
         seeds = range(int(first), int(last or first) + 1)
     except ValueError:
-        raise s.ScenarioError(f"--seeds: {text!r} is not of the form 1-8") from None
-    if not 1 <= len(seeds) <= 100:
-        raise s.ScenarioError(f"--seeds: {text!r} are not 1 to 100 seeds")
+        raise ScenarioError(f"--seeds: {text!r} is not of the form 1-8") from None
+    if not 1 <= len(seeds) <= MAX_SEEDS:
+        raise ScenarioError(f"--seeds: {text!r} are not 1 to {MAX_SEEDS} seeds")
     return seeds
 
 
-def noise(differences):
-    """The mean, and by how much it may be off: two standard errors."""
+def mean_difference(pairs: Sequence[Pair]) -> MeanDifference:
+    """Of the services, the design's less the baseline's."""
+    differences = [pair.design_service - pair.baseline_service for pair in pairs]
     mean = statistics.fmean(differences)
-    return mean, 2 * statistics.stdev(differences) / len(differences) ** 0.5 if len(differences) > 1 else float("nan")
+    if len(differences) == 1:
+        return MeanDifference(mean, float("nan"))
+    return MeanDifference(mean, 2 * statistics.stdev(differences) / len(differences) ** 0.5)
 
 
 @rehearse.command("compare")
 @click.argument("scenario")
 @click.option("--seeds", default="1-4", show_default=True)
-@click.option("--vs", type=click.Choice(POLICIES[1:]), default="random", show_default=True)
+@click.option("--vs", "baseline", type=click.Choice(POLICIES[1:]), default="random", show_default=True)
 @click.option("--json", "as_json", is_flag=True)
-def compare(scenario, seeds, vs, as_json):
+def compare(scenario: str, seeds: str, baseline: str, as_json: bool) -> None:
     """Plays SCENARIO with the design and with a baseline, seed by seed, and tells the difference and its noise."""
-    from sloeferry.rehearsal.play import play
-
-    told, pairs = s.read(scenario), []
-    for seed in span(seeds):
-        pair = [play(told, seed, policy, progress(f"{told.name} {seed} {policy}")) for policy in ("design", vs)]
-        clear()
-        pairs.append((seed, *[one["service"]["total"] for one in pair], *[sum(one["rules"].values()) for one in pair]))
-    mean, off = noise([ours - other for _, ours, other, _, _ in pairs])
+    checked = scenarios.read(scenario)
+    pairs = [play_pair(checked, seed, baseline) for seed in parse_seeds(seeds)]
+    mean, noise = mean_difference(pairs)
     if as_json:
-        click.echo(json.dumps({"scenario": told.name, "vs": vs, "pairs": pairs, "mean": mean, "noise": off}))
+        click.echo(json.dumps({"scenario": checked.name, "vs": baseline, "pairs": pairs, "mean": mean, "noise": noise}))
         return
-    click.echo(f"{told.name}: the design against {vs}\n  seed  design  {vs}")
-    for seed, ours, other, *broken in pairs:
-        click.echo(f"  {seed:4d}  {ours:6.3f}  {other:6.3f}" + (f"  breaches: {broken[0]}, {broken[1]}" if any(broken) else ""))
-    click.echo(f"  difference {mean:+.3f}, give or take {off:.3f}")
+    click.echo(f"{checked.name}: the design against {baseline}\n  seed  design  {baseline}")
+    for pair in pairs:
+        violations = pair.design_violations, pair.baseline_violations
+        text = f"  breaches: {violations[0]}, {violations[1]}" if any(violations) else ""
+        click.echo(f"  {pair.seed:4d}  {pair.design_service:6.3f}  {pair.baseline_service:6.3f}" + text)
+    click.echo(f"  difference {mean:+.3f}, give or take {noise:.3f}")
+
+
+def play_pair(scenario: Scenario, seed: int, baseline: str) -> Pair:
+    """One seed with the design, then with a baseline."""
+    from sloeferry.rehearsal.play import play
+
+    records = [play(scenario, seed, policy, progress_line(f"{scenario.name} {seed} {policy}")) for policy in (DESIGN, baseline)]
+    clear_progress_line()
+    services = [record["service"]["total"] for record in records]
+    violations = [sum(record["rules"].values()) for record in records]
+    return Pair(seed, *services, *violations)
--- a/sloeferry/rehearsal/judge.py
+++ b/sloeferry/rehearsal/judge.py
@@ -1,428 +1,276 @@
-"""What is counted, from the wire alone: the four rules and service as the operators count it.
+"""The four rules, judged from the wire alone.  Free of I/O.
 
-Callers, nodes and discovery tell it what they send and see, with the time; the proxies' own word is not heard.
-Free of I/O.
+Clients, backends and discovery tell what they send and see, with the time in seconds; the proxies' own word is not heard.
 """
 
-from dataclasses import dataclass, field
-from math import log, sqrt
-from random import Random
+from collections.abc import Sequence
+from dataclasses import dataclass
+from typing import NamedTuple
 
-from sloeferry.rehearsal.scenario import BadTxns, Heavy, Waits
-from sloeferry.stand_ins.http_messages import content
+from sloeferry.rehearsal.arrivals import PlannedRequest
+from sloeferry.rehearsal.notifications import Notifications
+from sloeferry.rehearsal.scenario import Scenario
+from sloeferry.rehearsal.scenario_tables import RequestClass
+from sloeferry.stand_ins.effect_log import EffectLog, RecentWork
+from sloeferry.stand_ins.http_messages import request_body
+from sloeferry.stand_ins.wire_protocol import REJECTED_STATUSES, STATUS_OK, RequestKind, RequestOutcome, outcome_of_status
 
-WINDOW = 5.0  # seconds
 RULES = ("1", "2", "3", "4", "protocol", "drain", "crash")
-TEXTS = 20  # breaches that are kept in words
+MAX_VIOLATION_TEXTS = 20
+# Part of the work that pushed a backend over, which has to come from proxies that could know that it was cold.
+KNOWING_WORK_RATIO = (2, 3)
 
 
 @dataclass(slots=True)
-class Ask:
-    """One txn as its client means it; drawn ahead."""
-
-    number: int
-    at: float  # seconds from the start
-    scheme: int
-    customer: int
-    client: int
-    work: float
-    patience: float  # part of the expiry that a try is given
-    leaves: bool
-    drips: bool
-    honours: bool
-    bad: bool = False  # errs at any node, worth nothing
-    first: float = 0.0
-    how: str = ""  # how it ended
-    ended: float = 0.0
-    tries: int = 0
+class ClientTry:
+    """One request on the wire, which has an id of its own; times in seconds."""
 
-
-@dataclass(slots=True)
-class Try:
-    """One request: an id of its own."""
-
-    ask: Ask
-    ends: float
+    planned: PlannedRequest
+    deadline: float
     proxy: str
-    at: float
-    answered: float = 0.0
+    sent_at: float
+    answered_at: float = 0.0  # 0: not answered
     status: int = 0
-    posted: int = 0
-    runs: int = 0
-
-
-def arrivals(scenario, rng: Random):
-    """All that is asked in a play, the same for the same seed whatever is answered."""
-    schemes, customers = scenario.scheme, scenario.customer
-    drawn = [t for t in scenario.trouble if isinstance(t, Heavy | BadTxns | Waits)]
-    low, high = scenario.callers.patience
-    begun, found, pieces = 0.0, [], list(scenario.callers.curve)
-    if sum(length for length, _ in pieces) < scenario.seconds:
-        pieces.append((scenario.seconds, pieces[-1][1]))
-    weights = [
-        1 / (1 + scenario.callers.skew) ** (client % len(scenario.network.zones)) for client in range(scenario.callers.clients)
-    ]
-    for length, rate in pieces:
-        at, end = begun, min(begun + length, scenario.seconds)
-        while rate and (at := at + rng.expovariate(rate)) < end:
-            scheme = rng.choices(range(len(schemes)), [s.share for s in schemes])[0]
-            customer = rng.choices(range(len(customers)), [c.share for c in customers])[0] if customers else 0
-            told = schemes[scheme]
-            work = told.work_ms * (rng.lognormvariate(*shape(told.spread)) if told.spread else 1.0)
-            bad = False
-            for trouble in drawn:
-                if (
-                    strikes(trouble, told, customers[customer : customer + 1])
-                    and trouble.at <= at < trouble.at + trouble.lasts
-                    and rng.random() < trouble.part
-                ):
-                    if isinstance(trouble, Heavy):
-                        work *= trouble.times
-                    elif isinstance(trouble, Waits):
-                        work += trouble.ms
-                    else:
-                        bad = True
-            found.append(
-                Ask(
-                    len(found),
-                    at,
-                    scheme,
-                    customer,
-                    rng.choices(range(scenario.callers.clients), weights)[0],
-                    work,
-                    rng.uniform(low, high),
-                    rng.random() < scenario.callers.impatient,
-                    bool(scenario.callers.drip_ms) and rng.random() < 0.125,
-                    rng.random() < scenario.callers.honour,
-                    bad,
-                )
-            )
-        begun += length
-        if begun >= scenario.seconds:
-            break
-    return found
-
-
-def strikes(trouble, scheme, customer):
-    """Whether a trouble that is drawn with the arrivals is one of this scheme's, or of this customer's (if any)."""
-    if isinstance(trouble, Heavy):
-        return trouble.scheme == scheme.name
-    return isinstance(trouble, BadTxns) or any(c.name == trouble.customer for c in customer)
-
-
-def shape(cv):
-    """Of a lognormal with mean 1 and that coefficient of variation."""
-    variance = log(1 + cv * cv)
-    return -variance / 2, sqrt(variance)
-
-
-@dataclass
-class Judge:
-    """`proxies`: the zone of each."""
-
-    scenario: object
-    asks: list
-    begin: float = 0.0
-    proxies: dict = field(default_factory=dict)
-
-    def __post_init__(self):
-        self.tries, self.breaches, self.texts = {}, dict.fromkeys(RULES, 0), []
-        self.gone, self.deemed, self.killed, self.stops = {}, {}, {}, {}
-        self.launched, self.heard, self.fallen = {}, {}, 0  # node -> when it started cold, in both clocks
-        self.work_done = self.probe_work = 0.0
-        self.probes = self.crossings = self.postings = self.repeats = 0
-        self.choked_nodes = {}
-        rules = self.scenario.obligations
-        self.grace, self.slack = rules.drain_grace_ms / 1000, rules.slack_ms / 1000
-
-    def breach(self, rule, now, text):
-        self.breaches[rule] += 1
-        if len(self.texts) < TEXTS:
-            self.texts.append(
-                f"{now - self.begin:9.4f} rule {rule}: {text}" if rule.isdigit() else f"{now - self.begin:9.4f} {rule}: {text}"
-            )
-
-    # The ledger, for nodes
-
-    def scheme(self, ident):
-        found = self.tries.get(ident)
-        return self.scenario.scheme[found.ask.scheme] if found else None
-
-    def work(self, ident):
-        return self.tries[ident].ask.work
-
-    def bad(self, ident):
-        return self.tries[ident].ask.bad
-
-    def proxy(self, ident):
-        """The proxy that has this try."""
-        return self.tries[ident].proxy
-
-    def latest(self, proxy):
-        """When a proxy was last asked anything."""
-        return max((found.at for found in self.tries.values() if found.proxy == proxy), default=0.0)
-
-    def answer_size(self, ident):
-        return self.scheme(ident).answer
-
-    def body_size(self, ident):
-        scheme = self.scheme(ident)
-        return scheme.body if scheme.kind != "repeatable" else 0
-
-    def got(self, node, ident, body, now):
-        """A request came to a node whole: its body is the one that its client sent."""
-        if self.scheme(ident) and body != content(ident, self.body_size(ident)):
-            self.breach("protocol", now, f"{node} got {len(body)} bytes as the body of {name(ident)}, which are not its own")
-
-    def over(self, ident, now):
-        return now >= self.tries[ident].ends
-
-    # What callers tell
-
-    def asked(self, ident, ask, proxy, now, ends):
-        """A request is being written; `sent` tells when its last byte was."""
-        self.tries[ident] = Try(ask, ends, proxy, now)
-
-    def sent(self, ident, now, ends):
-        self.tries[ident].at, self.tries[ident].ends = now, ends
-
-    def answered(self, ident, now, status, body):
-        """A whole answer came; how the try ended."""
-        found, scheme = self.tries[ident], self.scheme(ident)
-        if found.answered:
-            self.breach("1", now, f"{name(ident)} was answered twice")
-        found.answered, found.status = now, status
-        if now > found.ends + self.slack and not self.stood(found):
-            self.breach("1", now, f"{name(ident)} was answered {1000 * (now - found.ends):.0f} ms past its expiry")
-        if status == 200:
-            if not found.runs and scheme.kind != "referenced" or body != ident.ljust(scheme.answer):
-                self.breach("1", now, f"{name(ident)} was served what no node made for it")
-            return "settled"
-        if status in (429, 503):
-            if found.runs:
-                self.declined_ran(ident, now, scheme)
-            return "declined"
-        return "reversed"
-
-    def declined_ran(self, ident, now, scheme):
-        if scheme.kind == "once-only" or scheme.kind == "referenced" and scheme.group != "all":
-            self.breach("2", now, f"{name(ident)}, {scheme.kind}, was declined and has run")
-
-    def unheard(self, ident):
-        """Whether a request may have crossed the end of an idle connection: no proxy died, and no node has it."""
-        found = self.tries[ident]
-        return not found.posted and not self.died(found)
-
-    def died(self, found):
+    attempt_count: int = 0  # attempts of its proxy that came to backends
+    run_count: int = 0
+
+
+class Span(NamedTuple):
+    """A time from and to, in seconds."""
+
+    since: float
+    until: float
+
+
+def format_id(request_id: bytes) -> str:
+    """A request id as texts have it."""
+    return request_id.decode("latin-1")
+
+
+class Judge(EffectLog):
+    """Counts what happens and what breaks a rule."""
+
+    def __init__(self, scenario: Scenario, planned_requests: Sequence[PlannedRequest]):
+        obligations = scenario.obligations
+        self.scenario = scenario
+        self.planned_requests = planned_requests
+        self.began_at = 0.0
+        self.proxy_zones: dict[str, str] = {}  # by proxy
+        self.tries: dict[bytes, ClientTry] = {}  # by request id
+        self.violation_counts = dict.fromkeys(RULES, 0)
+        self.violation_texts: list[str] = []  # of the first ones
+        self.slack_seconds = obligations.slack_ms / 1000
+        self.notifications = Notifications(scenario.discovery.deemed_notified_seconds)
+        self.killed_at: dict[str, float] = {}  # by proxy
+        self.stopped_spans: dict[str, list[Span]] = {}  # by proxy: its machine stood still
+        self.work_done_ms = 0.0
+        self.health_check_work_ms = 0.0
+        self.health_check_count = 0
+        self.attempt_count = 0
+        self.cross_zone_count = 0
+        self.repeated_run_count = 0
+        self.pushed_over_count = 0
+        self.congested_backends: set[str] = set()
+        self._drain_grace_seconds = obligations.drain_grace_ms / 1000
+
+    def violation(self, rule: str, now: float, text: str) -> None:
+        """A rule is broken."""
+        self.violation_counts[rule] += 1
+        if len(self.violation_texts) < MAX_VIOLATION_TEXTS:
+            label = f"rule {rule}" if rule.isdigit() else rule
+            self.violation_texts.append(f"{now - self.began_at:9.4f} {label}: {text}")
+
+    # What backends ask
+
+    def request_class(self, request_id: bytes | None) -> RequestClass | None:
+        """See EffectLog."""
+        client_try = self.tries.get(request_id)
+        return self.scenario.request_classes[client_try.planned.class_index] if client_try else None
+
+    def work_ms(self, request_id: bytes) -> float:
+        """See EffectLog."""
+        return self.tries[request_id].planned.work_ms
+
+    def always_fails(self, request_id: bytes) -> bool:
+        """See EffectLog."""
+        return self.tries[request_id].planned.always_fails
+
+    def proxy_of(self, request_id: bytes) -> str:
+        """See EffectLog."""
+        return self.tries[request_id].proxy
+
+    def is_expired(self, request_id: bytes, now: float) -> bool:
+        """See EffectLog."""
+        return now >= self.tries[request_id].deadline
+
+    def last_request_at(self, proxy: str) -> float:
+        """When a proxy was last sent a request; 0 if it never was."""
+        return max((client_try.sent_at for client_try in self.tries.values() if client_try.proxy == proxy), default=0.0)
+
+    # What clients ask and tell (ClientLog)
+
+    def body_bytes(self, request_id: bytes) -> int:
+        """See ClientLog."""
+        request_class = self.request_class(request_id)
+        return request_class.body_bytes if request_class.kind != RequestKind.IDEMPOTENT else 0
+
+    def request_started(self, request_id: bytes, planned: PlannedRequest, proxy: str, now: float, deadline: float) -> None:
+        """See ClientLog."""
+        self.tries[request_id] = ClientTry(planned, deadline, proxy, now)
+
+    def request_written(self, request_id: bytes, now: float, deadline: float) -> None:
+        """See ClientLog."""
+        self.tries[request_id].sent_at = now
+        self.tries[request_id].deadline = deadline
+
+    def response_received(self, request_id: bytes, now: float, status: int, body: bytes) -> RequestOutcome:
+        """See ClientLog."""
+        client_try, request_class = self.tries[request_id], self.request_class(request_id)
+        name = format_id(request_id)
+        if client_try.answered_at:
+            self.violation("1", now, f"{name} was answered twice")
+        client_try.answered_at = now
+        client_try.status = status
+        if now > client_try.deadline + self.slack_seconds and not self.was_proxy_stopped(client_try):
+            late_ms = 1000 * (now - client_try.deadline)
+            self.violation("1", now, f"{name} was answered {late_ms:.0f} ms past its expiry")
+        if status == STATUS_OK:
+            never_ran = not client_try.run_count and request_class.kind != RequestKind.DEDUPLICATED
+            if never_ran or body != request_id.ljust(request_class.response_bytes):
+                self.violation("1", now, f"{name} was served what no node made for it")
+        elif status in REJECTED_STATUSES and client_try.run_count:
+            self._rejected_and_ran(request_id, now, request_class)
+        return outcome_of_status(status)
+
+    def may_send_again(self, request_id: bytes) -> bool:
+        """See ClientLog: no proxy died, and no backend has it."""
+        client_try = self.tries[request_id]
+        return not client_try.attempt_count and not self.was_proxy_killed(client_try)
+
+    def response_missing(self, request_id: bytes, now: float, reason: str) -> RequestOutcome:
+        """See ClientLog.  A proxy that was killed with it is excused, and one whose machine stood still."""
+        client_try = self.tries[request_id]
+        if self.was_proxy_killed(client_try):
+            return RequestOutcome.PROXY_KILLED
+        if self.was_proxy_stopped(client_try):
+            return RequestOutcome.PROXY_STOPPED
+        self.violation("1", now, f"{format_id(request_id)} got no answer from {client_try.proxy}: {reason}")
+        return RequestOutcome.UNANSWERED
+
+    def request_ended(self, planned: PlannedRequest, outcome: RequestOutcome, now: float) -> None:
+        """See ClientLog."""
+        planned.outcome = outcome
+        planned.ended_at = now
+
+    def was_proxy_killed(self, client_try: ClientTry) -> bool:
         """Whether its proxy was killed while it had this."""
-        return self.killed.get(found.proxy, -1.0) >= found.at - self.slack
-
-    def lost(self, ident, now, why):
-        """No answer came: its connection ended, or its time did.  A proxy that was killed with it is excused."""
-        found = self.tries[ident]
-        if self.died(found):
-            return "killed"
-        if self.stood(found):
-            return "late"
-        self.breach("1", now, f"{name(ident)} got no answer from {found.proxy}: {why}")
-        return "lost"
-
-    def stopped(self, proxy, now, until):
-        self.stops.setdefault(proxy, []).append((now, until))
-
-    def stood(self, found):
-        """Whether its proxy's machine stood still at its expiry, or for half of its time: nobody can answer then."""
-        spans = [
-            (min(until, found.ends) - max(since, found.at), since <= found.ends <= until + self.slack)
-            for since, until in self.stops.get(found.proxy, ())
-        ]
-        return any(at_end for _, at_end in spans) or sum(max(0.0, span) for span, _ in spans) >= (found.ends - found.at) / 2
-
-    def ended(self, ask, how, now):
-        ask.how, ask.ended = how, now
-
-    # What nodes tell
-
-    def posted(self, node, zone, ident, since):
-        found = self.tries[ident]
-        found.posted += 1
-        self.postings += 1
-        if since > found.ends + self.slack:
-            self.breach("1", since, f"{name(ident)} was sent to {node} {1000 * (since - found.ends):.0f} ms past its expiry")
-        if found.answered and since > found.answered + self.slack:
-            self.breach("1", since, f"{name(ident)} was sent to {node} after its answer")
-        self.crossings += self.proxies[found.proxy] != zone
-        told = self.told_when(found.proxy, node)
-        if told is not None and since > told + self.grace + self.slack:
-            self.breach("3", since, f"{name(ident)} was sent to {node} {1000 * (since - told):.0f} ms after its proxy was told")
-
-    def told_when(self, proxy, node):
-        """When that proxy was told, or counts as told, that this node wants nothing new; None if it does want."""
-        known = [when for when in (self.gone.get((proxy, node)), self.deemed_when(proxy, node)) if when is not None]
-        return min(known, default=None)
-
-    def deemed_when(self, proxy, node):
-        """When that proxy counts as told of this node's end, whether or not word of it arrived."""
-        return self.deemed.get(node)
-
-    def acted(self, node, ident, said, now):
-        pass
-
-    def ran(self, node, ident, now):
-        found, scheme = self.tries[ident], self.scheme(ident)
-        found.runs += 1
-        if found.runs > 1:
-            self.repeats += 1
-            if scheme.kind != "repeatable":
-                self.breach("2", now, f"{name(ident)}, {scheme.kind}, ran again, on {node}")
-        if found.status in (429, 503):
-            self.declined_ran(ident, now, scheme)
-
-    def worked(self, ms):
-        self.work_done += ms
-
-    def probed(self, node, work):
-        self.probes += 1
-        self.probe_work += work
-
-    def choked(self, node):
-        self.choked_nodes[node] = None
+        return self.killed_at.get(client_try.proxy, -1.0) >= client_try.sent_at - self.slack_seconds
+
+    def was_proxy_stopped(self, client_try: ClientTry) -> bool:
+        """Whether its proxy's machine stood still at its deadline, or for half of its time: nobody can answer then."""
+        sent_at, deadline = client_try.sent_at, client_try.deadline
+        spans = self.stopped_spans.get(client_try.proxy, ())
+        if any(span.since <= deadline <= span.until + self.slack_seconds for span in spans):
+            return True
+        overlaps = (min(span.until, deadline) - max(span.since, sent_at) for span in spans)
+        return sum(max(0.0, overlap) for overlap in overlaps) >= (deadline - sent_at) / 2
+
+    # What backends tell
+
+    def body_received(self, backend_id: str, request_id: bytes | None, body: bytes, now: float) -> None:
+        """See EffectLog: the body has to be the one that its client sent."""
+        if self.request_class(request_id) and body != request_body(request_id, self.body_bytes(request_id)):
+            text = f"{backend_id} got {len(body)} bytes as the body of {format_id(request_id)}, which are not its own"
+            self.violation("protocol", now, text)
+
+    def attempt_received(self, backend_id: str, zone: str, request_id: bytes, sent_at: float) -> None:
+        """See EffectLog."""
+        client_try = self.tries[request_id]
+        client_try.attempt_count += 1
+        self.attempt_count += 1
+        sent = f"{format_id(request_id)} was sent to {backend_id}"
+        if sent_at > client_try.deadline + self.slack_seconds:
+            self.violation("1", sent_at, f"{sent} {1000 * (sent_at - client_try.deadline):.0f} ms past its expiry")
+        if client_try.answered_at and sent_at > client_try.answered_at + self.slack_seconds:
+            self.violation("1", sent_at, f"{sent} after its answer")
+        self.cross_zone_count += self.proxy_zones[client_try.proxy] != zone
+        notified_at = self.end_notified_at(client_try.proxy, backend_id)
+        if notified_at is not None and sent_at > notified_at + self._drain_grace_seconds + self.slack_seconds:
+            self.violation("3", sent_at, f"{sent} {1000 * (sent_at - notified_at):.0f} ms after its proxy was told")
+
+    def end_notified_at(self, proxy: str, backend_id: str) -> float | None:
+        """When a proxy was told, or counts as told, that a backend wants nothing new; None if it does want."""
+        times = self.notifications.end_notified_at(proxy, backend_id), self.end_deemed_at(proxy, backend_id)
+        return min((time for time in times if time is not None), default=None)
+
+    def end_deemed_at(self, proxy: str, backend_id: str) -> float | None:
+        """When a proxy counts as told of a backend's end, whether or not word of it arrived."""
+        return self.notifications.end_deemed_at(backend_id)
+
+    def request_ran(self, backend_id: str, request_id: bytes, now: float) -> None:
+        """See EffectLog."""
+        client_try, request_class = self.tries[request_id], self.request_class(request_id)
+        client_try.run_count += 1
+        if client_try.run_count > 1:
+            self.repeated_run_count += 1
+            if request_class.kind != RequestKind.IDEMPOTENT:
+                self.violation("2", now, f"{format_id(request_id)}, {request_class.kind}, ran again, on {backend_id}")
+        if client_try.status in REJECTED_STATUSES:
+            self._rejected_and_ran(request_id, now, request_class)
+
+    def _rejected_and_ran(self, request_id: bytes, now: float, request_class: RequestClass) -> None:
+        is_deduplicated = request_class.kind == RequestKind.DEDUPLICATED
+        is_known_everywhere = is_deduplicated and request_class.deduplication_group == "all"
+        if request_class.kind != RequestKind.IDEMPOTENT and not is_known_everywhere:
+            self.violation("2", now, f"{format_id(request_id)}, {request_class.kind}, was declined and has run")
+
+    def work_done(self, work_ms: float) -> None:
+        """See EffectLog."""
+        self.work_done_ms += work_ms
+
+    def health_check_received(self, backend_id: str, work_ms: float) -> None:
+        """See EffectLog."""
+        self.health_check_count += 1
+        self.health_check_work_ms += work_ms
+
+    def congestion_began(self, backend_id: str) -> None:
+        """See EffectLog."""
+        self.congested_backends.add(backend_id)
+
+    def backend_pushed_over(self, backend_id: str, now: float, capacity_ratio: float, recent: Sequence[RecentWork]) -> None:
+        """See EffectLog.  Rule 4 holds against those who could know: most of the work came from who was told."""
+        self.pushed_over_count += 1
+        knowing_ms = sum(work.work_ms for work in recent if self._knew_start(backend_id, work))
+        numerator, denominator = KNOWING_WORK_RATIO
+        if knowing_ms >= sum(work.work_ms for work in recent) * numerator / denominator:
+            self.violation("4", now, f"{backend_id} fell over at {capacity_ratio:.2f} of its capacity")
+
+    def _knew_start(self, backend_id: str, work: RecentWork) -> bool:
+        return self.notifications.knew_start(self.tries[work.request_id].proxy, backend_id, work.received_at)
 
     # What discovery and the play tell
 
-    def listed(self, proxy, revision, now):
-        pass
-
-    def told(self, proxy, node, phase, now, launched=0):
-        if self.heard.get((proxy, node), (0, 0.0))[0] != launched:
-            self.heard[proxy, node] = launched, now
-        if phase == "active":
-            self.gone.pop((proxy, node), None)
-        else:
-            self.gone.setdefault((proxy, node), now)
-
-    def published(self, node, phase, now):
-        if phase == "active":
-            self.deemed.pop(node, None)
-        else:
-            self.deemed.setdefault(node, now + self.scenario.discovery.deemed_s)
-
-    def started(self, node, now, launched):
-        """It runs again: what was never told of its end counts as told no more.  `launched`: as discovery will say,
-        in ms."""
-        self.deemed.pop(node, None)
-        self.launched[node] = now, launched
-
-    def knew_start(self, node, ident, then):
-        """Whether the proxy of a try had been told that this node has started anew, or counted as told."""
-        began, launched = self.launched.get(node, (then, 0))
-        heard, when = self.heard.get((self.tries[ident].proxy, node), (0, 0.0))
-        return heard >= launched and when <= then or then >= began + self.scenario.discovery.deemed_s
-
-    def fell(self, node, now, warmth, sent):
-        """Rule 4 holds against those who could know: two thirds of the work came from who was told."""
-        self.fallen += 1
-        if (
-            sum(work for then, work, ident in sent if self.knew_start(node, ident, then))
-            >= sum(work for _, work, _ in sent) * 2 / 3
-        ):
-            self.breach("4", now, f"{node} fell over at {warmth:.2f} of its capacity")
-
-    def was_killed(self, proxy, now):
-        self.killed[proxy] = now
-
-    def crashed(self, proxy, now, how):
-        self.breach("crash", now, f"{proxy} ended: {how}")
-        self.was_killed(proxy, now)
-
-    # The figures
-
-    def in_time(self, ask):
-        return ask.how == "settled" and ask.ended - ask.first <= self.scenario.scheme[ask.scheme].sla_ms / 1000
-
-    def gain(self, asks):
-        return sum(self.scenario.scheme[a.scheme].gain for a in asks if not a.bad)
-
-    def share(self, asks):
-        asked = self.gain(asks)
-        return self.gain(filter(self.in_time, asks)) / asked if asked else None
-
-    def record(self):
-        """All that a play is worth telling, for one seed the same to the byte."""
-        scenario, asks = self.scenario, [ask for ask in self.asks if ask.how]
-        windows = [[] for _ in range(max(1, int(-(-scenario.seconds // WINDOW))))]
-        for ask in asks:
-            windows[min(int(ask.at // WINDOW), len(windows) - 1)].append(ask)
-        pairs = [a + b for a, b in zip(windows, windows[1:])] or windows
-        enough = len(asks) / len(windows) / 4  # a window with next to nobody is no worst one
-        parts = {
-            "whole": self.share(asks),
-            "worst_10s": least(self.share(pair) for pair in pairs if len(pair) >= enough),
-            "worst_scheme": least(self.share([a for a in asks if a.scheme == at]) for at in range(len(scenario.scheme))),
-            "worst_customer": least(
-                self.share([a for a in asks if a.customer == at]) for at in range(max(1, len(scenario.customer)))
-            ),
-        }
-        weights = {key: getattr(scenario.goal, key) for key in parts}
-        total = sum(weights.values())
-        count, prices = max(1, len(asks)), scenario.prices
-        gain = self.gain(asks) or 1.0
-        late = self.gain(
-            a for a in asks if a.how not in ("settled", "left") and a.ended - a.first > scenario.scheme[a.scheme].sla_ms / 1000
-        )
-        useful = sum(a.work for a in asks if a.how == "settled")
-        asked = sum(a.work for a in asks) or 1.0
-        prices = {
-            "waste": prices.waste * max(0.0, self.work_done + self.probe_work - useful) / asked,
-            "late": prices.late * late / gain,
-            "cross": prices.cross * self.crossings / count,
-            "probe": prices.probe * self.probes / count,
-        }
-        # Where nobody asked anything, nothing was left undone.
-        mixed = sum(weights[key] * (1.0 if parts[key] is None else parts[key]) for key in parts) / total
-        hows = [a.how for a in asks]
-        return {
-            "scenario": scenario.name,
-            "service": {
-                "total": near(mixed - sum(prices.values())),
-                **{key: near(value) for key, value in parts.items()},
-                "prices": {key: near(value) for key, value in prices.items()},
-            },
-            "rules": dict(self.breaches),
-            "breaches": self.texts,
-            "windows": [
-                {
-                    "at": near(at * WINDOW),
-                    "asked": len(window),
-                    "service": near(self.share(window)),
-                    **{how: sum(a.how == how for a in window) for how in ("settled", "declined", "reversed")},
-                }
-                for at, window in enumerate(windows)
-            ],
-            "txns": {
-                "asked": len(asks),
-                "in_time": sum(map(self.in_time, asks)),
-                **{
-                    how: hows.count(how)
-                    for how in ("settled", "declined", "reversed", "lost", "killed", "left", "untaken", "late")
-                },
-                "tries": sum(a.tries for a in asks),
-                "postings": self.postings,
-                "runs_again": self.repeats,
-                "probes": self.probes,
-                "crossings": self.crossings,
-            },
-            "nodes": {"choked": len(self.choked_nodes), "fell": self.fallen, "work_s": near(self.work_done / 1000)},
-        }
-
-
-def name(ident):
-    return ident.decode("latin-1")
-
-
-def least(values):
-    return min((value for value in values if value is not None), default=None)
-
-
-def near(value):
-    return None if value is None else round(value, 6)
+    def proxy_notified(self, proxy: str, backend_id: str, state: str, now: float, started_at_ms: int = 0) -> None:
+        """See EffectLog."""
+        self.notifications.proxy_notified(proxy, backend_id, state, now, started_at_ms)
+
+    def state_published(self, backend_id: str, state: str, now: float) -> None:
+        """See EffectLog."""
+        self.notifications.state_published(backend_id, state, now)
+
+    def backend_started(self, backend_id: str, now: float, started_at_ms: int) -> None:
+        """A backend starts anew, cold; `started_at_ms` as discovery will say it."""
+        self.notifications.backend_started(backend_id, now, started_at_ms)
+
+    def proxy_stopped(self, proxy: str, now: float, until: float) -> None:
+        """A proxy's machine stands still until then."""
+        self.stopped_spans.setdefault(proxy, []).append(Span(now, until))
+
+    def proxy_killed(self, proxy: str, now: float) -> None:
+        """A proxy has been killed on purpose."""
+        self.killed_at[proxy] = now
+
+    def proxy_crashed(self, proxy: str, now: float, reason: str) -> None:
+        """A proxy has ended by itself, which it must not."""
+        self.violation("crash", now, f"{proxy} ended: {reason}")
+        self.proxy_killed(proxy, now)
--- a/sloeferry/rehearsal/play.py
+++ b/sloeferry/rehearsal/play.py
@@ -1,8 +1,11 @@
-"""One play in virtual time: the daemon's own code, as many proxies as the scenario says, and everybody else."""
+"""One play in virtual time: the proxy's own code, as many proxies as the scenario says, and everybody else."""
 
+import contextlib
 import signal
 import sys
 import tempfile
+from collections.abc import Callable, Iterator
+from typing import Any
 
 from loguru import logger
 
@@ -10,159 +13,234 @@
 from sloeferry.config.instance import read_instance_config
 from sloeferry.lifecycle.proxy_process import serve
 from sloeferry.rehearsal import baselines
-from sloeferry.rehearsal.network import Epoll, Host, Net
-from sloeferry.rehearsal.proxy_fleet import LONGEST, READY, Bank, Berth
-from sloeferry.rehearsal.scenario import moment
-from sloeferry.rehearsal.virtual_time import BEGIN, Process, World
-
-EPOCH = 1767225600.0  # Unix time at the start where the scenario says none
-CALLS = {"read": 2, "write": 2, "dial": 3, "accept": 2}  # what calls cost, in parts of a txn's four calls
-
-
-class Virtual:
-    """The house of a play in virtual time (bank.House)."""
+from sloeferry.rehearsal.network import SimulatedHost, SimulatedNetwork
+from sloeferry.rehearsal.play_environment import MAX_DRAIN_SECONDS, READY_TIMEOUT_SECONDS, RESTART_SECONDS, ProxyHandle
+from sloeferry.rehearsal.proxy_fleet import ProxyFleet
+from sloeferry.rehearsal.scenario import Scenario, start_of_clock
+from sloeferry.rehearsal.simulated_epoll import SimulatedEpoll
+from sloeferry.rehearsal.simulated_process import SimulatedProcess
+from sloeferry.rehearsal.simulated_socket import SimulatedSocket
+from sloeferry.rehearsal.virtual_time import START_SECONDS, Scheduler
+
+DEFAULT_UNIX_START = 1767225600.0  # where the scenario says none
+CALL_COSTS = {"read": 2, "write": 2, "dial": 3, "accept": 2}  # in eighths of a request's CPU time
+COST_PARTS = 8
+LOOK_SECONDS = 0.1  # between two looks whether the proxies are ready
+MAX_RECORDED_ERRORS = 20
+
+Progress = Callable[[float, ProxyFleet], object]
+ShowLine = Callable[[str], object]
+
+
+class VirtualEnvironment:
+    """A `PlayEnvironment` in virtual time."""
+
+    def __init__(self, scenario: Scenario, seed: int, folder: str, policy: str, luck: int):
+        unix_start = start_of_clock(scenario.clock) if scenario.clock else DEFAULT_UNIX_START
+        network = scenario.network
+        self.scheduler = Scheduler(seed, unix_start, luck)
+        self.folder = folder
+        self.policy = policy
+        self.network = SimulatedNetwork(
+            self.scheduler,
+            network.same_zone_ms / 1000,
+            network.cross_zone_ms / 1000,
+            network.client_extra_ms / 1000,
+            network.jitter_ratio,
+            network.split_odds,
+        )
+        self.loop = SimulatedProcess(self.scheduler, SimulatedHost(self.network, "127.1.0.1", None), "troubles")
+        self.rng = self.scheduler.rng
+        self.unix_time = self.scheduler.unix_time
 
-    def __init__(self, scenario, seed, folder, policy, chance):
-        epoch = moment(scenario.clock, ValueError) if scenario.clock else EPOCH
-        self.world, self.folder, self.policy, net = World(seed, epoch, chance), folder, policy, scenario.network
-        self.net = Net(self.world, net.same_ms / 1000, net.cross_ms / 1000, net.client_ms / 1000, net.jitter, net.pieces)
-        self.loop = Process(self.world, Host(self.net, "127.1.0.1", None), "troubles")
-        self.hosts, self.rng, self.unix = {}, self.world.rng, self.world.unix
+    def host(self, address: tuple[str, int], zone: str | None) -> SimulatedHost:
+        """The machine with that address."""
+        return self.network.hosts.get(address[0]) or SimulatedHost(self.network, address[0], zone)
 
-    def host(self, address, zone):
-        if address[0] not in self.hosts:
-            self.hosts[address[0]] = Host(self.net, address[0], zone)
-        return self.hosts[address[0]]
+    def place(self, name: str, address: tuple[str, int], zone: str | None) -> SimulatedProcess:
+        """See PlayEnvironment."""
+        return SimulatedProcess(self.scheduler, self.host(address, zone), name)
 
-    def place(self, name, address, zone):
-        return Process(self.world, self.host(address, zone), name)
+    def set_cut_off(self, address: tuple[str, int], is_cut_off: bool) -> None:
+        """See PlayEnvironment."""
+        self.network.hosts[address[0]].is_cut_off = is_cut_off
 
-    def cut(self, address, so):
-        self.hosts[address[0]].cut = so
+    def make_proxy(self, fleet: ProxyFleet, index: int) -> "SimulatedProxy":
+        """See PlayEnvironment."""
+        return SimulatedProxy(self, fleet, index)
 
-    def proxy(self, bank, at):
-        return Proxy(self, bank, at)
 
+class SimulatedProxy(ProxyHandle):
+    """One proxy: a process that runs `serve`, and one after it."""
 
-class Proxy(Berth):
-    """One proxy: a process that runs `serve`, and its lives."""
+    environment: VirtualEnvironment
+    process: SimulatedProcess
 
-    def __init__(self, house, bank, at):
-        super().__init__(house, bank, at)
-        unit = bank.scenario.bank.txn_us / 1e6 / 8
-        self.costs = {call: parts * unit for call, parts in CALLS.items()} if unit else {}
+    def __init__(self, environment: VirtualEnvironment, fleet: ProxyFleet, index: int):
+        super().__init__(environment, fleet, index)
+        self._scheduler = environment.scheduler
+        part_seconds = fleet.scenario.proxies.request_cpu_us / 1e6 / COST_PARTS
+        self._costs = {call: parts * part_seconds for call, parts in CALL_COSTS.items()} if part_seconds else {}
 
-    def start(self):
-        if self.process and not self.process.dead:
+    def start(self) -> None:
+        """See ProxyHandle."""
+        if self.process and not self.process.is_dead:
             return
-        self.write()
-        environ = {"BALANCER_CONFIG": str(self.path)}
-        self.leaving = False
-        host = self.house.host(self.address, self.zone)
-        process = self.process = Process(self.house.world, host, self.name, self.costs)
-        process.share = self.share
-        work = serve(read_instance_config(environ), environ, lambda dispatcher: baselines.install(dispatcher, self.house.policy))
-        process.main(work, self.over)
-        self.bank.front.started(self.name)
-
-    def over(self, process):
+        self.write_config()
+        self.is_leaving = False
+        host = self.environment.host(self.address, self.zone)
+        self.process = SimulatedProcess(self._scheduler, host, self.name, self._costs)
+        self.process.cpu_share = self.cpu_share
+        environ = {"BALANCER_CONFIG": str(self.config_path)}
+        policy = self.environment.policy
+        work = serve(read_instance_config(environ), environ, lambda dispatcher: baselines.install(dispatcher, policy))
+        self.process.run_main(work, self._exited)
+        self.fleet.balancer.proxy_started(self.name)
+
+    def _exited(self, process: SimulatedProcess) -> None:
         """It ended by itself: as it was told to, or not."""
         if process is not self.process:
             return
-        if not self.leaving:
-            self.bank.front.ended(self.name, self.bank.scenario.front.notice_s)
-            self.bank.judge.crashed(self.name, self.house.world.now, process.left)
+        if self.is_leaving:
+            self._scheduler.call_later(RESTART_SECONDS, self.start)
         else:
-            self.house.world.after(0.2, self.start)
+            self._ended_for_clients()
+            self.fleet.judge.proxy_crashed(self.name, self._scheduler.now, process.exit_reason)
+
+    def _ended_for_clients(self) -> None:
+        self.fleet.balancer.proxy_ended(self.name, self.fleet.scenario.balancer.failure_notice_seconds)
 
-    def kill(self):
-        if self.process.dead:
+    def kill(self) -> None:
+        """See ProxyHandle."""
+        if self.process.is_dead:
             return
-        self.bank.judge.was_killed(self.name, self.house.world.now)
+        self.fleet.judge.proxy_killed(self.name, self._scheduler.now)
         self.process.kill()
-        self.bank.front.ended(self.name, self.bank.scenario.front.notice_s)
+        self._ended_for_clients()
 
-    def leave(self):
-        """A planned restart."""
-        if self.process.dead or self.leaving:
+    def restart(self) -> None:
+        """See ProxyHandle."""
+        if self.process.is_dead or self.is_leaving:
             return
-        self.leaving, process = True, self.process
-        process.signal(signal.SIGTERM)
-        self.bank.front.ended(self.name, self.bank.scenario.front.entry_s)
-        self.house.world.after(LONGEST, self.overdue, process)
-
-    def overdue(self, process):
-        if not process.dead and process is self.process:
+        process = self.process
+        self.is_leaving = True
+        process.send_signal(signal.SIGTERM)
+        self.fleet.balancer.proxy_ended(self.name, self.fleet.scenario.balancer.drain_notice_seconds)
+        self._scheduler.call_later(MAX_DRAIN_SECONDS, self._drain_overdue, process)
+
+    def _drain_overdue(self, process: SimulatedProcess) -> None:
+        if not process.is_dead and process is self.process:
             process.kill()  # what it still had is lost, and counts as lost
             self.start()
 
-    def stop(self, seconds):
-        self.bank.judge.stopped(self.name, self.house.world.now, self.house.world.now + seconds)
-        self.process.halt(seconds)
-
-    def starve(self, share):
-        self.share = self.process.share = share
-
-    def renew(self):
-        """SIGHUP, with a file written anew."""
-        if not self.process.dead:
-            self.write()
-            self.process.signal(signal.SIGHUP)
-
-
-class Log:
-    """The daemon's log, counted; its words go to `show` if any."""
-
-    def __init__(self, show):
-        self.show, self.count = show, {}
-
-    def __call__(self, message):
-        record = message.record
-        level = record["level"].name
-        self.count[level] = self.count.get(level, 0) + 1
-        if self.show:
-            self.show(f"{environment.monotonic() - BEGIN:9.4f} {level} {record['message']}")
-
-
-def play(scenario, seed, policy="design", progress=None, show=None, chance=0):
-    """Plays it; the record.  `progress` is called each virtual second.  Another `chance` is the same day, with the same
-    txns and troubles, drawn anew in what its network and its proxies leave to luck."""
-    with tempfile.TemporaryDirectory(prefix="rehearsal-") as folder:
-        house = Virtual(scenario, seed, folder, policy, chance)
-        world, log = house.world, Log(show)
+    def pause(self, seconds: float) -> None:
+        """See ProxyHandle."""
+        now = self._scheduler.now
+        self.fleet.judge.proxy_stopped(self.name, now, now + seconds)
+        self.process.pause(seconds)
+
+    def limit_cpu(self, share: float) -> None:
+        """See ProxyHandle."""
+        self.cpu_share = share
+        self.process.cpu_share = share
+
+    def reload(self) -> None:
+        """See ProxyHandle."""
+        if not self.process.is_dead:
+            self.write_config()
+            self.process.send_signal(signal.SIGHUP)
+
+
+class LogCounter:
+    """Counts the proxies' log by level; its lines go to `show_line` if there is one."""
+
+    def __init__(self, show_line: ShowLine | None):
+        self.counts: dict[str, int] = {}
+        self._show_line = show_line
+
+    def __call__(self, message: Any) -> None:
+        """As loguru calls its sinks."""
+        level = message.record["level"].name
+        self.counts[level] = self.counts.get(level, 0) + 1
+        if self._show_line:
+            seconds = environment.monotonic() - START_SECONDS
+            self._show_line(f"{seconds:9.4f} {level} {message.record['message']}")
+
+
+@contextlib.contextmanager
+def proxies_run_in(play_environment: VirtualEnvironment, log: LogCounter) -> Iterator[None]:
+    """Has the proxies' code use the simulated clock and network, and log to `log`, for as long as the play lasts."""
+    scheduler, network = play_environment.scheduler, play_environment.network
+    logger.remove()
+    logger.add(log, level="INFO", format="{message}", catch=False)
+    before = environment.replace(
+        monotonic=scheduler.monotonic,
+        unix_time=scheduler.unix_time,
+        tcp_socket=network.socket,
+        epoll=lambda: SimulatedEpoll(network),
+        has_peer_ended=SimulatedSocket.has_peer_ended,
+    )
+    try:
+        yield
+    finally:
+        scheduler.close()
+        environment.replace(**before)
         logger.remove()
-        logger.add(log, level="INFO", format="{message}", catch=False)
-        real = environment.replace(
-            monotonic=world.monotonic,
-            unix_time=world.unix,
-            tcp_socket=house.net.sock,
-            epoll=lambda: Epoll(house.net),
-            has_peer_ended=lambda sock: sock.closed or sock.eof or bool(sock.fault),
-        )
-        try:
-            bank = Bank(scenario, house)
-            house.loop.create_task(bank.open())
-            world.run(world.now + 0.1)
-            for proxy in bank.proxies:
-                proxy.start()
-            begun = world.now
-            while not all(bank.front.alive.values()) and world.now < begun + READY:
-                world.run(world.now + 0.1)
-            begun = world.now
-            bank.begin(begun)
-            last = begun + scenario.seconds
-            while world.now < last or bank.busy() and world.now < last + bank.longest():
-                world.run(min(world.now + 1.0, last + bank.longest()))
-                if progress:
-                    progress(world.now - begun, bank)
-            record = bank.record(world.now)
-            record["seed"], record["policy"], record["chance"] = seed, policy, chance
-            record["log"] = dict(sorted(log.count.items()))
-            record["faults"] = world.faults[:20]
-            record["world"] = {"seconds": round(world.now - begun, 6), "events": world.events, "bytes": house.net.bytes}
-            return record
-        finally:
-            world.end()
-            environment.replace(**real)
-            logger.remove()
-            logger.add(sys.stderr, level="WARNING")
+        logger.add(sys.stderr, level="WARNING")
+
+
+def play(
+    scenario: Scenario,
+    seed: int,
+    policy: str = baselines.DESIGN,
+    progress: Progress | None = None,
+    show_line: ShowLine | None = None,
+    luck: int = 0,
+) -> dict[str, Any]:
+    """Plays it; the record.  `progress` is called each virtual second.
+
+    Another `luck` is the same day, with the same requests and faults, drawn anew in what its network and its proxies leave to
+    chance.
+    """
+    log = LogCounter(show_line)
+    with tempfile.TemporaryDirectory(prefix="rehearsal-") as folder:
+        play_environment = VirtualEnvironment(scenario, seed, folder, policy, luck)
+        with proxies_run_in(play_environment, log):
+            record = _play_in(play_environment, scenario, progress)
+    record["seed"] = seed
+    record["policy"] = policy
+    record["chance"] = luck
+    record["log"] = dict(sorted(log.counts.items()))
+    return record
+
+
+def _play_in(play_environment: VirtualEnvironment, scenario: Scenario, progress: Progress | None) -> dict[str, Any]:
+    scheduler = play_environment.scheduler
+    fleet = ProxyFleet(scenario, play_environment)
+    play_environment.loop.create_task(fleet.open())
+    scheduler.run(scheduler.now + LOOK_SECONDS)
+    for proxy in fleet.proxies:
+        proxy.start()
+    _run_until_ready(scheduler, fleet)
+    began_at = scheduler.now
+    fleet.begin(began_at)
+    ends_at = began_at + scenario.seconds
+    latest_end = ends_at + fleet.last_request_seconds()
+    while scheduler.now < ends_at or fleet.is_busy() and scheduler.now < latest_end:
+        scheduler.run(min(scheduler.now + 1.0, latest_end))
+        if progress:
+            progress(scheduler.now - began_at, fleet)
+    record = fleet.record(scheduler.now)
+    record["faults"] = scheduler.process_errors[:MAX_RECORDED_ERRORS]
+    record["world"] = {
+        "seconds": round(scheduler.now - began_at, 6),
+        "events": scheduler.event_count,
+        "bytes": play_environment.network.bytes_delivered,
+    }
+    return record
+
+
+def _run_until_ready(scheduler: Scheduler, fleet: ProxyFleet) -> None:
+    began_at = scheduler.now
+    while not all(fleet.balancer.alive.values()) and scheduler.now < began_at + READY_TIMEOUT_SECONDS:
+        scheduler.run(scheduler.now + LOOK_SECONDS)
--- a/sloeferry/rehearsal/proxy_fleet.py
+++ b/sloeferry/rehearsal/proxy_fleet.py
@@ -1,179 +1,233 @@
-"""Everybody who takes part in a play but the proxies themselves: who stands where, and what each is told.
+"""Everybody who takes part in a play but the proxies themselves: who stands where, and what each proxy is told.
 
-The same for the rehearsal's own loop and for a real one; `House` says what differs between the two.
+The same in virtual time and in real time; `play_environment` says what differs between the two.
 """
 
-import json
 import math
-import pathlib
-from typing import Protocol
-
-from sloeferry.rehearsal.faults import Troubles
-from sloeferry.rehearsal.judge import Judge, arrivals
+from collections.abc import Sequence
+from random import Random
+from typing import Any, NamedTuple, Protocol, TypeVar
+
+from sloeferry.rehearsal.arrivals import plan_requests
+from sloeferry.rehearsal.faults import FaultInjector
+from sloeferry.rehearsal.judge import Judge
+from sloeferry.rehearsal.play_environment import PlayEnvironment
+from sloeferry.rehearsal.record import make_record
+from sloeferry.rehearsal.scenario import Scenario
+from sloeferry.rehearsal.scenario_tables import Backends
 from sloeferry.stand_ins import platform
-from sloeferry.stand_ins.backends import Memory, Node
-from sloeferry.stand_ins.clients import OPS, Callers, Front
-from sloeferry.stand_ins.discovery import Roster
-
-READY = 30.0  # seconds until a play begins whoever is ready
-LONGEST = 3.7  # seconds from SIGTERM to SIGKILL
-
-
-class House(Protocol):
-    """Where the stand-ins run."""
+from sloeferry.stand_ins.backends import StandInBackend
+from sloeferry.stand_ins.clients import StandInClients
+from sloeferry.stand_ins.connection_balancer import ConnectionBalancer, ProxyPlace
+from sloeferry.stand_ins.deduplication import DeduplicationStore
+from sloeferry.stand_ins.discovery import StandInDiscovery
+from sloeferry.stand_ins.wire_protocol import ADMIN_PORT_OFFSET, BackendState
 
-    loop: object  # of whoever causes the troubles
-    folder: str  # where proxies' configurations stand
+LAST_ANSWER_SECONDS = 1.0  # beyond all tries of the last request
+TRY_MARGIN_MS = 2000  # beyond the deadline of each try
+DISCOVERY_PORT_OFFSET = 500
+DEFAULT_IDLE_TIMEOUT_SECONDS = 30.0
 
-    def rng(self, what: str): ...
-    def unix(self) -> float: ...
-    def place(self, name: str, address: tuple, zone: str | None): ...  # the loop of one who stands there
-    def cut(self, address: tuple, so: bool) -> None: ...
-    def proxy(self, bank, at: int): ...  # a proxy: start, kill, leave, stop(seconds), starve(share), renew
+# The second part of the loopback addresses of each kind of part.
+PROXY_BLOCK, BACKEND_BLOCK, DISCOVERY_BLOCK, CLIENTS_BLOCK, BALANCER_BLOCK = 10, 20, 30, 40, 41
+ADDRESSES_PER_BLOCK = 250
 
 
-class Berth:
-    """What a proxy has in either house: its place, its configuration and its share of a core."""
+class HasZone(Protocol):
+    """What stands in a zone."""
 
-    def __init__(self, house, bank, at):
-        self.house, self.bank, self.at = house, bank, at
-        self.name, self.address, self.zone = bank.places[at]
-        self.path, self.seeds = pathlib.Path(house.folder) / f"{self.name}.json", house.rng(f"proxy-{at}")
-        self.process, self.leaving, self.share = None, False, bank.scenario.bank.share
+    zone: str
 
-    def write(self):
-        self.path.write_text(json.dumps(self.bank.berth(self.at, self.seeds.getrandbits(64))))
 
+Located = TypeVar("Located", bound=HasZone)
 
-def spot(block, at):
-    """A loopback address of its own for each."""
-    return f"127.{block}.{at // 250}.{at % 250 + 1}"
 
+class BackendPlan(NamedTuple):
+    """A backend that stands there from the start."""
 
-def expand(scenario):
-    """Each node's terms and zone, dealt out over the zones in turn."""
-    zones, found = scenario.network.zones, []
-    for nodes in scenario.nodes:
-        for _ in range(nodes.count):
-            found.append((nodes, nodes.zone or zones[len(found) % len(zones)]))
-    return found
+    settings: Backends
+    zone: str
 
 
-class Bank:
-    def __init__(self, scenario, house, port=8000):
-        self.scenario, self.house, self.loop, self.port = scenario, house, house.loop, port
+def loopback_address(block: int, index: int) -> str:
+    """A loopback address of its own for each."""
+    return f"127.{block}.{index // ADDRESSES_PER_BLOCK}.{index % ADDRESSES_PER_BLOCK + 1}"
+
+
+def plan_backends(scenario: Scenario) -> list[BackendPlan]:
+    """All backends, dealt out over the zones in turn."""
+    zones = scenario.network.zones
+    planned: list[BackendPlan] = []
+    for backends in scenario.backends:
+        for _ in range(backends.count):
+            planned.append(BackendPlan(backends, backends.zone or zones[len(planned) % len(zones)]))
+    return planned
+
+
+def plan_places(scenario: Scenario, port: int) -> list[ProxyPlace]:
+    """Where the proxies stand, dealt out over the zones in turn."""
+    zones = scenario.network.zones
+    return [
+        ProxyPlace(f"p{index}", (loopback_address(PROXY_BLOCK, index), port), zones[index % len(zones)])
+        for index in range(scenario.proxies.count)
+    ]
+
+
+class ProxyFleet:
+    """A scenario's proxies and all who stand round them."""
+
+    def __init__(self, scenario: Scenario, environment: PlayEnvironment, port: int = 8000):
+        self.scenario = scenario
+        self.environment = environment
+        self.loop = environment.loop
+        self.port = port
+        self.judge = Judge(scenario, plan_requests(scenario, environment.rng("arrivals")))
+        self.places = plan_places(scenario, port)
+        self.judge.proxy_zones = {place.name: place.zone for place in self.places}
+        self._deduplication_stores: dict[str, DeduplicationStore] = {}  # by zone; "" for all
+        self._backend_count = 0
         zones = scenario.network.zones
-        self.judge = Judge(scenario, arrivals(scenario, house.rng("arrivals")))
-        self.places = [(f"p{at}", (spot(10, at), port), zones[at % len(zones)]) for at in range(scenario.bank.proxies)]
-        self.judge.proxies = {name: zone for name, _, zone in self.places}
-        lists = {name: (spot(30, 0), port + 500 + at) for at, (name, _, _) in enumerate(self.places)}
-        self.roster = Roster(
-            house.place("roster", (spot(30, 0), 0), zones[0]),
+        self.discovery = StandInDiscovery(
+            environment.place("roster", (loopback_address(DISCOVERY_BLOCK, 0), 0), zones[0]),
             scenario.discovery,
-            lists,
+            self.discovery_addresses(),
             self.judge,
-            house.rng("roster"),
-            house.unix,
+            environment.rng("roster"),
         )
-        self.memories = {}
-        self.nodes, self.made = [], 0
-        for told, zone in expand(scenario):
-            self.nodes.append(self.node(told, zone))
-        self.front = Front(house.place("front", (spot(41, 0), 0), None), scenario.front, self.places)
-        self.callers = []
-        for at, zone in enumerate(zones):
-            asks = [ask for ask in self.judge.asks if ask.client % len(zones) == at]
-            loop = house.place(f"callers-{zone}", (spot(40, at), 0), None)
-            self.callers.append(Callers(loop, scenario, zone, asks, self.front, self.judge, house.rng(f"callers-{zone}")))
-        self.proxies = [house.proxy(self, at) for at in range(scenario.bank.proxies)]
-
-    def node(self, told, zone):
-        at, self.made = self.made, self.made + 1
-        address = spot(20, at), self.port
-        ident = f"s-{at:04x}"
-        # A scheme's group says who remembers its repeats: all nodes, or those of one zone.
-        memories = {group: self.memories.setdefault(where, Memory()) for group, where in (("all", ""), ("zone", zone))}
-        return Node(
-            self.house.place(ident, address, zone),
-            told,
-            ident,
+        self.backends = [self.make_backend(settings, zone) for settings, zone in plan_backends(scenario)]
+        balancer_loop = environment.place("front", (loopback_address(BALANCER_BLOCK, 0), 0), None)
+        self.balancer = ConnectionBalancer(balancer_loop, scenario.balancer, self.places)
+        self.clients = [self._make_clients(index, zone) for index, zone in enumerate(zones)]
+        self.proxies = [environment.make_proxy(self, index) for index in range(scenario.proxies.count)]
+
+    def discovery_addresses(self) -> dict[str, tuple[str, int]]:
+        """What each proxy calls for the list."""
+        host, first_port = loopback_address(DISCOVERY_BLOCK, 0), self.port + DISCOVERY_PORT_OFFSET
+        return {place.name: (host, first_port + index) for index, place in enumerate(self.places)}
+
+    def _make_clients(self, index: int, zone: str) -> StandInClients:
+        zone_count = len(self.scenario.network.zones)
+        planned = [request for request in self.judge.planned_requests if request.client % zone_count == index]
+        loop = self.environment.place(f"callers-{zone}", (loopback_address(CLIENTS_BLOCK, index), 0), None)
+        rng = self.environment.rng(f"callers-{zone}")
+        return StandInClients(loop, self.scenario, zone, planned, self.balancer, self.judge, rng)
+
+    def make_backend(self, settings: Backends, zone: str) -> StandInBackend:
+        """One more backend, not started."""
+        index = self._backend_count
+        self._backend_count += 1
+        address = loopback_address(BACKEND_BLOCK, index), self.port
+        backend_id = f"s-{index:04x}"
+        # A class's group says who knows its idempotency keys: all backends, or those of one zone.
+        stores = {
+            group: self._deduplication_stores.setdefault(key, DeduplicationStore())
+            for group, key in (("all", ""), ("zone", zone))
+        }
+        return StandInBackend(
+            self.environment.place(backend_id, address, zone),
+            settings,
+            backend_id,
             address,
             zone,
             self.judge,
-            memories,
+            stores,
             self.scenario.obligations,
-            self.house.rng(f"node-{at}"),
+            self.environment.rng(f"node-{index}"),
+        )
+
+    def settings(self, index: int) -> dict[str, Any]:
+        """What the platform tells the proxy of that number."""
+        scenario = self.scenario
+        idle_timeouts = [backends.idle_timeout_seconds for backends in scenario.backends]
+        request_classes = [
+            platform.request_class_settings(
+                request_class.name,
+                request_class.kind,
+                request_class.latency_objective_ms,
+                request_class.deadline_ms,
+                request_class.priority_weight,
+                request_class.deduplication_group,
+                request_class.deduplication_window_ms,
+            )
+            for request_class in scenario.request_classes
+        ]
+        return platform.proxy_settings(
+            request_classes,
+            [(tenant.name, tenant.share) for tenant in scenario.tenants],
+            instance_count=scenario.proxies.count,
+            ordinal=index,
+            zones=scenario.network.zones,
+            machine_kinds={backends.machine_kind for backends in scenario.backends},
+            discovery_mode=scenario.discovery.mode,
+            idle_timeout_seconds=min(idle_timeouts, default=DEFAULT_IDLE_TIMEOUT_SECONDS),
+            obligations=self._obligation_terms(),
+            cross_zone_cost=scenario.costs.cross_zone,
+            health_check_cost=scenario.costs.health_check,
         )
 
-    def settings(self, at):
-        """What the platform tells the proxy of that number, times in microseconds."""
-        told = self.scenario
-        cold_s, cold_from = told.cold()
-        schemes = [platform.scheme(s.name, s.kind, s.sla_ms, s.expiry_ms, s.gain, s.group, s.window_ms) for s in told.scheme]
-        return platform.settings(
-            schemes,
-            [(c.name, c.share) for c in told.customer],
-            instances=told.bank.proxies,
-            ordinal=at,
-            zones=told.network.zones,
-            kinds={nodes.kind for nodes in told.nodes},
-            discovery=told.discovery.mode,
-            idle_s=min((n.idle_s for n in told.nodes), default=30.0),
-            cold_s=cold_s,
-            cold_from=cold_from,
-            drain_grace_ms=told.obligations.drain_grace_ms,
-            fall_ms=told.obligations.fall_ms,
-            fall_multiple=told.obligations.fall_multiple,
-            must_ask_in_s=told.discovery.patience_s,
-            cross_zone=told.prices.cross,
-            probe=told.prices.probe,
+    def _obligation_terms(self) -> platform.ObligationTerms:
+        warm_up = self.scenario.warm_up_terms()
+        obligations = self.scenario.obligations
+        return platform.ObligationTerms(
+            slow_start_seconds=warm_up.longest_seconds,
+            slow_start_initial_ratio=warm_up.lowest_initial_capacity_ratio,
+            drain_grace_ms=obligations.drain_grace_ms,
+            overload_window_ms=obligations.overload_window_ms,
+            overload_multiple=obligations.overload_multiple,
+            poll_within_seconds=self.scenario.discovery.max_list_age_seconds,
         )
 
-    def berth(self, at, seed):
+    def instance_config(self, index: int, seed: int) -> dict[str, Any]:
         """The configuration of the proxy of that number, as the platform writes it."""
-        name, address, _ = self.places[at]
-        bank = self.scenario.bank
-        return platform.berth(
+        name, address, _ = self.places[index]
+        proxies = self.scenario.proxies
+        return platform.instance_config(
             name,
             address,
-            self.roster.addresses[name],
-            self.settings(at),
+            self.discovery.addresses[name],
+            self.settings(index),
             seed=seed,
-            sockets=bank.sockets,
-            memory_mb=bank.memory_mb,
-            cores=bank.share,
-            ops=(address[0], address[1] + OPS),
-            known=self.roster.known_to(name),
+            max_sockets=proxies.max_sockets,
+            memory_mb=proxies.memory_mb,
+            cores=proxies.cpu_share,
+            admin=(address[0], address[1] + ADMIN_PORT_OFFSET),
+            known_list=self.discovery.last_list_of(name),
         )
 
-    async def open(self):
-        """Nodes, warm ones, and discovery."""
-        for node in self.nodes:
-            await node.start(warm=True)
-            self.roster.publish(node, "active", 0.0)
-        await self.roster.start()
-
-    def begin(self, now):
-        self.judge.begin = now
-        for callers in self.callers:
-            callers.begin(now)
-        Troubles(self).begin(now)
-
-    def busy(self):
-        return any(callers.open for callers in self.callers)
-
-    def record(self, now):
-        """The judge's record, once all that could end has ended."""
-        for ask in [ask for callers in self.callers for ask in callers.asks if not ask.how]:
-            self.judge.breach("1", now, f"txn {ask.number} had no end")
-        return self.judge.record()
-
-    def longest(self):
-        """Seconds that the last txn may still take, with all its tries."""
-        told = self.scenario.callers
-        return 1.0 + (1 + told.retries) * (max(s.expiry_ms for s in self.scenario.scheme) + 2000) / 1000
-
-    def pick(self, part, zone, rng, among):
-        """Some of those, chosen by chance; at least one where any was asked for."""
-        there = [one for one in among if not zone or one.zone == zone]
-        return rng.sample(there, min(len(there), math.ceil(part * len(there))))
+    @staticmethod
+    def pick(part: float, zone: str, rng: Random, candidates: Sequence[Located]) -> list[Located]:
+        """That part of those in a zone (everywhere if empty), by chance; at least one where any was asked for."""
+        in_zone = [candidate for candidate in candidates if not zone or candidate.zone == zone]
+        return rng.sample(in_zone, min(len(in_zone), math.ceil(part * len(in_zone))))
+
+    # The course of a play
+
+    async def open(self) -> None:
+        """Starts backends, warm ones, and discovery."""
+        for backend in self.backends:
+            await backend.start(is_warm=True)
+            self.discovery.publish(backend, BackendState.READY, 0.0)
+        await self.discovery.start()
+
+    def begin(self, now: float) -> None:
+        """Clients and faults begin, at that time of the loop."""
+        self.judge.began_at = now
+        for clients in self.clients:
+            clients.begin(now)
+        FaultInjector(self).begin(now)
+
+    def is_busy(self) -> bool:
+        """Whether a client waits for an answer."""
+        return any(clients.open_count for clients in self.clients)
+
+    def record(self, now: float) -> dict[str, Any]:
+        """The play's record, once all that could end has ended."""
+        for request in [request for clients in self.clients for request in clients.planned_requests if not request.outcome]:
+            self.judge.violation("1", now, f"txn {request.number} had no end")
+        return make_record(self.judge)
+
+    def last_request_seconds(self) -> float:
+        """How long the last request may still take, with all its tries."""
+        longest_ms = max(request_class.deadline_ms for request_class in self.scenario.request_classes)
+        try_count = 1 + self.scenario.clients.max_retries
+        return LAST_ANSWER_SECONDS + try_count * (longest_ms + TRY_MARGIN_MS) / 1000
--- /dev/null
+++ b/sloeferry/rehearsal/record.py
@@ -0,0 +1,167 @@
+"""The record of a play: service as the operators count it, and all figures worth telling, for one seed the same to the byte."""
+
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
+from itertools import pairwise
+from math import ceil
+from typing import Any
+
+from sloeferry.rehearsal.arrivals import PlannedRequest
+from sloeferry.rehearsal.judge import Judge
+from sloeferry.rehearsal.scenario import Scenario
+from sloeferry.stand_ins.wire_protocol import RequestOutcome
+
+WINDOW_SECONDS = 5.0
+MIN_WINDOW_RATIO = 1 / 4  # of the mean requests of a window: one with fewer is no worst one
+WINDOW_OUTCOMES = (RequestOutcome.SERVED, RequestOutcome.REJECTED, RequestOutcome.FAILED)
+RECORDED_OUTCOMES = (
+    RequestOutcome.SERVED,
+    RequestOutcome.REJECTED,
+    RequestOutcome.FAILED,
+    RequestOutcome.UNANSWERED,
+    RequestOutcome.PROXY_KILLED,
+    RequestOutcome.CLIENT_LEFT,
+    RequestOutcome.NOT_ACCEPTED,
+    RequestOutcome.PROXY_STOPPED,
+)
+
+Requests = Sequence[PlannedRequest]
+
+
+def make_record(judge: Judge) -> dict[str, Any]:
+    """A play's record; its keys are fixed, files that are kept have them."""
+    requests = [request for request in judge.planned_requests if request.outcome]
+    service = Service(judge.scenario)
+    windows = split_into_windows(requests, judge.scenario.seconds)
+    parts = service_parts(service, requests, windows)
+    costs = service_costs(judge, service, requests)
+    total = weighted_mean(judge.scenario, parts) - sum(costs.values())
+    return {
+        "scenario": judge.scenario.name,
+        "service": {
+            "total": rounded(total),
+            **{key: rounded(value) for key, value in parts.items()},
+            "prices": {key: rounded(value) for key, value in costs.items()},
+        },
+        "rules": dict(judge.violation_counts),
+        "breaches": judge.violation_texts,
+        "windows": [window_record(index, window, service) for index, window in enumerate(windows)],
+        "txns": request_counts(judge, service, requests),
+        "nodes": {
+            "choked": len(judge.congested_backends),
+            "fell": judge.pushed_over_count,
+            "work_s": rounded(judge.work_done_ms / 1000),
+        },
+    }
+
+
+@dataclass(frozen=True)
+class Service:
+    """Service: the part of the priority weight that was served within the latency objective."""
+
+    scenario: Scenario
+
+    def is_in_time(self, request: PlannedRequest) -> bool:
+        """Whether it was served within its latency objective."""
+        return request.outcome == RequestOutcome.SERVED and not self.is_past_objective(request)
+
+    def is_past_objective(self, request: PlannedRequest) -> bool:
+        """Whether it ended after its latency objective."""
+        objective_ms = self.scenario.request_classes[request.class_index].latency_objective_ms
+        return request.ended_at - request.first_sent_at > objective_ms / 1000
+
+    def weight(self, requests: Iterable[PlannedRequest]) -> float:
+        """Their priority weights together."""
+        classes = self.scenario.request_classes
+        return sum(classes[request.class_index].priority_weight for request in requests if not request.always_fails)
+
+    def ratio(self, requests: Requests) -> float | None:
+        """Service for some requests; None where nobody asked anything."""
+        weight = self.weight(requests)
+        return self.weight(filter(self.is_in_time, requests)) / weight if weight else None
+
+
+def split_into_windows(requests: Requests, seconds: float) -> list[list[PlannedRequest]]:
+    """Requests by the time at which they were first to be sent."""
+    windows: list[list[PlannedRequest]] = [[] for _ in range(max(1, ceil(seconds / WINDOW_SECONDS)))]
+    for request in requests:
+        windows[min(int(request.starts_at // WINDOW_SECONDS), len(windows) - 1)].append(request)
+    return windows
+
+
+def service_parts(service: Service, requests: Requests, windows: Sequence[Requests]) -> dict[str, float | None]:
+    """The parts that total service is made of."""
+    pairs = [first + second for first, second in pairwise(windows)] or windows
+    min_requests = len(requests) / len(windows) * MIN_WINDOW_RATIO
+    class_indexes = range(len(service.scenario.request_classes))
+    tenant_indexes = range(max(1, len(service.scenario.tenants)))
+    by_class = ([request for request in requests if request.class_index == index] for index in class_indexes)
+    by_tenant = ([request for request in requests if request.tenant_index == index] for index in tenant_indexes)
+    return {
+        "whole": service.ratio(requests),
+        "worst_10s": lowest(service.ratio(pair) for pair in pairs if len(pair) >= min_requests),
+        "worst_scheme": lowest(map(service.ratio, by_class)),
+        "worst_customer": lowest(map(service.ratio, by_tenant)),
+    }
+
+
+def weighted_mean(scenario: Scenario, parts: dict[str, float | None]) -> float:
+    """Of the parts of service; where nobody asked anything, nothing was left undone."""
+    weights = scenario.service_weights
+    part_weights = (weights.whole, weights.worst_10_seconds, weights.worst_class, weights.worst_tenant)
+    weighted = (weight * (1.0 if part is None else part) for weight, part in zip(part_weights, parts.values(), strict=True))
+    return sum(weighted) / sum(part_weights)
+
+
+def service_costs(judge: Judge, service: Service, requests: Requests) -> dict[str, float]:
+    """What is taken off service: work that helped nobody, bad news that came late, detours and health checks."""
+    costs = judge.scenario.costs
+    request_count = max(1, len(requests))
+    without_late_cost = (RequestOutcome.SERVED, RequestOutcome.CLIENT_LEFT)
+    late_weight = service.weight(
+        request for request in requests if request.outcome not in without_late_cost and service.is_past_objective(request)
+    )
+    useful_ms = sum(request.work_ms for request in requests if request.outcome == RequestOutcome.SERVED)
+    asked_ms = sum(request.work_ms for request in requests) or 1.0
+    wasted_ms = max(0.0, judge.work_done_ms + judge.health_check_work_ms - useful_ms)
+    return {
+        "waste": costs.wasted_work * wasted_ms / asked_ms,
+        "late": costs.late_answer * late_weight / (service.weight(requests) or 1.0),
+        "cross": costs.cross_zone * judge.cross_zone_count / request_count,
+        "probe": costs.health_check * judge.health_check_count / request_count,
+    }
+
+
+def window_record(index: int, window: Requests, service: Service) -> dict[str, Any]:
+    """One row of the table over time."""
+    return {
+        "at": rounded(index * WINDOW_SECONDS),
+        "asked": len(window),
+        "service": rounded(service.ratio(window)),
+        **{outcome.value: sum(request.outcome == outcome for request in window) for outcome in WINDOW_OUTCOMES},
+    }
+
+
+def request_counts(judge: Judge, service: Service, requests: Requests) -> dict[str, int]:
+    """How many requests ended in which way, and what was done for them."""
+    outcomes = [request.outcome for request in requests]
+    return {
+        "asked": len(requests),
+        "in_time": sum(map(service.is_in_time, requests)),
+        **{outcome.value: outcomes.count(outcome) for outcome in RECORDED_OUTCOMES},
+        "tries": sum(request.try_count for request in requests),
+        "postings": judge.attempt_count,
+        "runs_again": judge.repeated_run_count,
+        "probes": judge.health_check_count,
+        "crossings": judge.cross_zone_count,
+    }
+
+
+def lowest(values: Iterable[float | None]) -> float | None:
+    """The lowest of those that are known."""
+    return min((value for value in values if value is not None), default=None)
+
+
+def rounded(value: float | None) -> float | None:
+    """As figures stand in records."""
+    return None if value is None else round(value, 6)
--- a/sloeferry/stand_ins/__init__.py
+++ b/sloeferry/stand_ins/__init__.py
@@ -1,2 +1,4 @@
-"""Who stands round real proxies in every tool: nodes, discovery, callers, HTTP framing, the platform's settings, and
-daemons started and ended.  Written from the platform's protocol; loopback only.  The daemon imports none of it."""
+"""Stand-ins for everything round real proxies, shared by all tools: backends, discovery, clients, and proxy processes.
+
+Written from the platform's protocol; loopback only.  The proxy imports none of it.
+"""
--- a/sloeferry/stand_ins/call_failures.py
+++ b/sloeferry/stand_ins/call_failures.py
@@ -4,11 +4,12 @@
 answers may not come whole.
 """
 
+import asyncio
 import enum
 
-from sloeferry.stand_ins.http_messages import answer
+from sloeferry.stand_ins.http_messages import response
 
-LATE = 1.0  # seconds that a call waits in vain before discovery ends it
+LATE_REFUSAL_SECONDS = 1.0  # that a call waits in vain before discovery ends it
 
 
 class CallFailure(enum.Enum):
@@ -30,13 +31,13 @@
 HALF_A_LIST = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n" + b'{"revision": 1, "members": [{"id"'[:32] + b"\r\n"
 
 
-def fail(loop, transport, failure: CallFailure) -> None:
+def fail(loop: asyncio.AbstractEventLoop, transport: asyncio.Transport, failure: CallFailure) -> None:
     """Ends a call whose request has come, or leaves it without an answer."""
     if failure is CallFailure.REFUSED:
-        transport.write(answer(503))
+        transport.write(response(503))
         transport.close()
     elif failure is CallFailure.LATE_REFUSED:
-        loop.call_later(LATE, _refuse_late, transport)
+        loop.call_later(LATE_REFUSAL_SECONDS, _refuse_late, transport)
     elif failure is CallFailure.HALF:
         transport.write(HALF_A_LIST)
         transport.close()
@@ -44,7 +45,7 @@
         transport.abort()
 
 
-def _refuse_late(transport) -> None:
+def _refuse_late(transport: asyncio.Transport) -> None:
     if not transport.is_closing():
-        transport.write(answer(503))
+        transport.write(response(503))
         transport.close()
--- a/sloeferry/stand_ins/discovery.py
+++ b/sloeferry/stand_ins/discovery.py
@@ -1,219 +1,264 @@
-"""Stand-in discovery: the list of nodes, asked for or watched, which comes late, and at times not at all.
+"""Stand-in discovery: the list of backends, polled or watched, which comes late, and at times not at all.
 
-Each proxy is told an address of its own, so that it is known whom a list was written to, also where all proxies
-call from one address.
+Each proxy has an address of its own to call, so that it is known whom a list was written to, also where all proxies call
+from one address.
 """
 
 import asyncio
 import json
+from collections.abc import Collection, Mapping
+from random import Random
+from typing import TYPE_CHECKING
 
+from sloeferry.stand_ins.backend_list import BackendList, Document, Entry, ListView, make_entry, with_addresses
 from sloeferry.stand_ins.call_failures import CallFailure, fail
-from sloeferry.stand_ins.http_messages import Frames, answer
+from sloeferry.stand_ins.effect_log import EffectLog
+from sloeferry.stand_ins.http_messages import Message, MessageReader, response
+from sloeferry.stand_ins.wire_protocol import ENDPOINTS_PATH, BackendState
 
-ALIVE = 2.0  # seconds between empty lines of a watch
+if TYPE_CHECKING:
+    from sloeferry.rehearsal.scenario_tables import DiscoverySettings
+    from sloeferry.stand_ins.backends import StandInBackend
 
+KEEP_ALIVE_SECONDS = 2.0  # between empty lines of a watch
+LISTEN_BACKLOG = 256
+WATCH_HEAD = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n"
+EMPTY_LINE = b"1\r\n\n\r\n"
 
-class Roster:
-    def __init__(self, loop, told, addresses, judge, rng, unix):
-        self.loop, self.told, self.addresses, self.judge, self.rng, self.unix = loop, told, addresses, judge, rng, unix
-        self.members, self.changes, self.revision = {}, [], 0  # changes: (revision, ident)
-        self.servers, self.watches, self.free, self.more = {}, {}, 0.0, 0.0  # servers: proxy -> what it calls
-        self.failing = {}  # proxy -> how each of its calls fails (CallFailure)
-        self.lists, self.held = {}, {}  # proxy -> the list as it was last told, and its revision
-        self.log, self.views = [], {}  # all that was ever published; proxy -> what it is shown instead of the newest
-        self.ways = {}  # proxy, node -> host:port of the way between them, where it is not the node's own
 
-    async def start(self):
+class StandInDiscovery:
+    """One service for all proxies; `addresses` is what each proxy calls."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        settings: "DiscoverySettings",
+        addresses: Mapping[str, tuple[str, int]],
+        effect_log: EffectLog,
+        rng: Random,
+    ):
+        self.loop = loop
+        self.addresses = dict(addresses)
+        self.list = BackendList()
+        self.watches: dict[DiscoveryCall, None] = {}  # a set in the order of their coming
+        self.failures: dict[str, CallFailure] = {}  # by proxy: how each of its calls fails
+        self.extra_delay_seconds = 0.0  # until a change is listed
+        self._settings = settings
+        self._effect_log = effect_log
+        self._rng = rng
+        self._servers: dict[str, asyncio.AbstractServer] = {}  # by proxy
+        self._busy_until = 0.0
+        self._link_addresses: dict[str, dict[str, str]] = {}  # by proxy and backend: host:port of a link between them
+        self._views: dict[str, ListView] = {}  # by proxy
+        self._sent_entries: dict[str, dict[str, Entry]] = {}  # by proxy: the list as it was last sent
+        self._sent_revision: dict[str, int] = {}
+
+    # Up and down
+
+    async def start(self) -> None:
+        """Lets all proxies call."""
         for proxy in self.addresses:
-            await self.listen(proxy)
+            await self._listen(proxy)
 
-    async def listen(self, proxy):
-        """Lets that proxy call, from now on."""
-        self.servers[proxy] = await self.loop.create_server(lambda: Call(self, proxy), *self.addresses[proxy], backlog=256)
+    async def _listen(self, proxy: str) -> None:
+        self._servers[proxy] = await self.loop.create_server(
+            lambda: DiscoveryCall(self, proxy), *self.addresses[proxy], backlog=LISTEN_BACKLOG
+        )
 
-    def out(self):
-        """Down: watches end, nobody is let in."""
-        for server in self.servers.values():
+    def go_down(self) -> None:
+        """Watches end, nobody is let in."""
+        for server in self._servers.values():
             server.close()
-        self.servers = {}
+        self._servers = {}
         for watch in list(self.watches):
-            watch.transport.abort()
+            watch.abort()
 
-    async def back(self, further=0):
+    async def come_back(self, port_offset: int = 0) -> None:
         """There again, so many ports further on."""
-        self.addresses = {proxy: (host, port + further) for proxy, (host, port) in self.addresses.items()}
-        if not self.servers:
+        self.addresses = {proxy: (host, port + port_offset) for proxy, (host, port) in self.addresses.items()}
+        if not self._servers:
             await self.start()
 
-    def happened(self, node, phase, late, launched=None):
-        """A node has started, drains or is gone; listed after that time."""
-        self.loop.call_later(late + self.more, self.publish, node, phase, launched)
-
-    def publish(self, node, phase, launched=None):
-        self.revision += 1
-        entry = {
-            "id": node.ident,
-            "host_port": "{}:{}".format(*node.address),
-            "locality": node.zone,
-            "flavor": node.told.kind,
-            "cell": 0,
-            "phase": phase,
-            "size": 1.0,
-            "up_since_ms": self.members.get(node.ident, {}).get("up_since_ms", 0) if launched is None else round(launched * 1000),
-        }
-        self.members[node.ident] = entry
-        self.changes.append((self.revision, node.ident))
-        self.log.append((self.revision, self.loop.time(), entry))
-        self.judge.published(node.ident, phase, self.loop.time())
-        for watch in list(self.watches):
-            late = self.views.get(watch.proxy, (0.0, None))[0]
-            self.loop.call_later(late + self.rng.random() * self.told.spread_ms / 1000, watch.tell)
-
-    async def fail_calls(self, proxy, failure):
+    async def fail_calls(self, proxy: str, failure: CallFailure | None) -> None:
         """From now on each call of that proxy fails so, and its watches end; with None calls are answered again."""
         if failure is None:
-            failure = self.failing.pop(proxy, None)
-            if failure is CallFailure.UNREACHABLE and proxy not in self.servers:
-                await self.listen(proxy)
+            failure = self.failures.pop(proxy, None)
+            if failure is CallFailure.UNREACHABLE and proxy not in self._servers:
+                await self._listen(proxy)
             return
-        self.failing[proxy] = failure
-        if failure is CallFailure.UNREACHABLE and proxy in self.servers:
-            self.servers.pop(proxy).close()
-        self.hang_up({proxy})
-
-    # Replicas that lag, counts that start anew
-
-    def show(self, proxy, late=0.0, until=None):
-        """From now on that proxy is shown the list as it was `late` seconds ago, and nothing after `until`; with neither,
-        the newest."""
-        if late or until is not None:
-            self.views[proxy] = late, until
-        else:
-            self.views.pop(proxy, None)
-            for watch in list(self.watches):
-                if watch.proxy == proxy:
-                    watch.tell()
-
-    def hang_up(self, proxies):
+        self.failures[proxy] = failure
+        if failure is CallFailure.UNREACHABLE and proxy in self._servers:
+            self._servers.pop(proxy).close()
+        self.end_watches({proxy})
+
+    def end_watches(self, proxies: Collection[str]) -> None:
         """Ends their watches, so that they call again."""
         for watch in list(self.watches):
             if watch.proxy in proxies:
-                watch.transport.abort()
-
-    def anew(self):
-        """It has lost its count: what stands in the list is its revision 1."""
-        self.revision, self.changes, now = 1, [], self.loop.time()
-        self.members = {ident: entry for ident, entry in self.members.items() if entry["phase"] != "left"}
-        self.log = [(1, now, entry) for entry in self.members.values()]
-        self.hang_up(set(self.addresses))
-
-    def newest(self, proxy):
-        """The revision that this proxy is shown."""
-        if proxy not in self.views:
-            return self.revision
-        late, until = self.views[proxy]
-        until = min(self.loop.time() - late, until if until is not None else float("inf"))
-        return max((revision for revision, when, _ in self.log if when <= until), default=0)
-
-    def document(self, since=None, upto=None):
-        """All, or what changed after that revision, with the latest word for each; `upto`: as of an older one."""
-        members, changes, revision = self.members, self.changes, self.revision
-        if upto is not None and upto != revision:
-            members, revision = {entry["id"]: entry for at, _, entry in self.log if at <= upto}, upto
-            changes = [change for change in changes if change[0] <= upto]
-        if since is None:
-            entries = [entry for entry in members.values() if entry["phase"] != "left"]
-        else:
-            idents = dict.fromkeys(ident for at, ident in changes if at > since)
-            entries = [members[ident] for ident in idents]
-        return {"revision": revision, "complete": since is None, "members": entries}
-
-    def told_to(self, proxy, document):
-        """What is written to that proxy; the wire's own record of who has been told what."""
-        now, known = self.loop.time(), self.lists.setdefault(proxy, {})
-        if self.ways:
-            document = document | {
-                "members": [
-                    entry | {"host_port": self.ways.get((proxy, entry["id"]), entry["host_port"])}
-                    for entry in document["members"]
-                ]
-            }
-        self.held[proxy] = document["revision"]
-        self.judge.listed(proxy, document["revision"], now)
+                watch.abort()
+
+    def restart_count(self) -> None:
+        """It has lost its count of revisions: what stands in the list is its revision 1."""
+        self.list.restart_count(self.loop.time())
+        self.end_watches(set(self.addresses))
+
+    # Changes
+
+    def publish_later(
+        self, backend: "StandInBackend", state: BackendState, delay_seconds: float, started_at: float | None = None
+    ) -> None:
+        """As `publish`, after that time and what changes take longer now."""
+        self.loop.call_later(delay_seconds + self.extra_delay_seconds, self.publish, backend, state, started_at)
+
+    def publish(self, backend: "StandInBackend", state: str, started_at: float | None = None) -> None:
+        """A backend has started (Unix time, seconds), drains or is gone: listed, and sent to those who watch."""
+        backend_id = backend.backend_id
+        started_at_ms = self.list.started_at_ms(backend_id) if started_at is None else round(started_at * 1000)
+        entry = make_entry(backend_id, backend.address, backend.zone, backend.settings.machine_kind, state, started_at_ms)
+        now = self.loop.time()
+        self.list.publish(entry, now)
+        self._effect_log.state_published(backend_id, state, now)
+        for watch in list(self.watches):
+            view = self._views.get(watch.proxy)
+            delay_seconds = view.delay_seconds if view else 0.0
+            spread_seconds = self._rng.random() * self._settings.notification_spread_ms / 1000
+            self.loop.call_later(delay_seconds + spread_seconds, watch.send_changes)
+
+    # What a proxy is shown
+
+    def set_link_address(self, proxy: str, backend_id: str, address: str) -> None:
+        """That proxy is shown this address (host:port) in place of the backend's own."""
+        self._link_addresses.setdefault(proxy, {})[backend_id] = address
+
+    def show_older_list(self, proxy: str, delay_seconds: float = 0.0, until: float | None = None) -> None:
+        """From now on that proxy is shown the list as it was so long ago, and nothing after `until`."""
+        self._views[proxy] = ListView(delay_seconds) if until is None else ListView(delay_seconds, until)
+
+    def show_newest_list(self, proxy: str) -> None:
+        """From now on that proxy is shown the list as it is."""
+        self._views.pop(proxy, None)
+        for watch in list(self.watches):
+            if watch.proxy == proxy:
+                watch.send_changes()
+
+    def visible_revision(self, proxy: str) -> int:
+        """The newest revision that this proxy is shown."""
+        view = self._views.get(proxy)
+        if view is None:
+            return self.list.revision
+        return self.list.revision_at(min(self.loop.time() - view.delay_seconds, view.until))
+
+    def document_for(self, proxy: str, since: int | None) -> Document:
+        """What is written to that proxy next, and the record of it."""
+        document = self.list.document(since, self.visible_revision(proxy))
+        if proxy in self._link_addresses:
+            document = with_addresses(document, self._link_addresses[proxy])
+        self._record_sent(proxy, document)
+        return document
+
+    def _record_sent(self, proxy: str, document: Document) -> None:
+        now = self.loop.time()
+        sent = self._sent_entries.setdefault(proxy, {})
+        self._sent_revision[proxy] = document["revision"]
+        self._effect_log.list_sent(proxy, document["revision"], now)
         if document["complete"]:
-            named = {member["id"] for member in document["members"]}
-            for ident in [ident for ident in known if ident not in named]:
-                del known[ident]
-                self.judge.told(proxy, ident, "left", now)
+            listed = {entry["id"] for entry in document["members"]}
+            for backend_id in [backend_id for backend_id in sent if backend_id not in listed]:
+                del sent[backend_id]
+                self._effect_log.proxy_notified(proxy, backend_id, BackendState.GONE, now)
         for entry in document["members"]:
-            self.judge.told(proxy, entry["id"], entry["phase"], now, entry["up_since_ms"])
-            known[entry["id"]] = entry
-            if entry["phase"] == "left":
-                del known[entry["id"]]
-        return document
+            backend_id = entry["id"]
+            self._effect_log.proxy_notified(proxy, backend_id, entry["phase"], now, entry["up_since_ms"])
+            sent[backend_id] = entry
+            if entry["phase"] == BackendState.GONE:
+                del sent[backend_id]
 
-    def known_to(self, proxy):
+    def last_list_of(self, proxy: str) -> Document:
         """What a proxy that starts again is given: the list as it last had it."""
-        if proxy not in self.lists:
+        if proxy not in self._sent_entries:
             return {}
         # With the revision that it had: with the newest it would never be told what it missed.
-        return {"revision": self.held[proxy], "complete": True, "members": list(self.lists[proxy].values())}
-
-
-class Call(asyncio.Protocol):
-    def __init__(self, roster, proxy):
-        self.roster, self.proxy, self.frames, self.since, self.transport = roster, proxy, Frames(), None, None
-        self.beat = None
-
-    def connection_made(self, transport):
-        self.transport = transport
-
-    def connection_lost(self, fault):
-        self.roster.watches.pop(self, None)
-        if self.beat:
-            self.beat.cancel()
-
-    def data_received(self, data):
-        for line, _, _ in self.frames.feed(data):
-            if failure := self.roster.failing.get(self.proxy):
-                fail(self.roster.loop, self.transport, failure)
-                continue
-            path, _, query = line.split(b" ")[1].partition(b"?")
-            if path != b"/v1/endpoints":
-                self.transport.write(answer(404))
-                continue
-            # One service for all: calls are worked through in turn.
-            roster, now = self.roster, self.roster.loop.time()
-            roster.free = max(roster.free, now) + roster.told.call_ms / 1000
-            roster.loop.call_later(
-                roster.free - now, self.serve, dict(part.partition(b"=")[::2] for part in query.split(b"&") if part)
-            )
-
-    def serve(self, query):
-        if self.transport.is_closing():
+        entries = list(self._sent_entries[proxy].values())
+        return {"revision": self._sent_revision[proxy], "complete": True, "members": entries}
+
+    def turn_seconds(self) -> float:
+        """One service for all, calls are worked through in turn: how long one that has just come waits and takes."""
+        now = self.loop.time()
+        self._busy_until = max(self._busy_until, now) + self._settings.call_ms / 1000
+        return self._busy_until - now
+
+
+class DiscoveryCall(asyncio.Protocol):
+    """A proxy's connection: it polls, or watches."""
+
+    def __init__(self, discovery: StandInDiscovery, proxy: str):
+        self.proxy = proxy
+        self._discovery = discovery
+        self._reader = MessageReader()
+        self._transport: asyncio.Transport | None = None
+        self._sent_revision = 0
+        self._keep_alive_timer: asyncio.TimerHandle | None = None
+
+    def connection_made(self, transport: asyncio.Transport) -> None:
+        """As asyncio calls it."""
+        self._transport = transport
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """As asyncio calls it."""
+        self._discovery.watches.pop(self, None)
+        if self._keep_alive_timer:
+            self._keep_alive_timer.cancel()
+
+    def data_received(self, data: bytes) -> None:
+        """As asyncio calls it."""
+        for message in self._reader.feed(data):
+            self._take(message)
+
+    def _take(self, message: Message) -> None:
+        discovery = self._discovery
+        if failure := discovery.failures.get(self.proxy):
+            fail(discovery.loop, self._transport, failure)
+            return
+        path, _, query = message.first_line.split(b" ")[1].partition(b"?")
+        if path != ENDPOINTS_PATH:
+            self._transport.write(response(404))
+            return
+        parameters = dict(part.partition(b"=")[::2] for part in query.split(b"&") if part)
+        discovery.loop.call_later(discovery.turn_seconds(), self._serve, parameters)
+
+    def _serve(self, parameters: Mapping[bytes, bytes]) -> None:
+        if self._transport.is_closing():
+            return
+        discovery = self._discovery
+        index = parameters.get(b"index", b"")
+        is_known = index.isdigit() and int(index) <= discovery.visible_revision(self.proxy)
+        since = int(index) if is_known else None
+        if parameters.get(b"stream") != b"1":
+            document = discovery.document_for(self.proxy, since)
+            self._transport.write(response(200, json.dumps(document).encode()))
             return
-        index, newest = query.get(b"index", b""), self.roster.newest(self.proxy)
-        since = int(index) if index.isdigit() and int(index) <= newest else None
-        document = self.roster.document(since, newest)
-        if query.get(b"stream") != b"1":
-            document = self.roster.told_to(self.proxy, document)
-            return self.transport.write(answer(200, json.dumps(document).encode()))
-        self.transport.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self.roster.watches[self] = None
-        self.line(document)
-        self.beat = self.roster.loop.call_later(ALIVE, self.alive)
-
-    def line(self, document):
-        text = json.dumps(self.roster.told_to(self.proxy, document)).encode() + b"\n"
-        self.since = document["revision"]
-        self.transport.write(b"%x\r\n%b\r\n" % (len(text), text))
-
-    def tell(self):
-        newest = self.roster.newest(self.proxy)
-        if not self.transport.is_closing() and self.since < newest:
-            self.line(self.roster.document(self.since, newest))
-
-    def alive(self):
-        if not self.transport.is_closing():
-            self.transport.write(b"1\r\n\n\r\n")
-            self.beat = self.roster.loop.call_later(ALIVE, self.alive)
+        self._transport.write(WATCH_HEAD)
+        discovery.watches[self] = None
+        self._send_line(since)
+        self._keep_alive_timer = discovery.loop.call_later(KEEP_ALIVE_SECONDS, self._keep_alive)
+
+    def _send_line(self, since: int | None) -> None:
+        document = self._discovery.document_for(self.proxy, since)
+        line = json.dumps(document).encode() + b"\n"
+        self._sent_revision = document["revision"]
+        self._transport.write(b"%x\r\n%b\r\n" % (len(line), line))
+
+    def send_changes(self) -> None:
+        """Sends what a watch has not been sent yet, if there is any."""
+        is_behind = self._sent_revision < self._discovery.visible_revision(self.proxy)
+        if not self._transport.is_closing() and is_behind:
+            self._send_line(self._sent_revision)
+
+    def abort(self) -> None:
+        """Resets it."""
+        self._transport.abort()
+
+    def _keep_alive(self) -> None:
+        if not self._transport.is_closing():
+            self._transport.write(EMPTY_LINE)
+            self._keep_alive_timer = self._discovery.loop.call_later(KEEP_ALIVE_SECONDS, self._keep_alive)
--- a/sloeferry/stand_ins/http_messages.py
+++ b/sloeferry/stand_ins/http_messages.py
@@ -1,76 +1,124 @@
-"""As much of HTTP/1.1 as stand-ins need: whole messages, with a stated length or in chunks, out of bytes as they come."""
+"""As much of HTTP/1.1 as stand-ins need: whole messages, with a content length or chunked, out of bytes as they come."""
 
 import re
+from collections.abc import Sequence
+from typing import NamedTuple
 
-LENGTH = re.compile(rb"(?i)\r\ncontent-length: *(\d+)")
+CONTENT_LENGTH = re.compile(rb"(?i)\r\ncontent-length: *(\d+)")
 CHUNKED = re.compile(rb"(?i)\r\ntransfer-encoding: *chunked")
 FIELD = re.compile(rb"\r\n([^:\r\n]+): *([^\r\n]*)")
+LINE_END = b"\r\n"
+HEAD_END = b"\r\n\r\n"
 
 
-class Frames:
-    """Bytes in, messages out; `begun` while one is there in part."""
+class Message(NamedTuple):
+    """One request or response; names of fields are in lower case."""
 
-    __slots__ = ("rest", "need")
+    first_line: bytes
+    fields: dict[bytes, bytes]
+    body: bytes
+
+
+class ChunkedBody(NamedTuple):
+    """A chunked body, or None while it is not complete.
+
+    `position` is where a complete body ends, else how many bytes it takes at least to see more.
+    """
+
+    body: bytes | None
+    position: int
+
+
+class MessageReader:
+    """Bytes in, messages out."""
+
+    __slots__ = ("_unread", "_bytes_needed")
 
     def __init__(self):
-        self.rest, self.need = b"", 0
+        self._unread = b""
+        self._bytes_needed = 0  # before it is worth looking again
 
     @property
-    def begun(self):
-        return bool(self.rest)
-
-    def feed(self, data):
-        """All that is whole now, as (first line, fields, body)."""
-        self.rest += data
-        found = []
-        while len(self.rest) >= self.need and (end := self.rest.find(b"\r\n\r\n")) >= 0:
-            if CHUNKED.search(self.rest, 0, end + 2):
-                body, whole = dechunked(self.rest, end + 4)
-                if body is None:
-                    self.need = max(whole, len(self.rest) + 1)
-                    break
-            else:
-                length = LENGTH.search(self.rest, 0, end + 2)
-                whole = end + 4 + (int(length[1]) if length else 0)
-                if len(self.rest) < whole:
-                    self.need = whole  # not looked at again before it is there
-                    break
-                body = self.rest[end + 4 : whole]
-            head, self.rest, self.need = self.rest[:end], self.rest[whole:], 0
-            found.append((head.partition(b"\r\n")[0], {name.lower(): value for name, value in FIELD.findall(head)}, body))
-        return found
-
-
-def dechunked(data, at):
-    """The body of the chunks that begin there, and where they end; None and how many bytes it takes to see more."""
-    parts = []
-    while (end := data.find(b"\r\n", at)) >= 0:
-        size = int(data[at:end].partition(b";")[0], 16)
+    def has_partial_message(self) -> bool:
+        """Whether a message has begun and is not complete."""
+        return bool(self._unread)
+
+    def feed(self, data: bytes) -> list[Message]:
+        """All messages that are complete now."""
+        self._unread += data
+        messages = []
+        while len(self._unread) >= self._bytes_needed and (head_end := self._unread.find(HEAD_END)) >= 0:
+            message = self._take(head_end)
+            if message is None:
+                break
+            messages.append(message)
+        return messages
+
+    def _take(self, head_end: int) -> Message | None:
+        """The message whose head ends there; None while it is not complete."""
+        body_start = head_end + len(HEAD_END)
+        if CHUNKED.search(self._unread, 0, head_end + len(LINE_END)):
+            body, end = decode_chunked(self._unread, body_start)
+            if body is None:
+                self._bytes_needed = max(end, len(self._unread) + 1)
+                return None
+        else:
+            length = CONTENT_LENGTH.search(self._unread, 0, head_end + len(LINE_END))
+            end = body_start + (int(length[1]) if length else 0)
+            if len(self._unread) < end:
+                self._bytes_needed = end
+                return None
+            body = self._unread[body_start:end]
+        head = self._unread[:head_end]
+        self._unread = self._unread[end:]
+        self._bytes_needed = 0
+        fields = {name.lower(): value for name, value in FIELD.findall(head)}
+        return Message(head.partition(LINE_END)[0], fields, body)
+
+
+def decode_chunked(data: bytes, start: int) -> ChunkedBody:
+    """The body of the chunks that begin at `start`."""
+    chunks = []
+    position = start
+    while (size_end := data.find(LINE_END, position)) >= 0:
+        size = int(data[position:size_end].partition(b";")[0], 16)
         if not size:
-            while (line := data.find(b"\r\n", end + 2)) > end + 2:  # trailers
-                end = line
-            return (b"".join(parts), end + 4) if line == end + 2 else (None, 0)
-        at = end + 2 + size + 2
-        if len(data) < at:
-            return None, at
-        parts.append(data[end + 2 : at - 2])
-    return None, 0
+            return _after_last_chunk(data, size_end, b"".join(chunks))
+        position = size_end + len(LINE_END) + size + len(LINE_END)
+        if len(data) < position:
+            return ChunkedBody(None, position)
+        chunks.append(data[size_end + len(LINE_END) : position - len(LINE_END)])
+    return ChunkedBody(None, 0)
 
 
-def chunked(body, sizes):
-    """A body in chunks of those sizes, over and over, with an extension and a trailer that would do harm as a header."""
-    text, at, turn = b"", 0, 0
-    while at < len(body):
-        part = body[at : at + sizes[turn % len(sizes)]]
-        text += b"%x%b\r\n%b\r\n" % (len(part), b";a=b" if turn % 2 else b"", part)
-        at, turn = at + len(part), turn + 1
-    return text + b"0\r\nX-Call-Class: another\r\nX-Tail: 1\r\n\r\n"
+def _after_last_chunk(data: bytes, line_end: int, body: bytes) -> ChunkedBody:
+    """Skips trailers; `line_end` is the end of the last chunk's size line."""
+    while (next_end := data.find(LINE_END, line_end + len(LINE_END))) > line_end + len(LINE_END):
+        line_end = next_end
+    if next_end == line_end + len(LINE_END):
+        return ChunkedBody(body, line_end + len(HEAD_END))
+    return ChunkedBody(None, 0)
 
 
-def content(ident, size):
+def encode_chunked(body: bytes, sizes: Sequence[int]) -> bytes:
+    """A body in chunks of those sizes, over and over, with an extension and a trailer that would do harm as a header."""
+    encoded = b""
+    position = 0
+    chunk_count = 0
+    while position < len(body):
+        chunk = body[position : position + sizes[chunk_count % len(sizes)]]
+        extension = b";a=b" if chunk_count % 2 else b""
+        encoded += b"%x%b\r\n%b\r\n" % (len(chunk), extension, chunk)
+        position += len(chunk)
+        chunk_count += 1
+    return encoded + b"0\r\nX-Call-Class: another\r\nX-Tail: 1\r\n\r\n"
+
+
+def request_body(request_id: bytes, size_bytes: int) -> bytes:
     """The body of one request: its own, so that another's, or a part of it, is known for what it is."""
-    return (ident * (size // len(ident) + 1))[:size]
+    return (request_id * (size_bytes // len(request_id) + 1))[:size_bytes]
 
 
-def answer(status, body=b"", more=b""):
-    return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n%b\r\n%b" % (status, len(body), more, body)
+def response(status: int, body: bytes = b"", header_lines: bytes = b"") -> bytes:
+    """A complete response; `header_lines` end in CRLF each."""
+    return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n%b\r\n%b" % (status, len(body), header_lines, body)
--- a/sloeferry/stand_ins/platform.py
+++ b/sloeferry/stand_ins/platform.py
@@ -1,90 +1,145 @@
 """What the platform writes for a proxy: its settings and its configuration, times in microseconds."""
 
-KINDS = {"repeatable": "retryable", "referenced": "dedup", "once-only": "fragile"}  # on the platform's wire
+from collections.abc import Collection, Mapping, Sequence
+from dataclasses import dataclass
+from typing import Any
 
+from sloeferry.stand_ins.wire_protocol import RequestKind
 
-def scheme(name, kind, sla_ms, expiry_ms, gain, group="all", window_ms=0.0):
+# On the platform's wire.
+KIND_WORDS = {
+    RequestKind.IDEMPOTENT: "retryable",
+    RequestKind.DEDUPLICATED: "dedup",
+    RequestKind.NON_IDEMPOTENT: "fragile",
+}
+MAX_ATTEMPTS = 4
+CONNECT_TIMEOUT_US = 200_000
+TICK_US = 1000
+US_PER_MS = 1000
+US_PER_SECOND = 1e6
+
+Address = tuple[str, int] | str
+
+
+@dataclass(frozen=True)
+class ObligationTerms:
+    """What a proxy owes backends and discovery."""
+
+    slow_start_seconds: float = 0.0  # for which a backend that has started warms up
+    slow_start_initial_ratio: float = 1.0  # of its capacity, that it has at its start
+    drain_grace_ms: float = 250.0
+    overload_window_ms: float = 1500.0
+    overload_multiple: float = 3.0
+    poll_within_seconds: float = 10.0
+
+    def as_settings(self) -> dict[str, float]:
+        """As the platform writes them."""
+        return {
+            "drain_grace": self.drain_grace_ms * US_PER_MS,
+            "cold": self.slow_start_seconds * US_PER_SECOND,
+            "cold_from": self.slow_start_initial_ratio,
+            "fall": self.overload_window_ms * US_PER_MS,
+            "fall_multiple": self.overload_multiple,
+            "must_ask_in": self.poll_within_seconds * US_PER_SECOND,
+        }
+
+
+DEFAULT_OBLIGATIONS = ObligationTerms()
+
+
+def request_class_settings(
+    name: str,
+    kind: str,
+    latency_objective_ms: float,
+    deadline_ms: float,
+    priority_weight: float,
+    deduplication_group: str = "all",
+    deduplication_window_ms: float = 0.0,
+) -> dict[str, Any]:
     """The settings of one request class."""
     return {
         "name": name,
-        "idempotency": KINDS[kind],
-        "group": group,
-        "sla_time": sla_ms * 1000,
-        "expiry": expiry_ms * 1000,
-        "gain": gain,
-        "dedup_window": window_ms * 1000,
+        "idempotency": KIND_WORDS[kind],
+        "group": deduplication_group,
+        "sla_time": latency_objective_ms * US_PER_MS,
+        "expiry": deadline_ms * US_PER_MS,
+        "gain": priority_weight,
+        "dedup_window": deduplication_window_ms * US_PER_MS,
     }
 
 
-def settings(
-    schemes,
-    customers,
+def proxy_settings(
+    request_classes: Sequence[Mapping[str, Any]],
+    tenants: Sequence[tuple[str, float]],
     *,
-    instances,
-    ordinal,
-    zones,
-    kinds,
-    discovery="subscribe",
-    idle_s=30.0,
-    cold_s=0.0,
-    cold_from=1.0,
-    drain_grace_ms=250.0,
-    fall_ms=1500.0,
-    fall_multiple=3.0,
-    must_ask_in_s=10.0,
-    cross_zone=0.005,
-    probe=0.002,
-):
-    """The settings of the proxy of that ordinal; `schemes` as `scheme` makes them, `customers` (name, share)."""
+    instance_count: int,
+    ordinal: int,
+    zones: Sequence[str],
+    machine_kinds: Collection[str],
+    discovery_mode: str = "subscribe",
+    idle_timeout_seconds: float = 30.0,
+    obligations: ObligationTerms = DEFAULT_OBLIGATIONS,
+    cross_zone_cost: float = 0.005,
+    health_check_cost: float = 0.002,
+) -> dict[str, Any]:
+    """The settings of the proxy of that ordinal.
+
+    `request_classes` as `request_class_settings` makes them, `tenants` are (name, share).
+    """
     return {
-        "instances": instances,
+        "instances": instance_count,
         "ordinal": ordinal,
         "zone": ordinal % len(zones),
         "zones": list(zones),
-        "kinds": sorted(kinds),
-        "step": 1000,
-        "discovery": discovery,
-        "schemes": schemes,
-        "tenants": [{"name": name, "share": share} for name, share in customers],
+        "kinds": sorted(machine_kinds),
+        "step": TICK_US,
+        "discovery": discovery_mode,
+        "schemes": request_classes,
+        "tenants": [{"name": name, "share": share} for name, share in tenants],
         "limits": {
-            "most_postings": 4,
+            "most_postings": MAX_ATTEMPTS,
             "second_copies": True,
             "cancel": True,
             "probing": True,
             "retry_after": True,
-            "conn_idle": idle_s * 1e6,
-            "dial_timeout": 200_000,
-        },
-        "obligations": {
-            "drain_grace": drain_grace_ms * 1000,
-            "cold": cold_s * 1e6,
-            "cold_from": cold_from,
-            "fall": fall_ms * 1000,
-            "fall_multiple": fall_multiple,
-            "must_ask_in": must_ask_in_s * 1e6,
+            "conn_idle": idle_timeout_seconds * US_PER_SECOND,
+            "dial_timeout": CONNECT_TIMEOUT_US,
         },
-        "tariffs": {"cross_zone": cross_zone, "probe": probe},
+        "obligations": obligations.as_settings(),
+        "tariffs": {"cross_zone": cross_zone_cost, "probe": health_check_cost},
         "load_info": {"fields": ["inflight", "queue", "util"], "via": "answers"},
     }
 
 
-def berth(name, listen, discovery, settings, *, seed, sockets=1024, memory_mb=192, cores=1.0, ops=None, known=None):
-    """The configuration of one proxy; addresses are (host, port)."""
-    told = {
+def instance_config(
+    name: str,
+    listen: Address,
+    discovery: Address,
+    settings: Mapping[str, Any],
+    *,
+    seed: int,
+    max_sockets: int = 1024,
+    memory_mb: float = 192,
+    cores: float = 1.0,
+    admin: Address | None = None,
+    known_list: Mapping[str, Any] | None = None,
+) -> dict[str, Any]:
+    """The configuration of one proxy; `known_list` is the endpoint list that an earlier process had."""
+    config = {
         "name": name,
-        "listen": place(listen),
-        "discovery": place(discovery),
+        "listen": format_address(listen),
+        "discovery": format_address(discovery),
         "seed": f"{seed:x}",
-        "limits": {"cores": cores, "sockets": sockets, "memory_mb": memory_mb},
+        "limits": {"cores": cores, "sockets": max_sockets, "memory_mb": memory_mb},
         "settings": settings,
     }
-    if ops:
-        told["ops"] = place(ops)
-    if known is not None:
-        told["known"] = known
-    return told
+    if admin:
+        config["ops"] = format_address(admin)
+    if known_list is not None:
+        config["known"] = known_list
+    return config
 
 
-def place(address):
+def format_address(address: Address) -> str:
     """An address as configurations spell it."""
     return address if isinstance(address, str) else "{}:{}".format(*address)
--- /dev/null
+++ b/sloeferry/stand_ins/request_handler.py
@@ -0,0 +1,182 @@
+"""What a stand-in backend does with a request: takes it in, has it run, and answers it.
+
+Errors, losses and truncated responses are drawn here.
+"""
+
+import json
+from collections.abc import Mapping
+from random import Random
+from typing import TYPE_CHECKING, NamedTuple
+
+from sloeferry.stand_ins import wire_protocol
+from sloeferry.stand_ins.deduplication import DeduplicationStore
+from sloeferry.stand_ins.effect_log import RecentWork
+from sloeferry.stand_ins.http_messages import Message, response
+from sloeferry.stand_ins.wire_protocol import RequestKind
+from sloeferry.stand_ins.work_queue import Job
+
+if TYPE_CHECKING:
+    from sloeferry.rehearsal.scenario_tables import RequestClass
+    from sloeferry.stand_ins.backend_connection import BackendConnection
+    from sloeferry.stand_ins.backends import StandInBackend
+
+MAX_WORK_MULTIPLE = 2.0  # of its class's mean, that one request counts in slow start: nobody knew that it was heavier
+HEALTH_CHECK_WORK_MS = 0.04
+TRUNCATED_RESPONSE = b"HTTP/1.1 200 X\r\nContent-Le"
+IDLE_REPORT = b'{"inflight":0,"queue":0,"util":0.0}'
+
+
+class LinkFault(NamedTuple):
+    """What is wrong between a backend and a proxy."""
+
+    loss_odds: float = 0.0  # of a request; half of them are lost on their way, half of them with their response
+    delay_seconds: float = 0.0  # more, each way
+
+
+NO_LINK_FAULT = LinkFault()
+
+
+class RequestHandler:
+    """The requests of one backend."""
+
+    def __init__(self, backend: "StandInBackend", deduplication_stores: Mapping[str, DeduplicationStore], rng: Random):
+        self._backend = backend
+        self._effect_log = backend.effect_log
+        self._settings = backend.settings
+        self._deduplication_stores = deduplication_stores
+        self._rng = rng
+        self._report = b""
+        self._reported_at = 0.0
+
+    # A request's way in
+
+    def received(self, connection: "BackendConnection", message: Message, began_at: float) -> None:
+        """A complete request has come; `began_at` is when its first byte came, in seconds."""
+        backend = self._backend
+        request_id = message.fields.get(wire_protocol.REQUEST_ID)
+        if request_id is not None and self._effect_log.request_class(request_id):
+            self._effect_log.attempt_received(backend.backend_id, backend.zone, request_id, began_at)
+            if wire_protocol.ACTED_ON in message.fields:
+                versions = message.fields[wire_protocol.ACTED_ON]
+                self._effect_log.acted_on_received(backend.backend_id, request_id, versions, backend.loop.time())
+            fault = self._link_fault(request_id)
+            if fault.loss_odds and self._rng.random() < fault.loss_odds / 2:
+                return
+            if fault.delay_seconds:
+                backend.loop.call_later(fault.delay_seconds, backend.request_arrived, connection, message)
+                return
+        backend.request_arrived(connection, message)
+
+    def handle(self, connection: "BackendConnection", message: Message, received_at: float) -> None:
+        """A request's turn to be looked at; its last byte came earlier if the backend stood still."""
+        backend = self._backend
+        path = message.first_line.split(b" ")[1]
+        if path in (wire_protocol.LOAD_PATH, wire_protocol.HEALTH_PATH):
+            self._effect_log.health_check_received(backend.backend_id, HEALTH_CHECK_WORK_MS)
+            connection.respond(response(200, self.load_report() if path == wire_protocol.LOAD_PATH else b""))
+            return
+        request_id = message.fields.get(wire_protocol.REQUEST_ID, b"")
+        request_class = self._effect_log.request_class(request_id)
+        if request_class is None:
+            text = f"{backend.backend_id} was sent an id that nobody asked: {request_id!r}"
+            self._effect_log.violation("protocol", backend.loop.time(), text)
+            connection.respond(response(400))
+            return
+        # An error says nothing of what ran: half of them come at once, half when all has been done.
+        if self._effect_log.always_fails(request_id) or backend.error_odds and self._rng.random() < backend.error_odds / 2:
+            connection.respond(response(500, b"", self._report_header()))
+            return
+        work_ms = self._effect_log.work_ms(request_id)
+        if self._is_pushed_over(request_id, min(work_ms, MAX_WORK_MULTIPLE * request_class.work_ms)):
+            return
+        if self._backend.in_flight() >= self._settings.cores * (1 + self._settings.queue_per_core):
+            self.reject(connection)
+            return
+        job = Job(request_id, work_ms, connection)
+        if not self._is_repeat(job, message, request_class, received_at):
+            backend.work.add(job)
+
+    def _is_pushed_over(self, request_id: bytes, work_ms: float) -> bool:
+        """Sent more than it can do for a while, a backend that warms up falls over and stays down."""
+        backend = self._backend
+        now = backend.loop.time()
+        if not backend.warm_up.is_pushed_over(RecentWork(now, work_ms, request_id)):
+            return False
+        capacity_ratio = backend.warm_up.capacity_ratio(now)
+        self._effect_log.backend_pushed_over(backend.backend_id, now, capacity_ratio, backend.warm_up.recent_work())
+        backend.crash()
+        return True
+
+    def _is_repeat(self, job: Job, message: Message, request_class: "RequestClass", received_at: float) -> bool:
+        """Whether its idempotency key is known: then it gets its answer with the first of that key."""
+        if request_class.kind != RequestKind.DEDUPLICATED:
+            return False
+        # By when it came: for how long a backend then stands still is no fault of who sent it in time.
+        job.key_entry, is_repeat = self._deduplication_stores[request_class.deduplication_group].look_up(
+            message.fields.get(wire_protocol.IDEMPOTENCY_KEY), received_at, request_class.deduplication_window_ms / 1000
+        )
+        if is_repeat and job.key_entry.is_done:
+            self._respond(job.connection, job.request_id)
+        elif is_repeat:
+            job.key_entry.wait(job.connection, job.request_id)
+        return is_repeat
+
+    # Its way out
+
+    def reject(self, connection: "BackendConnection") -> None:
+        """Rejects a request that has not run."""
+        connection.respond(response(503, b"", wire_protocol.REJECTED_HEADER + self._report_header()))
+
+    def job_done(self, job: Job) -> None:
+        """Answers a request that is done, and the repeats that have waited for it."""
+        if job.key_entry is not None:
+            for waiting in job.key_entry.finish():
+                self._respond(waiting.connection, waiting.request_id)
+        self._respond(job.connection, job.request_id)
+
+    def _link_fault(self, request_id: bytes) -> LinkFault:
+        """Of the link to the proxy that has this request."""
+        link_faults = self._backend.link_faults
+        if not link_faults:
+            return NO_LINK_FAULT
+        return link_faults.get(self._effect_log.proxy_of(request_id), NO_LINK_FAULT)
+
+    def _respond(self, connection: "BackendConnection", request_id: bytes) -> None:
+        fault = self._link_fault(request_id)
+        if fault.loss_odds and self._rng.random() < fault.loss_odds / 2:
+            return  # done, and nobody hears of it
+        if fault.delay_seconds:
+            self._backend.loop.call_later(fault.delay_seconds, self._respond_now, connection, request_id)
+        else:
+            self._respond_now(connection, request_id)
+
+    def _respond_now(self, connection: "BackendConnection", request_id: bytes) -> None:
+        if self._backend.error_odds and self._rng.random() < self._backend.error_odds / 2:
+            connection.respond(response(500, b"", self._report_header()))
+            return
+        if self._backend.truncation_odds and self._rng.random() < self._backend.truncation_odds:
+            connection.truncate(TRUNCATED_RESPONSE)
+            return
+        self._backend.served_count += 1
+        body = request_id.ljust(self._effect_log.response_bytes(request_id))
+        connection.respond(response(200, body, self._report_header()))
+
+    def _report_header(self) -> bytes:
+        return b"X-Load-Report: %b\r\n" % self.load_report()
+
+    def load_report(self) -> bytes:
+        """Its load as it was lately."""
+        backend = self._backend
+        now = backend.loop.time()
+        if backend.report_override == "idle":
+            return IDLE_REPORT
+        is_old = backend.report_override != "stuck" and now - self._reported_at >= self._settings.report_interval_ms / 1000
+        if not self._report or is_old:
+            values = {
+                "inflight": backend.in_flight(),
+                "queue": len(backend.work.waiting),
+                "util": round(len(backend.work.running) / self._settings.cores, 2),
+            }
+            self._report = json.dumps(values, separators=(",", ":")).encode()
+            self._reported_at = now
+        return self._report
