--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -9,6 +9,8 @@
 import subprocess
 import sys
 import tempfile
+import types
+import typing
 import unittest
 from unittest import mock
 
@@ -27,13 +29,17 @@
 from sloeferry.policy.interface import EndpointState
 from sloeferry.policy.safety_rules import SafetyRules
 from sloeferry.policy.slow_start import SlowStart
-from sloeferry.rehearsal import faults as troubles
 from sloeferry.rehearsal import judge, live, play
-from sloeferry.rehearsal import proxy_fleet as bank
 from sloeferry.rehearsal import scenario as s
+from sloeferry.rehearsal.arrivals import plan_requests
 from sloeferry.rehearsal.cli import rehearse
-from sloeferry.rehearsal.network import SENT, Epoll, Host, Net
-from sloeferry.rehearsal.virtual_time import BEGIN, Process, World
+from sloeferry.rehearsal.faults import FaultInjector
+from sloeferry.rehearsal.network import SimulatedHost, SimulatedNetwork
+from sloeferry.rehearsal.scenario_faults import ScenarioFault
+from sloeferry.rehearsal.simulated_epoll import SimulatedEpoll
+from sloeferry.rehearsal.simulated_process import SimulatedProcess
+from sloeferry.rehearsal.simulated_socket import WINDOW_BYTES
+from sloeferry.rehearsal.virtual_time import START_SECONDS, Scheduler
 from tests import trace
 
 HERE = pathlib.Path(__file__).parent
@@ -47,7 +53,7 @@
     for old, new in lines:
         assert old in text, old
         text = text.replace(old, new)
-    return s.checked(text, "squall")
+    return s.parse(text, "squall")
 
 
 class Quay(trace.Lines):
@@ -55,30 +61,31 @@
 
     def __init__(self, seed=1, **net):
         super().__init__()
-        self.world = World(seed)
-        self.net = Net(self.world, same=0.001, cross=0.01, **net)
+        self.scheduler = Scheduler(seed)
+        self.net = SimulatedNetwork(self.scheduler, same_zone_seconds=0.001, cross_zone_seconds=0.01, **net)
         self.here, self.there = (
-            Process(self.world, Host(self.net, ip, zone), ip) for ip, zone in (("127.0.0.1", "a"), ("127.0.0.2", "b"))
+            SimulatedProcess(self.scheduler, SimulatedHost(self.net, ip, zone), ip)
+            for ip, zone in (("127.0.0.1", "a"), ("127.0.0.2", "b"))
         )
 
     def say(self, text):
-        self.lines.append(f"{1000 * (self.world.monotonic() - BEGIN):9.3f}  {text}")
+        self.lines.append(f"{1000 * (self.scheduler.monotonic() - START_SECONDS):9.3f}  {text}")
 
     def run(self, *works, seconds=30):
         for process, work in works:
             process.create_task(work)
-        self.world.run(self.world.now + seconds)
-        self.lines += self.world.faults
-        self.world.end()
+        self.scheduler.run(self.scheduler.now + seconds)
+        self.lines += self.scheduler.process_errors
+        self.scheduler.close()
 
     def listener(self, most=4, port=80):
-        sock = self.net.sock(self.there)
+        sock = self.net.socket(self.there)
         sock.bind(("127.0.0.2", port))
         sock.listen(most)
         return sock
 
     async def dial(self, process, name, port=80, host="127.0.0.2"):
-        sock = self.net.sock(process)
+        sock = self.net.socket(process)
         try:
             await process.sock_connect(sock, (host, port))
             self.say(f"{name} is connected")
@@ -101,7 +108,7 @@
         quay = Quay()
 
         async def course():
-            here, there, world = quay.here, quay.there, quay.world
+            here, there, scheduler = quay.here, quay.there, quay.scheduler
             await quay.dial(here, "dial to nobody's port")
             listener = quay.listener(most=1)
             one = await quay.dial(here, "one")
@@ -131,7 +138,7 @@
             except OSError as fault:
                 quay.say(f"one: {errno.errorcode[fault.errno]}")
             listener.close()
-            crossing = quay.net.sock(here)
+            crossing = quay.net.socket(here)
             again = quay.listener(port=81)
             dial = here.create_task(here.sock_connect(crossing, ("127.0.0.2", 81)))
             await asyncio.sleep(0.015)  # it has arrived, and the listener closes before anybody took it
@@ -144,22 +151,24 @@
             third = quay.listener(port=82)
             four = await quay.dial(here, "four", 82)
             five = third.accept()[0]
-            there.host.cut = True
+            there.host.is_cut_off = True
             await here.sock_sendall(four, b"into nothing")
             here.create_task(quay.dial(here, "six", 82))
             await asyncio.sleep(5)
-            quay.say(f"cut off: the other end has {sum(map(len, five.inbox))} bytes, four is {'up' if four.up else 'down'}")
-            there.host.cut = False
+            quay.say(
+                f"cut off: the other end has {sum(map(len, five.inbox))} bytes, four is {'up' if four.is_established else 'down'}"
+            )
+            there.host.is_cut_off = False
             there.kill()  # it comes back as a new process, which knows of no connection
             await quay.read(here, four, "four")
-            world.current.call_soon(quay.say, "end")
+            scheduler.current.call_soon(quay.say, "end")
 
         quay.run((quay.here, course()))
         trace.compare(self, quay, "rehearsal_network")
 
     @settings(max_examples=25, deadline=None)
     @given(
-        st.lists(st.integers(1, 3 * SENT // 2), min_size=1, max_size=5),
+        st.lists(st.integers(1, 3 * WINDOW_BYTES // 2), min_size=1, max_size=5),
         st.floats(0, 0.9),
         st.integers(1, 9999),
         st.integers(1, 5),
@@ -167,11 +176,11 @@
     def test_bytes(self, sizes, pieces, room, seed):
         """Whatever the pieces and the reader's room, what arrives is what was sent, in order, and no more than
         a window of it is ever under way."""
-        quay, got, most = Quay(seed, pieces=pieces, jitter=0.5), bytearray(), 0
+        quay, got, most = Quay(seed, split_odds=pieces, jitter_ratio=0.5), bytearray(), 0
         sent = b"".join(bytes([at % 251]) * size for at, size in enumerate(sizes, 1))
 
         async def give():
-            sock = quay.net.sock(quay.here)
+            sock = quay.net.socket(quay.here)
             await quay.here.sock_connect(sock, ("127.0.0.2", 80))
             await quay.here.sock_sendall(sock, sent)
             sock.close()
@@ -186,19 +195,19 @@
                     await asyncio.sleep(0.01)
             buffer = bytearray(max(room, 512))
             while n := await quay.there.sock_recv_into(sock, buffer):
-                most = max(most, sock.peer.out)
+                most = max(most, sock.peer.unread_bytes)
                 got.extend(buffer[:n])
 
         listener = quay.listener()
         quay.run((quay.there, take()), (quay.here, give()), seconds=3000)
         self.assertFalse(quay.lines)
         self.assertEqual(bytes(got), sent)
-        self.assertLessEqual(most, SENT)
+        self.assertLessEqual(most, WINDOW_BYTES)
 
     def test_epoll(self):
         """One-shot: said once for what is there, and again only once it is armed again."""
         quay = Quay()
-        epoll, seen = Epoll(quay.net), []
+        epoll, seen = SimulatedEpoll(quay.net), []
 
         async def course():
             listener = quay.listener()
@@ -230,7 +239,7 @@
             await asyncio.sleep(1)
             quay.say("slept for a second")
             quay.here.call_later(0.1, quay.say, "due while it was halted for two seconds")
-            quay.world.after(0.05, quay.here.halt, 2)
+            quay.scheduler.call_later(0.05, quay.here.pause, 2)
             await asyncio.sleep(0)
 
         quay.run((quay.here, course()))
@@ -242,7 +251,8 @@
         """Every shipped scenario can be read, is called as its file, and every trouble has its part."""
         for name in s.shipped():
             self.assertEqual(s.read(name).name, name)
-        self.assertEqual(troubles.known(), [])
+        handlers = FaultInjector(types.SimpleNamespace(loop=None)).handlers
+        self.assertEqual(set(typing.get_args(ScenarioFault)), set(handlers))
         self.assertGreaterEqual(
             set(s.shipped()),
             set(
@@ -263,7 +273,7 @@
             ),
         )
         large = s.read("large")
-        self.assertGreaterEqual((large.bank.proxies, sum(n.count for n in large.nodes)), (32, 200))
+        self.assertGreaterEqual((large.proxies.count, sum(n.count for n in large.backends)), (32, 200))
 
     def test_faults(self):
         """A fault names its key, and the command line ends with it and nothing started."""
@@ -286,7 +296,7 @@
         ):
             self.assertIn(old, text)
             with self.assertRaises(s.ScenarioError) as caught:
-                s.checked(text.replace(old, new, 1))
+                s.parse(text.replace(old, new, 1))
             lines.lines.append(f"{new.splitlines()[-1]}  ->  {caught.exception}")
         trace.compare(self, lines, "rehearsal_faults")
         for words in (
@@ -387,7 +397,7 @@
     def test_other_luck(self):
         """Another draw of chance on the same day: the same txns are asked, other things come of them."""
         told = squall(lines=[("seconds = 9", "seconds = 3"), *EARLY])
-        one, other = (play.play(told, 5, chance=chance) for chance in (0, 1))
+        one, other = (play.play(told, 5, luck=luck) for luck in (0, 1))
         self.assertEqual(one["txns"]["asked"], other["txns"]["asked"])
         self.assertEqual([w["asked"] for w in one["windows"]], [w["asked"] for w in other["windows"]])
         self.assertNotEqual(one["world"], other["world"])
@@ -406,7 +416,7 @@
         """A short play with real daemons ends, with every txn counted; how it went is the machine's affair."""
         told = squall(lines=[("seconds = 9", "seconds = 2"), ("proxies = 3", "proxies = 2"), ("[[9, 70]]", "[[2, 30]]"), *EARLY])
         record = live.play(told, 1)
-        self.assertEqual(record["txns"]["asked"], len(bank.arrivals(told, live.Street(None, 1, "").rng("arrivals"))))
+        self.assertEqual(record["txns"]["asked"], len(plan_requests(told, live.LiveEnvironment(None, 1, "").rng("arrivals"))))
         self.assertEqual(record["rules"]["crash"], 0)
 
 
@@ -478,18 +488,18 @@
     def test_clients_that_leave(self):
         """Guards Facade.goes_on: of clients that leave in bursts, many while their proxy stands still, none has its
         request sent on 0.3 s after that."""
-        told, posted = s.read(HERE / "leavers.toml"), judge.Judge.posted
+        told, posted = s.read(HERE / "leavers.toml"), judge.Judge.attempt_received
 
         def sent_on():
             found = []
 
             def noted(judged, node, zone, ident, since):
                 one = judged.tries[ident]
-                if one.ask.leaves and not one.answered:
-                    found.append(since > (one.at + one.ends) / 2 + 0.3)
+                if one.planned.leaves_early and not one.answered_at:
+                    found.append(since > (one.sent_at + one.deadline) / 2 + 0.3)
                 posted(judged, node, zone, ident, since)
 
-            with mock.patch.object(judge.Judge, "posted", noted):
+            with mock.patch.object(judge.Judge, "attempt_received", noted):
                 play.play(told, 2)
             return len(found), sum(found)
 
@@ -504,7 +514,7 @@
         told = s.read(HERE / "untold.toml")
         record = play.play(told, 3)
         self.assertEqual((record["breaches"], record["nodes"]["fell"]), ([], 1))
-        at_once = s.checked((HERE / "untold.toml").read_text().replace("add_s = 2", "add_s = 0"))
+        at_once = s.parse((HERE / "untold.toml").read_text().replace("add_s = 2", "add_s = 0"))
         with mock.patch.object(SlowStart, "may_send", lambda *_: True):
             self.assertEqual(self.broken(told, 3, "round-robin")[0], {})
             rules, texts = self.broken(at_once, 3, "round-robin")
@@ -623,7 +633,7 @@
         """A program that ends, be it by a part that should never end or by its own will."""
         for part, code in (("sweep", 3), ("look_after_requests", None)):
 
-            async def ends(self):
+            async def ends(self, code=code):
                 await asyncio.sleep(1)
                 if code:
                     sys.exit(code)
