--- a/sloeferry/stand_ins/discovery.py
+++ b/sloeferry/stand_ins/discovery.py
@@ -134,9 +134,11 @@
         """From now on that proxy is shown the list as it was so long ago, and nothing after `until`."""
         self._views[proxy] = ListView(delay_seconds) if until is None else ListView(delay_seconds, until)
 
-    def show_newest_list(self, proxy: str) -> None:
-        """From now on that proxy is shown the list as it is."""
+    def show_newest_list(self, proxy: str, has_watch_told: bool = True) -> None:
+        """From now on that proxy is shown the list as it is; unless told, its watch has missed what changed before."""
         self._views.pop(proxy, None)
+        if not has_watch_told:
+            return
         for watch in list(self.watches):
             if watch.proxy == proxy:
                 watch.send_changes()
