--- a/sloeferry/fault_testing/cli.py
+++ b/sloeferry/fault_testing/cli.py
@@ -11,8 +11,8 @@
 
 from sloeferry.fault_testing import plan as p
 from sloeferry.rehearsal import scenario as s
-from sloeferry.rehearsal.cli import keep, say_shipped
-from sloeferry.rehearsal.cli import short as told_short
+from sloeferry.rehearsal.cli import print_shipped, write_record
+from sloeferry.rehearsal.report import format_record
 
 MEMORY = "/dev/shm"
 ERRORS_SHOWN = 3  # lines of a proxy's log
@@ -79,13 +79,13 @@
         scenario, without = p.twin(told)
         said = play_virtual(scenario, seed)
         said["without"] = without
-        text, broken = told_short(said), any(said["rules"].values()) or bool(said["faults"])
+        text, broken = format_record(said), any(said["rules"].values()) or bool(said["faults"])
         text += f"\n  without: {', '.join(without)}" if without else ""
     else:
         said = play_real(p.text(plan), told, seed, proxies, nodes, plant, keep_logs)
         text, broken = short(said), said["verdict"] == "broken"
     whole = json.dumps(said, indent=1, sort_keys=True) + "\n"
-    keep(record, whole)
+    write_record(record, whole)
     click.echo(whole if as_json else text, nl=not as_json)
     sys.exit(1 if broken else 3 if said.get("verdict") == "void" else 0)
 
@@ -125,7 +125,7 @@
 @rig.command("list")
 def list_all():
     """The plans that are shipped."""
-    say_shipped(p, 16)
+    print_shipped(p.shipped(), p.read, 16)
 
 
 @rig.command()
@@ -135,8 +135,8 @@
     told = p.read(plan)
     _, without = p.twin(told)
     click.echo(
-        f"{told.name}: {told.seconds:g} s, {told.bank.proxies} proxies, {sum(n.count for n in told.nodes)} nodes, "
-        f"{len(told.trouble)} troubles, {len(told.fault)} faults: good"
+        f"{told.name}: {told.seconds:g} s, {told.proxies.count} proxies, {sum(n.count for n in told.backends)} nodes, "
+        f"{len(told.scenario_faults)} troubles, {len(told.fault)} faults: good"
     )
     click.echo("  in virtual time: " + (f"all but {', '.join(without)}" if without else "all of it"))
 
--- a/sloeferry/fault_testing/event_recorder.py
+++ b/sloeferry/fault_testing/event_recorder.py
@@ -10,19 +10,20 @@
 
 import msgspec
 
-from sloeferry.rehearsal.judge import arrivals
-from sloeferry.stand_ins.effect_log import Ledger
-from sloeferry.stand_ins.http_messages import content
+from sloeferry.rehearsal.arrivals import plan_requests
+from sloeferry.stand_ins.effect_log import EffectLog
+from sloeferry.stand_ins.http_messages import request_body
+from sloeferry.stand_ins.wire_protocol import RequestOutcome, outcome_of_status
 
 BEAT = 0.02  # seconds between two looks at how late a process runs
 encode = msgspec.json.encode
 
 
-class Scribe(Ledger):
+class Scribe(EffectLog):
     def __init__(self, plan, seed, path, clock):
         self.plan, self.clock, self.file = plan, clock, open(path, "wb", 1 << 18)
-        self.asks = arrivals(plan, Random(f"{seed}/arrivals"))
-        self.begin, self.slack = 0.0, plan.obligations.slack_ms / 1000
+        self.asks = plan_requests(plan, Random(f"{seed}/arrivals"))
+        self.began_at, self.slack_seconds = 0.0, plan.obligations.slack_ms / 1000
 
     def note(self, at, what, *more):
         # A loop's own time is that of its pass, in whole ms: what comes first is told by the machine's clock.
@@ -48,91 +49,91 @@
             return None
         return self.asks[number] if 0 <= number < len(self.asks) else None
 
-    def scheme(self, ident):
+    def request_class(self, ident):
         found = self.ask(ident)
-        return found and self.plan.scheme[found.scheme]
+        return found and self.plan.request_classes[found.class_index]
 
-    def work(self, ident):
-        return self.ask(ident).work
+    def work_ms(self, ident):
+        return self.ask(ident).work_ms
 
-    def bad(self, ident):
-        return self.ask(ident).bad
+    def always_fails(self, ident):
+        return self.ask(ident).always_fails
 
-    def body_size(self, ident):
-        scheme = self.scheme(ident)
-        return scheme.body if scheme.kind != "repeatable" else 0
+    def body_bytes(self, ident):
+        scheme = self.request_class(ident)
+        return scheme.body_bytes if scheme.kind != "repeatable" else 0
 
     # What callers tell
 
-    def asked(self, ident, ask, proxy, now, ends):
+    def request_started(self, ident, ask, proxy, now, ends):
         self.note(now, "asked", ident.decode(), proxy, ends)
 
-    def sent(self, ident, now, ends):
+    def request_written(self, ident, now, ends):
         self.note(now, "sent", ident.decode(), ends)
 
-    def answered(self, ident, now, status, body):
-        own = status != 200 or body == ident.ljust(self.answer_size(ident))
+    def response_received(self, ident, now, status, body):
+        own = status != 200 or body == ident.ljust(self.response_bytes(ident))
         self.note(now, "answered", ident.decode(), status, own)
-        return "settled" if status == 200 else "declined" if status in (429, 503) else "reversed"
+        return outcome_of_status(status)
 
-    def unheard(self, ident):
+    def may_send_again(self, ident):
         """Whether it crossed the end of its connection is known only once all records are there: not asked again."""
         self.note(self.clock(), "crossed", ident.decode())
         return False
 
-    def lost(self, ident, now, why):
+    def response_missing(self, ident, now, why):
         self.note(now, "lost", ident.decode(), why)
-        return "lost"
+        return RequestOutcome.UNANSWERED
 
-    def ended(self, ask, how, now):
-        ask.how, ask.ended = how, now
-        self.note(now, "ended", ask.number, how, ask.first, ask.tries)
+    def request_ended(self, ask, how, now):
+        ask.outcome, ask.ended_at = how, now
+        self.note(now, "ended", ask.number, how, ask.first_sent_at, ask.try_count)
 
     # What nodes tell
 
-    def got(self, node, ident, body, now):
-        if ident is not None and self.scheme(ident) and body != content(ident, self.body_size(ident)):
+    def body_received(self, node, ident, body, now):
+        if ident is not None and self.request_class(ident) and body != request_body(ident, self.body_bytes(ident)):
             self.note(now, "breach", "protocol", f"{node} got a body of {len(body)} bytes that is not {ident.decode()}'s own")
 
-    def posted(self, node, zone, ident, since):
+    def attempt_received(self, node, zone, ident, since):
         self.note(self.clock(), "posted", node, zone, ident.decode(), since)
 
-    def acted(self, node, ident, said, now):
+    def acted_on_received(self, node, ident, said, now):
         self.note(now, "acted", node, ident.decode(), said.decode("latin-1"))
 
-    def ran(self, node, ident, now):
+    def request_ran(self, node, ident, now):
         self.note(now, "ran", node, ident.decode())
 
-    def choked(self, node):
+    def congestion_began(self, node):
         self.note(self.clock(), "choked", node)
 
-    def fell(self, node, now, warmth, sent):
+    def backend_pushed_over(self, node, now, warmth, sent):
         self.note(now, "fell", node, warmth, [(then, work, ident.decode()) for then, work, ident in sent])
 
-    def breach(self, rule, now, text):
+    def violation(self, rule, now, text):
         self.note(now, "breach", rule, text)
 
     # What discovery and the play tell
 
-    def told(self, proxy, node, phase, now, launched=0):
+    def proxy_notified(self, proxy, node, phase, now, launched=0):
         self.note(now, "told", proxy, node, phase, launched)
 
-    def listed(self, proxy, revision, now):
+    def list_sent(self, proxy, revision, now):
         self.note(now, "listed", proxy, revision)
 
-    def published(self, node, phase, now):
+    def state_published(self, node, phase, now):
         self.note(now, "published", node, phase)
 
-    def started(self, node, now, launched):
+    def backend_started(self, node, now, launched):
         self.note(now, "started", node, launched)
 
-    def was_killed(self, proxy, now):
+    def proxy_killed(self, proxy, now):
         self.note(now, "killed", proxy)
 
-    def crashed(self, proxy, now, how):
+    def proxy_crashed(self, proxy, now, how):
         self.note(now, "crashed", proxy, how)
 
-    def stopped(self, proxy, now, until):
+    def proxy_stopped(self, proxy, now, until):
         self.note(now, "stopped", proxy, until)
 
 
--- a/sloeferry/fault_testing/fault_actions.py
+++ b/sloeferry/fault_testing/fault_actions.py
@@ -16,8 +16,10 @@
 from sloeferry.fault_testing import plan as p
 from sloeferry.fault_testing.event_recorder import BEAT, Scribe
 from sloeferry.fault_testing.link_relay import Link
-from sloeferry.stand_ins.backends import Memory, Node
-from sloeferry.stand_ins.clients import Callers, Front
+from sloeferry.stand_ins.backends import StandInBackend
+from sloeferry.stand_ins.clients import StandInClients
+from sloeferry.stand_ins.connection_balancer import ConnectionBalancer, ProxyPlace
+from sloeferry.stand_ins.deduplication import DeduplicationStore
 
 
 def say(**what):
@@ -46,10 +48,12 @@
         self.nodes, self.memories, self.leaving = {}, {}, {}
 
     async def make(self, at, ident, address, zone, kind):
-        memories = {group: self.memories.setdefault(where, Memory()) for group, where in (("all", ""), ("zone", zone))}
-        self.nodes[at] = Node(
+        memories = {
+            group: self.memories.setdefault(where, DeduplicationStore()) for group, where in (("all", ""), ("zone", zone))
+        }
+        self.nodes[at] = StandInBackend(
             self.loop,
-            self.plan.nodes[kind],
+            self.plan.backends[kind],
             ident,
             tuple(address),
             zone,
@@ -64,11 +68,11 @@
         say(up=at)
 
     async def die(self, at):
-        self.nodes[at].die()
+        self.nodes[at].crash()
         self.leaving.pop(at, None)
 
     async def refuse(self, at, so):
-        self.nodes[at].refuse(so)
+        self.nodes[at].refuse_connections(so)
 
     async def stall(self, at, seconds):
         self.nodes[at].stall(seconds)
@@ -77,12 +81,12 @@
         self.nodes[at].change(**what)
 
     async def report(self, at):
-        self.nodes[at].report()
+        self.nodes[at].refresh_report()
 
     async def leave(self, at):
         """Whoever drains says when nothing is left to do."""
         node = self.nodes[at]
-        if node.up and node.crowd():
+        if node.is_up and node.in_flight():
             self.loop.call_later(BEAT, lambda: self.loop.create_task(self.leave(at)))
         else:
             say(idle=at)
@@ -93,8 +97,8 @@
 
     async def open(self):
         told, zones = self.told, self.plan.network.zones
-        places = [(name, tuple(address), zone) for name, address, zone in told["places"]]
-        self.front, self.callers = Front(self.loop, self.plan.front, places), []
+        places = [ProxyPlace(name, tuple(address), zone) for name, address, zone in told["places"]]
+        self.front, self.callers = ConnectionBalancer(self.loop, self.plan.balancer, places), []
         for at, zone in enumerate(zones):
             asks = [
                 ask
@@ -102,7 +106,7 @@
                 if ask.client % len(zones) == at and ask.client // len(zones) % told["of"] == told["number"]
             ]
             self.callers.append(
-                Callers(
+                StandInClients(
                     self.loop,
                     self.plan,
                     zone,
@@ -114,13 +118,13 @@
             )
 
     async def begin(self, now):
-        self.scribe.begin = now
+        self.scribe.began_at = now
         for callers in self.callers:
             callers.begin(now)
         self.loop.call_at(now + self.plan.seconds, self.open_still)
 
     def open_still(self):
-        say(open=sum(callers.open for callers in self.callers))
+        say(open=sum(callers.open_count for callers in self.callers))
         self.loop.call_later(0.1, self.open_still)
 
     async def alive(self, name, so):
--- a/sloeferry/fault_testing/link_relay.py
+++ b/sloeferry/fault_testing/link_relay.py
@@ -7,7 +7,7 @@
 import socket
 import struct
 
-from sloeferry.stand_ins.http_messages import Frames
+from sloeferry.stand_ins.http_messages import MessageReader
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: what is closed then is reset
 
@@ -57,7 +57,7 @@
     def __init__(self, link):
         self.link, self.near, self.far, self.held, self.half = link, None, None, [], False
         self.due = {True: 0.0, False: 0.0}  # until when something is on its way, delayed
-        self.gone, self.frames, self.since = {True: 0, False: 0}, Frames() if link.heads else None, None
+        self.gone, self.frames, self.since = {True: 0, False: 0}, MessageReader() if link.heads else None, None
         link.pipes[self] = None
 
     async def dial(self):
--- a/sloeferry/fault_testing/plan.py
+++ b/sloeferry/fault_testing/plan.py
@@ -12,7 +12,12 @@
 
 from sloeferry.fault_testing import draw, draw_soak
 from sloeferry.rehearsal import scenario as s
-from sloeferry.rehearsal.scenario import Above, From0, Part, ScenarioError, Table
+from sloeferry.rehearsal import scenario_faults as f
+from sloeferry.rehearsal.scenario import ScenarioError
+from sloeferry.rehearsal.scenario_tables import NonNegative as From0
+from sloeferry.rehearsal.scenario_tables import Positive as Above
+from sloeferry.rehearsal.scenario_tables import Ratio as Part
+from sloeferry.rehearsal.scenario_tables import Table
 
 SHIPPED = pathlib.Path(__file__).parent / "plans"
 MOST = 400  # proxies on one machine
@@ -133,9 +138,9 @@
 BETWEEN = Hold | Delay | Cut | HalfOpen | Break
 LIST = ListOut | ListLag | ListOlder | ListAnew | ListFail
 # What the rehearsal kit has too, and as what.
-TWIN = {Kill: s.ProxiesDie, Stop: s.ProxiesStop, Term: s.ProxiesRoll, ListOut: s.DiscoveryOut}
+TWIN = {Kill: f.ProxyCrash, Stop: f.ProxyPause, Term: f.ProxyRollingRestart, ListOut: f.DiscoveryOutage}
 # Troubles of scenarios that a rig of processes has not: they live in the nodes' ways and the virtual network.
-VIRTUAL_ONLY = (s.OneSided, s.LossyWay, s.DiscoveryMove, s.ProxiesStarve, s.ProxiesQuiesce, s.DiscoveryOut)
+VIRTUAL_ONLY = (f.OneSidedLoss, f.LossyZoneLink, f.DiscoveryMove, f.ProxyCpuLimit, f.ProxyQuiesce, f.DiscoveryOutage)
 
 
 class Plan(s.Scenario, kw_only=True):
@@ -152,7 +157,9 @@
     """The text of a plan: a shipped name, `drawn-` and a seed, or a path."""
     if drawn := re.fullmatch(r"(drawn|soak)-(\d{1,9})", str(said)):
         return (draw.text if drawn[1] == "drawn" else draw_soak.text)(int(drawn[2]))
-    return s.text(SHIPPED / f"{said}.toml" if str(said) in shipped() else pathlib.Path(said), [*shipped(), "drawn-N", "soak-N"])
+    return s.read_text(
+        SHIPPED / f"{said}.toml" if str(said) in shipped() else pathlib.Path(said), [*shipped(), "drawn-N", "soak-N"]
+    )
 
 
 def read(said):
@@ -161,16 +168,16 @@
 
 
 def checked(text, name="plan"):
-    told = s.checked(text, name, Plan)
+    told = s.parse(text, name, Plan)
 
     def no(key, why):
         raise ScenarioError(f"{name}: {key}: {why}")
 
-    if told.bank.proxies > MOST:
-        no("bank.proxies", f"{told.bank.proxies} are too many for one machine, {MOST} at most")
+    if told.proxies.count > MOST:
+        no("bank.proxies", f"{told.proxies.count} are too many for one machine, {MOST} at most")
     if told.clock:
         no("clock", "a machine's own clock is never set; use a fault")
-    for at, trouble in enumerate(told.trouble):
+    for at, trouble in enumerate(told.scenario_faults):
         if isinstance(trouble, VIRTUAL_ONLY):
             no(f"trouble[{at}].what", "exists in virtual time alone; see the faults")
     if told.rig.audit_s and told.rig.audit_s > told.seconds:
@@ -179,7 +186,7 @@
         if fault.at + fault.lasts > told.seconds:
             no(f"fault[{at}].lasts", "goes on past the end")
         for number in fault.proxies:
-            if number >= told.bank.proxies:
+            if number >= told.proxies.count:
                 no(f"fault[{at}].proxies", f"there is no proxy {number}")
     return told
 
@@ -187,36 +194,36 @@
 def altered(told, proxies=None, nodes=None):
     """The same plan with so many proxies, and so many nodes in all; load goes with the nodes."""
     if proxies:
-        told = msgspec.structs.replace(told, bank=msgspec.structs.replace(told.bank, proxies=proxies))
+        told = msgspec.structs.replace(told, proxies=msgspec.structs.replace(told.proxies, count=proxies))
     if nodes:
-        have = sum(n.count for n in told.nodes)
-        counts = [max(1, round(n.count * nodes / have)) for n in told.nodes]
-        curve = [(length, rate * sum(counts) / have) for length, rate in told.callers.curve]
+        have = sum(n.count for n in told.backends)
+        counts = [max(1, round(n.count * nodes / have)) for n in told.backends]
+        curve = [(length, rate * sum(counts) / have) for length, rate in told.clients.load_curve]
         told = msgspec.structs.replace(
             told,
-            nodes=[msgspec.structs.replace(n, count=count) for n, count in zip(told.nodes, counts)],
-            callers=msgspec.structs.replace(told.callers, curve=curve),
+            backends=[msgspec.structs.replace(n, count=count) for n, count in zip(told.backends, counts)],
+            clients=msgspec.structs.replace(told.clients, load_curve=curve),
         )
     return told
 
 
 def twin(told):
     """The scenario that plays in virtual time, and what of the plan has no part there."""
-    troubles, without = list(told.trouble), []
+    troubles, without = list(told.scenario_faults), []
     for fault in told.fault:
         kind = TWIN.get(type(fault))
         if kind is None:
             without.append(word(fault))
-        elif kind is s.ProxiesStop:
-            troubles.append(kind(at=fault.at, part=share(told, fault), ms=fault.lasts * 1000))
+        elif kind is f.ProxyPause:
+            troubles.append(kind(at=fault.at, part=share(told, fault), pause_ms=fault.lasts * 1000))
         else:
             troubles.append(kind(at=fault.at, part=share(told, fault), lasts=fault.lasts))
     fields = {name: getattr(told, name) for name in s.Scenario.__struct_fields__}
-    return s.Scenario(**{**fields, "trouble": troubles}), without
+    return s.Scenario(**{**fields, "scenario_faults": troubles}), without
 
 
 def share(told, fault):
-    return len(fault.proxies) / told.bank.proxies if fault.proxies else fault.part
+    return len(fault.proxies) / told.proxies.count if fault.proxies else fault.part
 
 
 def word(fault):
--- a/sloeferry/fault_testing/verdict.py
+++ b/sloeferry/fault_testing/verdict.py
@@ -8,7 +8,11 @@
 from random import Random
 
 from sloeferry.fault_testing.event_recorder import read
-from sloeferry.rehearsal.judge import Judge, arrivals
+from sloeferry.rehearsal.arrivals import plan_requests
+from sloeferry.rehearsal.judge import Judge
+from sloeferry.rehearsal.record import make_record
+from sloeferry.stand_ins.effect_log import RecentWork
+from sloeferry.stand_ins.wire_protocol import RequestOutcome
 
 MOMENT = 0.4  # seconds in which who was told may not have taken it in yet
 SHOWN = 14  # events of one txn that are printed beside a broken rule
@@ -17,47 +21,47 @@
 class Bench(Judge):
     """A judge that hears all at once, in order, what a rehearsal's is told as it happens."""
 
-    def __post_init__(self):
-        super().__post_init__()
+    def __init__(self, scenario, planned_requests):
+        super().__init__(scenario, planned_requests)
         self.entered, self.apart, self.hows, self.crossed = {}, defaultdict(list), {}, set()
         self.after, self.unfed, self.deferred = {}, defaultdict(list), []
         self.unreached = defaultdict(list)  # proxy -> spans in which discovery could not be reached from there
         self.audit, self.auditing, self.history, self.old = None, None, defaultdict(list), []
         self.late, self.by_ident, self.about, self.lists = defaultdict(float), defaultdict(list), [], {}
 
-    def breach(self, rule, now, text):
-        super().breach(rule, now, text)
+    def violation(self, rule, now, text):
+        super().violation(rule, now, text)
         self.about.append((rule, now, text))
 
     def kept_apart(self, found, now):
         """Whether a fault was on the link between a try's caller and its proxy while it was under way."""
-        return any(since <= now and until >= found.at for since, until in self.apart[found.proxy])
+        return any(since <= now and until >= found.sent_at for since, until in self.apart[found.proxy])
 
-    def stood(self, found):
-        return super().stood(found) or self.kept_apart(found, found.ends)
+    def was_proxy_stopped(self, found):
+        return super().was_proxy_stopped(found) or self.kept_apart(found, found.deadline)
 
-    def posted(self, node, zone, ident, since):
+    def attempt_received(self, node, zone, ident, since):
         # Held on its way to the proxy, it had less time than the proxy could know.
         found = self.tries[ident]
-        ends = found.ends
+        ends = found.deadline
         if self.kept_apart(found, ends):
-            found.ends = float("inf")
-        super().posted(node, zone, ident, since)
-        found.ends = ends
+            found.deadline = float("inf")
+        super().attempt_received(node, zone, ident, since)
+        found.deadline = ends
 
     def on_refused(self, at, link):
         between, _, ends = link.partition("/")
         if between == "callers":  # a relay took the connection for a proxy that was not there
             self.apart["p" + ends].append((at - MOMENT / 4, at + MOMENT / 4))
 
-    def lost(self, ident, now, why):
+    def response_missing(self, ident, now, why):
         found = self.tries[ident]
         # Its link was cut or held by a fault: nobody could have answered there.
         if self.kept_apart(found, now):
             return "apart"
-        if ident in self.crossed and not found.posted and not self.died(found):
-            return "untaken"  # it crossed the proxy's closing of an idle connection
-        return super().lost(ident, now, why)
+        if ident in self.crossed and not found.attempt_count and not self.was_proxy_killed(found):
+            return RequestOutcome.NOT_ACCEPTED  # it crossed the proxy's closing of an idle connection
+        return super().response_missing(ident, now, why)
 
     def hear(self, event):
         at, what, *more = event
@@ -68,49 +72,49 @@
             call(at, *more)
 
     def on_begin(self, at):
-        self.begin = at
+        self.began_at = at
 
     def on_asked(self, at, ident, proxy, ends):
         ident = ident.encode()
-        self.asked(ident, self.asks[int(ident[:12], 16)], proxy, at, ends)
+        self.request_started(ident, self.planned_requests[int(ident[:12], 16)], proxy, at, ends)
 
     def on_sent(self, at, ident, ends):
-        self.sent(ident.encode(), at, ends)
+        self.request_written(ident.encode(), at, ends)
 
     def on_answered(self, at, ident, status, own):
         ident = ident.encode()
-        body = ident.ljust(self.scheme(ident).answer) if own else b""
-        self.answered(ident, at, status, body)
+        body = ident.ljust(self.request_class(ident).response_bytes) if own else b""
+        self.response_received(ident, at, status, body)
 
     def on_crossed(self, at, ident):
         self.crossed.add(ident.encode())
 
     def on_lost(self, at, ident, why):
-        self.hows[int(ident[:12], 16)] = self.lost(ident.encode(), at, why)
+        self.hows[int(ident[:12], 16)] = self.response_missing(ident.encode(), at, why)
 
     def on_ended(self, at, number, how, first, tries):
-        ask = self.asks[number]
-        ask.first, ask.tries = first, tries
-        self.ended(ask, self.hows.get(number, how) if how == "lost" else how, at)
+        ask = self.planned_requests[number]
+        ask.first_sent_at, ask.try_count = first, tries
+        self.request_ended(ask, self.hows.get(number, how) if how == "lost" else how, at)
 
     def on_entered(self, at, link, ident, since):
         self.entered[f"s-{int(link.rpartition('/')[2]):04x}", ident] = since
 
     def on_posted(self, at, node, zone, ident, since):
         # On its way through a link it may have waited: it was sent when its first byte went in.
-        self.posted(node, zone, ident.encode(), self.entered.pop((node, ident), since))
+        self.attempt_received(node, zone, ident.encode(), self.entered.pop((node, ident), since))
 
     def on_ran(self, at, node, ident):
-        self.ran(node, ident.encode(), at)
+        self.request_ran(node, ident.encode(), at)
 
     def on_fell(self, at, node, warmth, sent):
-        self.fell(node, at, warmth, [(then, work, ident.encode()) for then, work, ident in sent])
+        self.backend_pushed_over(node, at, warmth, [RecentWork(then, work, ident.encode()) for then, work, ident in sent])
 
     def on_choked(self, at, node):
-        self.choked(node)
+        self.congestion_began(node)
 
     def on_breach(self, at, rule, text):
-        self.breach(rule, at, text)
+        self.violation(rule, at, text)
 
     def on_told(self, at, proxy, node, phase, launched):
         # What discovery wrote into a link that holds it is written to the proxy once the link lets it go.
@@ -118,7 +122,7 @@
             self.deferred.append((until, proxy, node, phase, launched))
             self.deferred.sort(key=lambda said: said[0])
         else:
-            self.told(proxy, node, phase, at, launched)
+            self.proxy_notified(proxy, node, phase, at, launched)
 
     def on_listed(self, at, proxy, revision):
         self.lists[proxy] = revision, at
@@ -127,19 +131,19 @@
         self.history[proxy].append((at, revision))
 
     def on_published(self, at, node, phase):
-        self.published(node, phase, at)
+        self.state_published(node, phase, at)
 
     def on_started(self, at, node, launched):
-        self.started(node, at, launched)
+        self.backend_started(node, at, launched)
 
     def on_killed(self, at, proxy):
-        self.was_killed(proxy, at)
+        self.proxy_killed(proxy, at)
 
     def on_crashed(self, at, proxy, how):
-        self.crashed(proxy, at, how)
+        self.proxy_crashed(proxy, at, how)
 
     def on_stopped(self, at, proxy, until):
-        self.stopped(proxy, at, until)
+        self.proxy_stopped(proxy, at, until)
 
     def on_apart(self, at, proxy, until):
         self.apart[proxy].append((at, until))
@@ -154,12 +158,12 @@
     def on_unreached(self, at, proxy, until):
         self.unreached[proxy].append((at, until))
 
-    def deemed_when(self, proxy, node):
+    def end_deemed_at(self, proxy, node):
         """What discovery could not have told counts as told so long after it could."""
-        deemed = super().deemed_when(proxy, node)
+        deemed = super().end_deemed_at(proxy, node)
         if deemed is None:
             return None
-        span = self.scenario.discovery.deemed_s
+        span = self.scenario.discovery.deemed_notified_seconds
         could = max((until for since, until in self.unreached[proxy] if since <= deemed - span < until), default=None)
         return deemed if could is None else could + span
 
@@ -171,7 +175,7 @@
         proxy = self.tries[ident.encode()].proxy
         incarnation, _, revision = said.partition("list=")[2].partition(":")[0].partition(".")
         told = max((told for when, told in self.history[proxy] if when < at - MOMENT), default=0)
-        kept = [*self.stops.get(proxy, ()), *self.unfed[proxy]]
+        kept = [*self.stopped_spans.get(proxy, ()), *self.unfed[proxy]]
         if (
             incarnation == "1"
             and int(revision) < told
@@ -200,20 +204,20 @@
 
     def silent(self, name, at):
         """Whether it was killed or stopped just before."""
-        return self.killed.get(name, -1.0) > at - 30 or any(
-            since <= at + MOMENT and until >= at - MOMENT for since, until in self.stops.get(name, ())
+        return self.killed_at.get(name, -1.0) > at - 30 or any(
+            since <= at + MOMENT and until >= at - MOMENT for since, until in self.stopped_spans.get(name, ())
         )
 
     def on_late(self, at, role, ms):
         # What runs late while all is being started measures nothing yet.
-        if self.begin and at > self.begin:
+        if self.began_at and at > self.began_at:
             self.late[role] = max(self.late[role], ms)
 
 
 def judge(plan, seed, records, struck, figures, faults=()):
     """The record of a play; `verdict` is kept, broken or void."""
-    bench = Bench(plan, arrivals(plan, Random(f"{seed}/arrivals")))
-    bench.proxies = {f"p{at}": plan.network.zones[at % len(plan.network.zones)] for at in range(plan.bank.proxies)}
+    bench = Bench(plan, plan_requests(plan, Random(f"{seed}/arrivals")))
+    bench.proxy_zones = {f"p{at}": plan.network.zones[at % len(plan.network.zones)] for at in range(plan.proxies.count)}
     events = read(records)
     last = max((event[0] for event in events), default=0.0)
     for event in events:
@@ -221,10 +225,10 @@
             if type(word) is str and len(word) == 16:
                 bench.by_ident[word].append(event)
         bench.hear(event)
-    for ask in bench.asks:
-        if not ask.how:
-            bench.breach("1", last, f"txn {ask.number} had no end")
-    said = bench.record()
+    for ask in bench.planned_requests:
+        if not ask.outcome:
+            bench.violation("1", last, f"txn {ask.number} had no end")
+    said = make_record(bench)
     expect, failed = plan.expect, []
     if (service := said["service"]["whole"]) is not None and service < expect.service:
         failed.append(f"service {service:.3f}, at least {expect.service:g} was to be")
@@ -234,8 +238,8 @@
     if plan.rig.audit_s and bench.audit is None:
         failed.append("the audit never ended")
     failed += [f"the rig itself: {fault}" for fault in faults]
-    if figures.get("ready", plan.bank.proxies) < plan.bank.proxies:
-        failed.append(f"{plan.bank.proxies - figures['ready']} proxies were never ready")
+    if figures.get("ready", plan.proxies.count) < plan.proxies.count:
+        failed.append(f"{plan.proxies.count - figures['ready']} proxies were never ready")
     late = {role: round(ms, 1) for role, ms in sorted(bench.late.items())}
     void = [f"{role} ran {ms:g} ms late, {plan.rig.late_ms:g} at the most" for role, ms in late.items() if ms > plan.rig.late_ms]
     broken = bool(failed) or any(said["rules"].values())
@@ -265,6 +269,6 @@
             return {
                 "rule": rule,
                 "text": text,
-                "events": [[round(at - bench.begin, 4), what, *more] for at, what, *more in events[:SHOWN]],
+                "events": [[round(at - bench.began_at, 4), what, *more] for at, what, *more in events[:SHOWN]],
             }
     return {"rule": rule, "text": text, "events": []}
--- a/sloeferry/fault_testing/worker_processes.py
+++ b/sloeferry/fault_testing/worker_processes.py
@@ -22,12 +22,14 @@
 from sloeferry.fleet.audit import BOUND, audit
 from sloeferry.fleet.roll import Proxy, Roll
 from sloeferry.rehearsal import live
-from sloeferry.rehearsal.faults import Troubles
-from sloeferry.rehearsal.proxy_fleet import READY, Bank, expand, spot
+from sloeferry.rehearsal.faults import FaultInjector
+from sloeferry.rehearsal.play_environment import READY_TIMEOUT_SECONDS
+from sloeferry.rehearsal.proxy_fleet import ProxyFleet, loopback_address, plan_backends, plan_places
 from sloeferry.stand_ins import processes
 from sloeferry.stand_ins.call_failures import CallFailure
-from sloeferry.stand_ins.clients import OPS, Front
-from sloeferry.stand_ins.discovery import Roster
+from sloeferry.stand_ins.connection_balancer import ConnectionBalancer, ProxyPlace
+from sloeferry.stand_ins.discovery import StandInDiscovery
+from sloeferry.stand_ins.wire_protocol import ADMIN_PORT_OFFSET
 
 APART = 0.05  # seconds between two starts of processes: a start holds the driver up
 STARTS = 2.0  # seconds in which a process has read its file for certain
@@ -40,7 +42,7 @@
 
     def __init__(self, crew, role, number=0):
         self.crew, self.role, self.number, self.process = crew, role, number, None
-        self.record = pathlib.Path(crew.house.folder) / f"{role}-{number}.jsonl"
+        self.record = pathlib.Path(crew.environment.folder) / f"{role}-{number}.jsonl"
         self.ready, self.open = asyncio.Event(), None
 
     async def start(self, **more):
@@ -54,7 +56,7 @@
             stdout=PIPE,
             start_new_session=True,
         )
-        crew.house.placed(self.process, crew.house.ours)
+        crew.environment.process_started(self.process, crew.environment.ours)
         crew.loop.create_task(self.listen())
         self.say(
             {
@@ -62,13 +64,13 @@
                 "plan": crew.text,
                 "proxies": crew.proxies_wanted,
                 "nodes": crew.nodes_wanted,
-                "seed": crew.house.seed,
+                "seed": crew.environment.seed,
                 "record": str(self.record),
                 "number": self.number,
                 **more,
             }
         )
-        await asyncio.wait_for(self.ready.wait(), READY)
+        await asyncio.wait_for(self.ready.wait(), READY_TIMEOUT_SECONDS)
 
     def say(self, what):
         self.process.stdin.write(json.dumps(what).encode() + b"\n")
@@ -104,31 +106,31 @@
     """A node, as troubles see it: what they do to it is done by the process that has it."""
 
     def __init__(self, crew, at, told, kind, zone):
-        self.crew, self.at, self.told, self.zone = crew, at, told, zone
-        self.ident, self.address = f"s-{at:04x}", (spot(20, at), crew.port)
-        self.hand, self.up, self.draining, self.works, self.came = (
+        self.crew, self.at, self.settings, self.zone = crew, at, told, zone
+        self.backend_id, self.address = f"s-{at:04x}", (loopback_address(20, at), crew.port)
+        self.hand, self.is_up, self.is_draining, self.works, self.came = (
             crew.hands_of_nodes[at % crew.plan.rig.nodes],
             False,
             False,
             True,
             None,
         )
-        self.hand.do("make", at, self.ident, self.address, zone, kind)
+        self.hand.do("make", at, self.backend_id, self.address, zone, kind)
 
     def do(self, name, *what):
         self.hand.do(name, self.at, *what)
 
-    async def start(self, warm=False):
-        self.up, self.draining, self.works = True, False, True
+    async def start(self, is_warm=False):
+        self.is_up, self.is_draining, self.works = True, False, True
         self.came = self.crew.loop.create_future()
-        self.do("start", warm)
+        self.do("start", is_warm)
         await self.came
 
-    def die(self):
-        self.up = False
+    def crash(self):
+        self.is_up = False
         self.do("die")
 
-    def crowd(self):
+    def in_flight(self):
         """Whether it still has something to do; asked once it drains."""
         if self.works is True:
             self.works = None
@@ -138,24 +140,24 @@
     def change(self, **what):
         self.do("change", what)
 
-    def refuse(self, so):
+    def refuse_connections(self, so):
         self.do("refuse", so)
 
     def stall(self, seconds):
         self.do("stall", seconds)
 
-    def report(self):
+    def refresh_report(self):
         self.do("report")
 
-    mute = property(None, lambda self, so: self.change(mute=so))
+    is_cut_off = property(None, lambda self, so: self.change(is_cut_off=so))
 
 
-class Gate(Front):
+class Gate(ConnectionBalancer):
     """The front, for all callers at once: the driver asks who is ready, the callers' processes are told."""
 
     def __init__(self, loop, told, places, tell):
         super().__init__(loop, told, places)
-        self.alive, self.poll = Alive(self.alive, tell), max(0.05, len(places) / 400)
+        self.alive, self.poll_seconds = Alive(self.alive, tell), max(0.05, len(places) / 400)
 
 
 class Alive(dict):
@@ -168,7 +170,7 @@
         self.tell(name, so)
 
 
-class Yard(live.Street):
+class Yard(live.LiveEnvironment):
     """Where processes stand: measuring ones on cores of their own, proxies on the rest."""
 
     def __init__(self, loop, seed, folder, tree):
@@ -180,7 +182,7 @@
         self.ours, self.theirs = (set(cores[:many]), set(cores[many:])) if len(cores) > 2 else (set(cores), set(cores))
         os.sched_setaffinity(0, self.ours)
 
-    def placed(self, process, cores=None):
+    def process_started(self, process, cores=None):
         try:
             os.sched_setaffinity(process.pid, cores or self.theirs)
         except ProcessLookupError:
@@ -188,49 +190,48 @@
 
     def command(self, daemon):
         """As `run` starts it; where its wall clock is to be off, through the seam of machine.py."""
-        self.began[daemon.at] = self.loop.time()
-        off, flaky = self.offsets.get(daemon.at), daemon.at in self.flaky
+        self.began[daemon.index] = self.loop.time()
+        off, flaky = self.offsets.get(daemon.index), daemon.index in self.flaky
         words, environ = processes.command("sloeferry" if off is None and not flaky else "sloeferry.fault_testing.flaky_proxy")
         if off is not None:
             environ |= {"SLOEFERRY_RIG_CLOCK": repr(off)}
         if flaky:
             environ |= {"SLOEFERRY_RIG_CALLS": "yes"}
-        if daemon.bank.plan.rig.audit_s:
+        if daemon.fleet.plan.rig.audit_s:
             environ |= {"SLOEFERRY_OPERATOR": str(pathlib.Path(self.folder, "operator.toml"))}
         return words, environ, self.tree or ROOT
 
-    def proxy(self, bank, at):
-        return live.Daemon(self, bank, at)
+    def make_proxy(self, bank, at):
+        return live.ProxyProcess(self, bank, at)
 
 
-class Crew(Bank):
+class Crew(ProxyFleet):
     """Everybody, and the course of the play (bank.Bank for scenarios' troubles)."""
 
     def __init__(self, text, plan, house, port, proxies, nodes):
-        self.text, self.plan, self.scenario, self.house, self.loop, self.port = text, plan, plan, house, house.loop, port
+        self.text, self.plan, self.scenario, self.environment, self.loop, self.port = text, plan, plan, house, house.loop, port
         self.proxies_wanted, self.nodes_wanted = proxies, nodes
-        zones, folder = plan.network.zones, pathlib.Path(house.folder)
+        folder = pathlib.Path(house.folder)
         self.faults, self.made, self.sla, self.made_of = [], 0, {}, {}
         self.judge = Scribe(plan, house.seed, folder / "driver.jsonl", self.loop.time)
-        self.places = [(f"p{at}", (spot(10, at), port), zones[at % len(zones)]) for at in range(plan.bank.proxies)]
+        self.places = plan_places(plan, port)
         self.struck, self.links = {}, {}  # fault -> what it strikes; link -> where it listens, where it leads
         self.draw()
-        lists = {name: (spot(30, 0), port + 500 + at) for at, (name, _, _) in enumerate(self.places)}
-        self.roster = Roster(self.loop, plan.discovery, lists, self.judge, house.rng("roster"), house.unix)
+        self.discovery = StandInDiscovery(self.loop, plan.discovery, self.discovery_addresses(), self.judge, house.rng("roster"))
         (folder / "operator.toml").write_text("[versions]\ntell = true\ncarry = true\n")
         self.hands_of_nodes = [Hand(self, "nodes", at) for at in range(plan.rig.nodes)]
         self.hands_of_callers = [Hand(self, "callers", at) for at in range(plan.rig.callers)]
         self.relay = Hand(self, "relay") if self.links else None
         self.hands = [*self.hands_of_nodes, *self.hands_of_callers, *([self.relay] if self.relay else [])]
-        self.front = Gate(self.loop, plan.front, self.places, self.alive)
-        self.nodes, self.proxies = [], [house.proxy(self, at) for at in range(plan.bank.proxies)]
+        self.balancer = Gate(self.loop, plan.balancer, self.places, self.alive)
+        self.backends, self.proxies = [], [house.make_proxy(self, at) for at in range(plan.proxies.count)]
 
     def draw(self):
         """Whom each fault strikes, and the links that takes, all from the seed."""
-        plan, count, turns = self.plan, sum(nodes.count for nodes in self.plan.nodes), {}
+        plan, count, turns = self.plan, sum(nodes.count for nodes in self.plan.backends), {}
         for at, fault in enumerate(plan.fault):
-            rng = self.house.rng(f"fault-{at}")
-            some = fault.proxies or sorted(rng.sample(range(plan.bank.proxies), max(1, round(fault.part * plan.bank.proxies))))
+            rng = self.environment.rng(f"fault-{at}")
+            some = fault.proxies or sorted(rng.sample(range(plan.proxies.count), max(1, round(fault.part * plan.proxies.count))))
             names = []
             if isinstance(fault, p.BETWEEN):
                 ends = (
@@ -241,13 +242,13 @@
                         name = f"{fault.between}/{proxy}" + (f"/{node}" if node is not None else "")
                         if name not in self.links:  # one address a proxy for its links, a port each
                             turn = turns[proxy] = turns.get(proxy, -1) + 1
-                            self.links[name] = fault.between, proxy, node, (spot(50, proxy), self.port + turn)
+                            self.links[name] = fault.between, proxy, node, (loopback_address(50, proxy), self.port + turn)
                         names.append(name)
             self.struck[at] = some, names
 
-    def node(self, told, zone):
+    def make_backend(self, told, zone):
         at, self.made = self.made, self.made + 1
-        node = Node(self, at, told, self.plan.nodes.index(told), zone)
+        node = Node(self, at, told, self.plan.backends.index(told), zone)
         self.made_of[at] = node
         return node
 
@@ -269,8 +270,8 @@
             scheme["sla_time"] = min(scheme["expiry"], round(scheme["sla_time"] * self.sla.get(at, 1.0)))
         return told
 
-    def berth(self, at, seed):
-        told = super().berth(at, seed)
+    def instance_config(self, at, seed):
+        told = super().instance_config(at, seed)
         if f"discovery/{at}" in self.links:
             told["discovery"] = "{}:{}".format(*self.links[f"discovery/{at}"][3])
         return told
@@ -280,37 +281,37 @@
     async def open(self):
         self.laid = asyncio.Event()
         seen = [
-            (name, self.links.get(f"callers/{at}", (0, 0, 0, address))[3], zone)
+            ProxyPlace(name, self.links.get(f"callers/{at}", (0, 0, 0, address))[3], zone)
             for at, (name, address, zone) in enumerate(self.places)
         ]
         await asyncio.gather(*(hand.start(places=seen, of=self.plan.rig.callers) for hand in self.hands))
-        for told, zone in expand(self.plan):
-            self.nodes.append(self.node(told, zone))
+        for told, zone in plan_backends(self.plan):
+            self.backends.append(self.make_backend(told, zone))
         for name, (between, proxy, node, listen) in self.links.items():
             target = (
-                self.nodes[node].address
+                self.backends[node].address
                 if between == "nodes"
                 else self.places[proxy][1]
                 if between == "callers"
-                else self.roster.addresses[f"p{proxy}"]
+                else self.discovery.addresses[f"p{proxy}"]
             )
             self.relay.do("link", name, listen, target, between == "nodes")
             if between == "nodes":
-                self.roster.ways[f"p{proxy}", self.nodes[node].ident] = "{}:{}".format(*listen)
+                self.discovery.set_link_address(f"p{proxy}", self.backends[node].backend_id, "{}:{}".format(*listen))
         if self.relay:
             self.relay.do("laid")
             await self.laid.wait()
-        await asyncio.gather(*(node.start(warm=True) for node in self.nodes))
-        for node in self.nodes:
-            self.roster.publish(node, "active", 0.0)
-        await self.roster.start()
+        await asyncio.gather(*(node.start(is_warm=True) for node in self.backends))
+        for node in self.backends:
+            self.discovery.publish(node, "active", 0.0)
+        await self.discovery.start()
 
     def begin(self, now):
-        self.judge.begin = now
+        self.judge.began_at = now
         self.judge.note(now, "begin")
         for hand in self.hands_of_callers:
             hand.do("begin", now)
-        Troubles(self).begin(now)
+        FaultInjector(self).begin(now)
         for at, fault in enumerate(self.plan.fault):
             self.loop.call_at(now + fault.at, self.strike, at, fault)
         if self.plan.rig.audit_s:
@@ -318,13 +319,13 @@
 
     async def audit(self):
         """The fleet's own word of itself, as operators get it, into the record."""
-        proxies = tuple(Proxy(name, (host, port + OPS)) for name, (host, port), _ in self.places)
-        self.judge.note(self.loop.time(), "auditing", self.roster.revision)
+        proxies = tuple(Proxy(name, (host, port + ADMIN_PORT_OFFSET)) for name, (host, port), _ in self.places)
+        self.judge.note(self.loop.time(), "auditing", self.discovery.list.revision)
         answers, newest = await ask_all(Roll(proxies, None), None)
-        said = audit(Roll(proxies, None), answers, {"revision": self.roster.revision}, BOUND)
+        said = audit(Roll(proxies, None), answers, {"revision": self.discovery.list.revision}, BOUND)
         self.judge.note(self.loop.time(), "audited", said)
 
-    def busy(self):
+    def is_busy(self):
         return any(hand.open != 0 for hand in self.hands_of_callers)
 
     def strike(self, at, fault):
@@ -338,7 +339,7 @@
                     self.judge.note(self.loop.time(), "unfed", f"p{number}", self.loop.time() + fault.lasts)
             if fault.between == "callers":  # nobody can answer through it
                 for number in some:
-                    self.judge.stopped(f"p{number}", self.loop.time(), self.loop.time() + fault.lasts)
+                    self.judge.proxy_stopped(f"p{number}", self.loop.time(), self.loop.time() + fault.lasts)
                     self.judge.note(self.loop.time(), "apart", f"p{number}", self.loop.time() + fault.lasts + 0.1)
             told = {name: getattr(fault, name) for name in ("way", "ms", "bytes") if hasattr(fault, name)}
             self.relay.do("do", links, p.word(fault), told)
@@ -356,83 +357,83 @@
 
     def stop(self, fault, some):
         for at in some:
-            self.proxies[at].stop(fault.lasts)
+            self.proxies[at].pause(fault.lasts)
 
     def term(self, fault, some):
         for turn, at in enumerate(some):
-            self.loop.call_later(fault.lasts * turn / len(some), self.proxies[at].leave)
+            self.loop.call_later(fault.lasts * turn / len(some), self.proxies[at].restart)
 
     def hup(self, fault, some):
-        rng = self.house.rng(f"hup-{fault.at}")
+        rng = self.environment.rng(f"hup-{fault.at}")
         deaf = set(rng.sample(some, round(fault.lost * len(some))))
         for at in some:
             self.sla[at], proxy = fault.sla, self.proxies[at]
             if fault.file == "stale":
                 del self.sla[at]
-            proxy.write()
-            if self.loop.time() < self.house.began.get(at, 0.0) + STARTS:
+            proxy.write_config()
+            if self.loop.time() < self.environment.began.get(at, 0.0) + STARTS:
                 continue  # it may not have read its file yet: started on half of one it would rightly end
-            text = proxy.path.read_text()
+            text = proxy.config_path.read_text()
             if fault.file == "cut":
-                proxy.path.write_text(text[: len(text) // 2])
+                proxy.config_path.write_text(text[: len(text) // 2])
             elif fault.file == "missing":
-                proxy.path.unlink()
+                proxy.config_path.unlink()
             elif fault.file == "swapped":  # another file in its place, while it is read
-                other = proxy.path.with_suffix(".new")
+                other = proxy.config_path.with_suffix(".new")
                 other.write_text(text)
-                self.loop.call_soon(os.replace, other, proxy.path)
+                self.loop.call_soon(os.replace, other, proxy.config_path)
             if at not in deaf:
-                proxy.end(signal.SIGHUP)
+                proxy.send_signal(signal.SIGHUP)
 
     def clock(self, fault, some):
         """It takes a new process: nothing sets a clock that others have too."""
         for turn, at in enumerate(some):
-            self.house.offsets[at] = fault.by_s
+            self.environment.offsets[at] = fault.by_s
             self.proxies[at].kill()
             self.loop.call_later(fault.lasts + APART * turn, self.proxies[at].start)
 
     def calls(self, fault, some):
         for turn, at in enumerate(some):
-            self.house.flaky.add(at)
+            self.environment.flaky.add(at)
             self.proxies[at].kill()
             self.loop.call_later(fault.lasts + APART * turn, self.proxies[at].start)
 
     # Faults of discovery
 
     def listout(self, fault, some):
-        for at in range(self.plan.bank.proxies):
+        for at in range(self.plan.proxies.count):
             self.judge.note(self.loop.time(), "unreached", f"p{at}", self.loop.time() + fault.lasts)
-        self.roster.out()
-        self.loop.call_later(fault.lasts, lambda: self.loop.create_task(self.roster.back()))
+        self.discovery.go_down()
+        self.loop.call_later(fault.lasts, lambda: self.loop.create_task(self.discovery.come_back()))
 
     def listlag(self, fault, some):
         for at in some:
-            self.roster.show(f"p{at}", until=self.loop.time())
-            self.loop.call_later(fault.lasts, self.roster.show, f"p{at}")
+            self.discovery.show_older_list(f"p{at}", until=self.loop.time())
+            self.loop.call_later(fault.lasts, self.discovery.show_newest_list, f"p{at}")
 
     def listolder(self, fault, some):
         for at in some:
-            self.roster.show(f"p{at}", late=fault.by_s)
-            self.loop.call_later(fault.lasts, self.roster.show, f"p{at}")
-        self.roster.hang_up({f"p{at}" for at in some})
+            self.discovery.show_older_list(f"p{at}", fault.by_s)
+            self.loop.call_later(fault.lasts, self.discovery.show_newest_list, f"p{at}")
+        self.discovery.end_watches({f"p{at}" for at in some})
 
     def listanew(self, fault, some):
-        self.roster.anew()
+        self.discovery.restart_count()
 
     def listfail(self, fault, some):
         failure = CallFailure(fault.how)
         for at in some:
             if not failure.reachable:
                 self.judge.note(self.loop.time(), "unreached", f"p{at}", self.loop.time() + fault.lasts)
-            self.loop.create_task(self.roster.fail_calls(f"p{at}", failure))
-            self.loop.call_later(fault.lasts, lambda at=at: self.loop.create_task(self.roster.fail_calls(f"p{at}", None)))
+            self.loop.create_task(self.discovery.fail_calls(f"p{at}", failure))
+            self.loop.call_later(fault.lasts, lambda at=at: self.loop.create_task(self.discovery.fail_calls(f"p{at}", None)))
 
     async def end(self):
         for proxy in self.proxies:
-            proxy.over = True
-            proxy.end()
+            proxy.is_over = True
+            proxy.send_signal()
         await asyncio.gather(*(hand.end() for hand in self.hands))
-        self.roster.out()
+        self.discovery.go_down()
         until = self.loop.time() + 5
         while any(proxy.process for proxy in self.proxies) and self.loop.time() < until:
             await asyncio.sleep(0.05)
@@ -443,7 +444,7 @@
     """Ports that no other play has: below those that the machine gives away, held by a socket for as long as it lasts."""
     for port in range(*GROUND):
         try:
-            return socket.create_server((spot(30, 249), port)), port
+            return socket.create_server((loopback_address(30, 249), port)), port
         except OSError:
             continue
     raise p.ScenarioError("no ports are free for a play: eight go on at once")
@@ -460,20 +461,20 @@
         began = loop.time()
         for proxy in crew.proxies:
             proxy.start()
-        while not all(crew.front.alive.values()) and loop.time() < began + READY:
+        while not all(crew.balancer.alive.values()) and loop.time() < began + READY_TIMEOUT_SECONDS:
             await asyncio.sleep(0.05)
         figures["ready_s"] = round(loop.time() - began, 2)
-        figures["ready"] = sum(crew.front.alive.values())
+        figures["ready"] = sum(crew.balancer.alive.values())
         gc.freeze()
         gc.set_threshold(50000, 20, 50)
         began = loop.time() + 0.2
         crew.begin(began)
         crew.judge.beat(loop, "driver")
         last, used = began + plan.seconds, {}
-        while loop.time() < last or crew.busy() and loop.time() < last + crew.longest():
+        while loop.time() < last or crew.is_busy() and loop.time() < last + crew.last_request_seconds():
             await asyncio.sleep(0.25)
             if not used and loop.time() > began + plan.seconds / 2:
-                used = {"memory_mb": [processes.memory(one.process.pid) for one in crew.proxies if one.process]}
+                used = {"memory_mb": [processes.memory_mb(one.process.pid) for one in crew.proxies if one.process]}
             if progress:
                 progress(loop.time() - began)
         used["cpu_s"] = [processes.cpu_seconds(one.process.pid) for one in crew.proxies if one.process]
--- a/sloeferry/load_testing/day.py
+++ b/sloeferry/load_testing/day.py
@@ -18,7 +18,7 @@
 from sloeferry.load_testing.plan import LoadPlanError, Plan
 from sloeferry.load_testing.proxies import settings
 from sloeferry.stand_ins import platform, processes
-from sloeferry.stand_ins.processes import memory
+from sloeferry.stand_ins.processes import memory_mb
 
 REPORT = b'{"inflight":1,"queue":0,"util":0.1}'
 LONG = 32 << 20  # bytes of a long answer
@@ -96,15 +96,15 @@
         path = f"{self.folder}/config{self.made}.json"
         with open(path, "w") as file:
             json.dump(
-                platform.berth(
+                platform.instance_config(
                     "n0",
                     ("127.0.0.1", self.port),
                     ("127.0.0.1", self.roster),
                     settings(Plan(((1.0, 1.0),)), 0, 1),
                     seed=self.made,
-                    sockets=self.sockets,
+                    max_sockets=self.sockets,
                     memory_mb=self.memory,
-                    ops=("127.0.0.1", ops),
+                    admin=("127.0.0.1", ops),
                 ),
                 file,
             )
@@ -236,7 +236,7 @@
             await asyncio.sleep(2.0)
             before, begun = load.figures(monotonic() - 1.5), monotonic()
             got = await asyncio.gather(*(slowly(yard, at, seconds) for at in range(count)))
-            beside, peak = load.figures(begun), memory(process.pid, "VmHWM")
+            beside, peak = load.figures(begun), memory_mb(process.pid, "VmHWM")
     return {
         "answers": count,
         "least_bytes": min(got),
@@ -270,13 +270,13 @@
             await asyncio.sleep(1.0)
         said = {}
         for name, text in (("silent", b""), ("half", b"GET /small HTTP/1.1\r\nHost: x\r\nX-Call-Id: ")):
-            before, held = (memory(process.pid), len(os.listdir(f"/proc/{process.pid}/fd"))), []
+            before, held = (memory_mb(process.pid), len(os.listdir(f"/proc/{process.pid}/fd"))), []
             for _ in range(count):
                 held.append(await asyncio.open_connection("127.0.0.1", yard.port))
                 held[-1][1].write(text)
             await asyncio.sleep(0.5)
             said[name] = {
-                "bytes": (memory(process.pid) - before[0]) * (1 << 20) / count,
+                "bytes": (memory_mb(process.pid) - before[0]) * (1 << 20) / count,
                 "descriptors": (len(os.listdir(f"/proc/{process.pid}/fd")) - before[1]) / count,
             }
             for _, writer in held:
--- a/sloeferry/load_testing/play.py
+++ b/sloeferry/load_testing/play.py
@@ -156,7 +156,7 @@
     events = [(at, "share", share) for at, share in rig.shares] + [(at, "stall", s) for at, s in rig.stalls]
     events += [(rig.restart, "restart", 0.0)] if rig.restart is not None else []
     sleep(max(0.0, begin - monotonic()))
-    used = [one.throttle.used() for one in daemons]
+    used = [one.throttle.cpu_seconds() for one in daemons]
     for at, what, figure in sorted(events):
         sleep(max(0.0, begin + at - monotonic()))
         for place, one in enumerate(daemons):
@@ -165,14 +165,14 @@
             elif what == "stall":
                 one.throttle.pause(figure)
             else:
-                spent = one.throttle.used()
+                spent = one.throttle.cpu_seconds()
                 one.process.kill()
                 one.end()
                 daemons[place] = again(place)
                 daemons[place].ready()
                 used[place] -= spent
     sleep(max(0.0, begin + plan.seconds() - monotonic()))
-    return used, [one.throttle.used() for one in daemons]
+    return used, [one.throttle.cpu_seconds() for one in daemons]
 
 
 def figures(plan, rig, begin, tally, late, daemons, before, standins):
--- a/sloeferry/load_testing/proxies.py
+++ b/sloeferry/load_testing/proxies.py
@@ -44,13 +44,24 @@
 def settings(plan: Plan, ordinal: int, instances: int) -> dict:
     """The platform's settings for what the callers of a plan ask."""
     schemes = [
-        platform.scheme(
-            s.name, "repeatable" if s.kind == "repeatable" else "referenced", s.sla, s.expiry, s.gain, window_ms=30_000
+        platform.request_class_settings(
+            s.name,
+            "repeatable" if s.kind == "repeatable" else "referenced",
+            s.sla,
+            s.expiry,
+            s.gain,
+            deduplication_window_ms=30_000,
         )
         for s in plan.schemes
     ]
-    return platform.settings(
-        schemes, plan.tenants, instances=instances, ordinal=ordinal, zones=["a"], kinds=["m"], cold_s=23.0, cold_from=0.12
+    return platform.proxy_settings(
+        schemes,
+        plan.tenants,
+        instance_count=instances,
+        ordinal=ordinal,
+        zones=["a"],
+        machine_kinds=["m"],
+        obligations=platform.ObligationTerms(slow_start_seconds=23.0, slow_start_initial_ratio=0.12),
     )
 
 
@@ -62,13 +73,13 @@
         path, self.log = pathlib.Path(folder, f"{name}.json"), pathlib.Path(folder, f"{name}.log")
         path.write_text(
             json.dumps(
-                platform.berth(
+                platform.instance_config(
                     name,
                     address,
                     discovery,
                     settings(plan, ordinal, instances),
                     seed=plan.seed,
-                    sockets=sockets,
+                    max_sockets=sockets,
                     memory_mb=memory,
                     cores=cores or 1.0,
                 )
@@ -99,10 +110,10 @@
 
     def memory(self):
         """Its largest resident size so far, MB."""
-        return processes.memory(self.process.pid, "VmHWM")
+        return processes.memory_mb(self.process.pid, "VmHWM")
 
     def end(self):
-        self.throttle.over.set()
+        self.throttle.stop_requested.set()
         self.lag.over.set()
         if self.throttle.is_alive():
             self.throttle.join()
--- a/sloeferry/load_testing/stand_in_processes.py
+++ b/sloeferry/load_testing/stand_in_processes.py
@@ -11,34 +11,34 @@
 import signal
 import sys
 from random import Random
-from time import monotonic, time
+from time import monotonic
 from types import SimpleNamespace
 
 import uvloop
 
-from sloeferry.stand_ins.backends import Node
-from sloeferry.stand_ins.discovery import Roster
-from sloeferry.stand_ins.effect_log import Ledger
+from sloeferry.stand_ins.backends import StandInBackend
+from sloeferry.stand_ins.discovery import StandInDiscovery
+from sloeferry.stand_ins.effect_log import EffectLog
 
 SIGMA = 0.5  # of the logarithm of the work
 EVER = 1e6  # connections, seconds: what has no bound here
 
 
-class Book(Ledger):
+class Book(EffectLog):
     """What callers ask is all alike; of what ran it is counted how often."""
 
     def __init__(self, told):
-        self.work_ms, self.rng = told["work_ms"], Random(f"{told['seed']} work")
-        self.any = SimpleNamespace(kind="repeatable", work_ms=told["work_ms"], answer=told["body"], body=0)
+        self.mean_work_ms, self.rng = told["work_ms"], Random(f"{told['seed']} work")
+        self.any = SimpleNamespace(kind="repeatable", work_ms=told["work_ms"], response_bytes=told["body"], body_bytes=0)
         self.begun, self.twice = set(), 0
 
-    def scheme(self, ident):
+    def request_class(self, ident):
         return self.any
 
-    def work(self, ident):
-        return self.work_ms * self.rng.lognormvariate(-SIGMA * SIGMA / 2, SIGMA)
+    def work_ms(self, ident):
+        return self.mean_work_ms * self.rng.lognormvariate(-SIGMA * SIGMA / 2, SIGMA)
 
-    def ran(self, node, ident, now):
+    def request_ran(self, node, ident, now):
         self.twice += ident in self.begun
         self.begun.add(ident)
 
@@ -54,34 +54,39 @@
         return host, int(port)
 
     kind = SimpleNamespace(
-        kind="m",
+        machine_kind="m",
         cores=told["cores"],
-        queue=told["queue"] / told["cores"],
+        queue_per_core=told["queue"] / told["cores"],
         speed=1.0,
-        cold_s=0.0,
-        connections=EVER,
-        idle_s=EVER,
-        report_ms=0.0,
-        drops_late=False,
-        choke=None,
+        warm_up_seconds=0.0,
+        initial_capacity_ratio=1.0,
+        max_connections=EVER,
+        idle_timeout_seconds=EVER,
+        report_interval_ms=0.0,
+        drops_expired=False,
+        congestion=None,
     )
-    roster = Roster(
-        loop, SimpleNamespace(call_ms=0.0, spread_ms=0.0), {"any": address(told["discovery"])}, book, Random(told["seed"]), time
+    roster = StandInDiscovery(
+        loop,
+        SimpleNamespace(call_ms=0.0, notification_spread_ms=0.0),
+        {"any": address(told["discovery"])},
+        book,
+        Random(told["seed"]),
     )
     for at, place in enumerate(told["places"]):
-        node = Node(loop, kind, f"b{at}", address(place), "a", book, {}, None, Random(f"{told['seed']} {at}"))
-        await node.start(warm=True)
+        node = StandInBackend(loop, kind, f"b{at}", address(place), "a", book, {}, None, Random(f"{told['seed']} {at}"))
+        await node.start(is_warm=True)
         roster.publish(node, "active", 0.0)
         nodes.append(node)
         mood, since, until = told["troubles"].get(str(at), ("", 0.0, 0.0))
         if mood:
-            what = {"mute": True} if mood == "silent" else {"odds_err": 2.0}  # every one errs, at once
+            what = {"is_cut_off": True} if mood == "silent" else {"error_odds": 2.0}  # every one errs, at once
             loop.call_later(since - monotonic(), lambda node=node, what=what: node.change(**what))
-            loop.call_later(until - monotonic(), lambda node=node: node.change(mute=False, odds_err=0.0))
+            loop.call_later(until - monotonic(), lambda node=node: node.change(is_cut_off=False, error_odds=0.0))
     await roster.start()
     print("ready", flush=True)
     await over.wait()
-    print(json.dumps({"served": sum(node.served for node in nodes), "twice": book.twice}))
+    print(json.dumps({"served": sum(node.served_count for node in nodes), "twice": book.twice}))
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,7 +7,6 @@
 import subprocess
 import sys
 import tempfile
-import time
 import types
 import unittest
 from random import Random
@@ -21,12 +20,12 @@
 from sloeferry.fleet.audit import audit
 from sloeferry.fleet.cli import fleet
 from sloeferry.stand_ins import platform, processes
-from sloeferry.stand_ins.discovery import Roster
-from sloeferry.stand_ins.effect_log import Ledger
+from sloeferry.stand_ins.discovery import StandInDiscovery
+from sloeferry.stand_ins.effect_log import EffectLog
 from tests.trace import Lines, compare
 
 ROOT = pathlib.Path(__file__).parents[1]
-SCHEMES = [platform.scheme("pull", "repeatable", 300, 800, 1.0)]
+SCHEMES = [platform.request_class_settings("pull", "repeatable", 300, 800, 1.0)]
 
 
 class Harm(unittest.TestCase):
@@ -35,19 +34,24 @@
     NAMES = [f"p{at}" for at in range(10)]
 
     def write(self, at, sla=300, **more):
-        settings = platform.settings(
-            [dict(SCHEMES[0], sla_time=sla * 1000)], [], instances=len(self.NAMES), ordinal=at, zones=["a", "b"], kinds=["m"]
+        settings = platform.proxy_settings(
+            [dict(SCHEMES[0], sla_time=sla * 1000)],
+            [],
+            instance_count=len(self.NAMES),
+            ordinal=at,
+            zones=["a", "b"],
+            machine_kinds=["m"],
         )
         path = pathlib.Path(self.folder, f"p{at}.json")
         path.write_text(
             json.dumps(
-                platform.berth(
+                platform.instance_config(
                     f"p{at}",
                     ("127.0.0.1", self.ports[at]),
                     more.pop("discovery", self.lists[f"p{at}"]),
                     settings,
                     seed=at,
-                    ops=("127.0.0.1", self.ops[at]),
+                    admin=("127.0.0.1", self.ops[at]),
                     **more,
                 )
             )
@@ -81,9 +85,13 @@
         ports = processes.free_ports("127.0.0.1", 3 * count + 2)
         self.ports, self.ops = ports[:count], ports[count : 2 * count]
         self.lists = {name: ("127.0.0.1", ports[2 * count + at]) for at, name in enumerate(self.NAMES)}
-        roster = Roster(loop, types.SimpleNamespace(call_ms=0.0, spread_ms=0.0), dict(self.lists), Ledger(), Random(1), time.time)
+        roster = StandInDiscovery(
+            loop, types.SimpleNamespace(call_ms=0.0, notification_spread_ms=0.0), self.lists, EffectLog(), Random(1)
+        )
         nodes = [
-            types.SimpleNamespace(ident=f"s{at}", address=("127.0.0.1", 1), zone="a", told=types.SimpleNamespace(kind="m"))
+            types.SimpleNamespace(
+                backend_id=f"s{at}", address=("127.0.0.1", 1), zone="a", settings=types.SimpleNamespace(machine_kind="m")
+            )
             for at in range(3)
         ]
         for node in nodes:
@@ -97,22 +105,22 @@
         for at in range(count):
             await self.until(lambda: self.holds(at, revision=3))
         # The change, and what keeps some from it.
-        known = roster.known_to("p8")
+        known = roster.last_list_of("p8")
         self.processes[8].kill()
         self.processes[8].wait()
         await link.do("hold", {"way": "both"})
-        roster.show("p7", until=loop.time())
-        processes.tell(self.processes[2], signal.SIGSTOP)
-        processes.tell(self.processes[3], signal.SIGKILL)
+        roster.show_older_list("p7", until=loop.time())
+        processes.send_signal(self.processes[2], signal.SIGSTOP)
+        processes.send_signal(self.processes[3], signal.SIGKILL)
         self.processes[3].wait()
         roster.publish(nodes[0], "leaving")
         for at in (0, 1, 4, 6, 7, 9):
             path = self.write(at, sla=400, **({"discovery": ("127.0.0.1", ports[-1])} if at == 4 else {}))
             if at == 6:
                 path.write_text(path.read_text()[:200])
-            processes.tell(self.processes[at], signal.SIGHUP)
+            processes.send_signal(self.processes[at], signal.SIGHUP)
         self.write(5, sla=400)  # its SIGHUP is lost
-        self.start(8, sla=400, known=known, discovery=("127.0.0.1", 1))
+        self.start(8, sla=400, known_list=known, discovery=("127.0.0.1", 1))
         for at in (0, 1, 9):
             await self.until(lambda: self.holds(at, revision=4, generation=2))
         await self.until(lambda: self.holds(6, revision=4, refused=1))
@@ -132,16 +140,16 @@
         path.write_text("\n".join(lines))
         before = await self.verb("audit", path)
         # What kept some from it goes; then who lags is brought up.
-        roster.show("p7")
-        roster.show("p5", until=loop.time())
+        roster.show_newest_list("p7")
+        roster.show_older_list("p5", until=loop.time())
         roster.publish(nodes[1], "leaving")
         self.write(6, sla=400)
         for at in (0, 1, 7, 9):
             await self.until(lambda: self.holds(at, revision=5))
-        roster.views.pop("p5")  # its watch has missed a change, and only a new one brings it
+        roster.show_newest_list("p5", has_watch_told=False)  # its watch has missed a change, and only a new one brings it
         after = await self.verb("bring-up", path, "--pace", "0.05", "--patience", "2")
         garbage.close()
-        roster.out()
+        roster.go_down()
         link.server.close()
         return before, after
 
@@ -178,7 +186,7 @@
                 both = asyncio.run(self.course())
             finally:
                 for process in self.processes.values():
-                    processes.tell(process, signal.SIGKILL)
+                    processes.send_signal(process, signal.SIGKILL)
                     process.wait()
         for code, said in both:
             lines.lines.append(
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -78,13 +78,15 @@
 
     def test_altered(self):
         told = p.altered(p.read("calm"), 40, 24)
-        self.assertEqual((told.bank.proxies, sum(n.count for n in told.nodes)), (40, 24))
-        self.assertEqual(told.callers.curve[0][1], 2 * p.read("calm").callers.curve[0][1])
+        self.assertEqual((told.proxies.count, sum(n.count for n in told.backends)), (40, 24))
+        self.assertEqual(told.clients.load_curve[0][1], 2 * p.read("calm").clients.load_curve[0][1])
 
     def test_twin(self):
         """The same plan in virtual time: what has its part there is played, the rest is named."""
         scenario, without = p.twin(p.read("deaths"))
-        self.assertEqual(([t.__struct_config__.tag for t in scenario.trouble], without), (["proxies-die", "proxies-roll"], []))
+        self.assertEqual(
+            ([t.__struct_config__.tag for t in scenario.scenario_faults], without), (["proxies-die", "proxies-roll"], [])
+        )
         self.assertEqual(p.twin(p.read("links"))[1], ["break", "cut", "hold", "half-open", "delay"])
 
 
@@ -302,7 +304,7 @@
             crew = types.SimpleNamespace(
                 struck={0: ([8], [f"{between}/8"])},
                 loop=types.SimpleNamespace(time=lambda: 5.0, call_later=lambda *_: None),
-                judge=types.SimpleNamespace(note=lambda at, what, *_: said.append(what), stopped=lambda *_: None),
+                judge=types.SimpleNamespace(note=lambda at, what, *_: said.append(what), proxy_stopped=lambda *_: None),
                 relay=types.SimpleNamespace(do=lambda *what: said.append(what[0])),
             )
             Crew.strike(crew, 0, p.Cut(at=1.0, between=between))
