--- a/sloeferry/fault_testing/cli.py
+++ b/sloeferry/fault_testing/cli.py
@@ -14,8 +14,8 @@
 from sloeferry.fault_testing.record_text import record_text
 from sloeferry.fault_testing.run_options import RunOptions
 from sloeferry.fault_testing.verdict import Verdict
-from sloeferry.rehearsal.cli import keep, say_shipped
-from sloeferry.rehearsal.cli import short as virtual_record_text
+from sloeferry.rehearsal.cli import print_shipped, write_record
+from sloeferry.rehearsal.report import format_record
 from sloeferry.rehearsal.scenario import ScenarioError
 
 NAME_WIDTH = 16  # characters, in the list of plans
@@ -71,7 +71,7 @@
         options = RunOptions(plans.plan_text(plan), resized, seed, proxies, nodes)
         outcome = _run_real(options, plant, keep_logs)
     record_json = json.dumps(outcome.record, indent=1, sort_keys=True) + "\n"
-    keep(record, record_json)
+    write_record(record, record_json)
     click.echo(record_json if as_json else outcome.text, nl=not as_json)
     sys.exit(EXIT_CODES[outcome.verdict])
 
@@ -82,7 +82,7 @@
     scenario, left_out = plans.virtual_twin(plan)
     record = play(scenario, seed)
     record["without"] = left_out
-    text = virtual_record_text(record)
+    text = format_record(record)
     if left_out:
         text += f"\n  without: {', '.join(left_out)}"
     is_broken = any(record["rules"].values()) or bool(record["faults"])
@@ -99,7 +99,7 @@
 @rig.command("list")
 def list_plans() -> None:
     """The plans that are shipped."""
-    say_shipped(plans, NAME_WIDTH)
+    print_shipped(plans.shipped(), plans.read, NAME_WIDTH)
 
 
 @rig.command()
@@ -108,10 +108,10 @@
     """Reads and checks PLAN, and says what of it has no part in virtual time; exit 2 and one line where it can't be played."""
     checked = plans.read(plan)
     _, left_out = plans.virtual_twin(checked)
-    backends = sum(nodes.count for nodes in checked.nodes)
+    backends = sum(group.count for group in checked.backends)
     click.echo(
-        f"{checked.name}: {checked.seconds:g} s, {checked.bank.proxies} proxies, {backends} nodes, "
-        f"{len(checked.trouble)} troubles, {len(checked.fault)} faults: good"
+        f"{checked.name}: {checked.seconds:g} s, {checked.proxies.count} proxies, {backends} nodes, "
+        f"{len(checked.scenario_faults)} troubles, {len(checked.fault)} faults: good"
     )
     click.echo("  in virtual time: " + (f"all but {', '.join(left_out)}" if left_out else "all of it"))
 
--- a/sloeferry/fault_testing/event_recorder.py
+++ b/sloeferry/fault_testing/event_recorder.py
@@ -17,10 +17,11 @@
 
 from sloeferry.fault_testing.plan import Plan
 from sloeferry.fault_testing.recorded_events import Event
-from sloeferry.rehearsal.judge import Ask, arrivals
-from sloeferry.rehearsal.scenario import Scheme
-from sloeferry.stand_ins.effect_log import Ledger
-from sloeferry.stand_ins.http_messages import content
+from sloeferry.rehearsal.arrivals import PlannedRequest, plan_requests
+from sloeferry.rehearsal.scenario_tables import RequestClass
+from sloeferry.stand_ins.effect_log import EffectLog, RecentWork
+from sloeferry.stand_ins.http_messages import request_body
+from sloeferry.stand_ins.wire_protocol import RequestOutcome, outcome_of_status
 
 LATENESS_CHECK_SECONDS = 0.02  # between two looks at how late a process runs
 BUFFER_BYTES = 1 << 18
@@ -35,15 +36,15 @@
     return int(ident[:CALL_NUMBER_CHARACTERS], 16)
 
 
-class EventRecorder(Ledger):
+class EventRecorder(EffectLog):
     """Writes the record of one process; `clock` gives its loop's time, in seconds."""
 
     def __init__(self, plan: Plan, seed: int, path: pathlib.Path | str, clock: Callable[[], float]):
         self.plan = plan
         self.path = path
-        self.asks = arrivals(plan, Random(f"{seed}/arrivals"))
-        self.begin = 0.0  # loop time at which the run began
-        self.slack = plan.obligations.slack_ms / 1000
+        self.planned_requests = plan_requests(plan, Random(f"{seed}/arrivals"))
+        self.began_at = 0.0  # loop time at which the run began
+        self.slack_seconds = plan.obligations.slack_ms / 1000
         self._clock = clock
         self._file = io.BufferedWriter(io.FileIO(path, "wb"), BUFFER_BYTES)
 
@@ -67,124 +68,124 @@
 
     # What stand-ins ask
 
-    def ask(self, ident: bytes) -> Ask | None:
+    def planned_request(self, ident: bytes) -> PlannedRequest | None:
         """The call that a request belongs to."""
         try:
             number = call_number(ident) if len(ident) == ID_CHARACTERS else -1
         except ValueError:
             return None
-        return self.asks[number] if 0 <= number < len(self.asks) else None
+        return self.planned_requests[number] if 0 <= number < len(self.planned_requests) else None
 
-    def scheme(self, ident: bytes) -> Scheme | None:
+    def request_class(self, ident: bytes) -> RequestClass | None:
         """Its request class."""
-        ask = self.ask(ident)
-        return self.plan.scheme[ask.scheme] if ask else None
+        planned = self.planned_request(ident)
+        return self.plan.request_classes[planned.class_index] if planned else None
 
-    def work(self, ident: bytes) -> float:
+    def work_ms(self, ident: bytes) -> float:
         """What it costs an idle backend of one core, in ms."""
-        return self.ask(ident).work
+        return self.planned_request(ident).work_ms
 
-    def bad(self, ident: bytes) -> bool:
+    def always_fails(self, ident: bytes) -> bool:
         """Whether it errs at any backend."""
-        return self.ask(ident).bad
+        return self.planned_request(ident).always_fails
 
-    def body_size(self, ident: bytes) -> int:
+    def body_bytes(self, ident: bytes) -> int:
         """Bytes of its body."""
-        request_class = self.scheme(ident)
-        return request_class.body if request_class.kind != "repeatable" else 0
+        request_class = self.request_class(ident)
+        return request_class.body_bytes if request_class.kind != "repeatable" else 0
 
     # What callers report
 
-    def asked(self, ident: bytes, ask: Ask, proxy: str, now: float, ends: float) -> None:
-        """A request is being written; `ends` is its deadline."""
-        self.note(now, Event.REQUEST_BEGAN, ident.decode(), proxy, ends)
+    def request_started(self, ident: bytes, planned: PlannedRequest, proxy: str, now: float, deadline: float) -> None:
+        """A request is being written."""
+        self.note(now, Event.REQUEST_BEGAN, ident.decode(), proxy, deadline)
 
-    def sent(self, ident: bytes, now: float, ends: float) -> None:
+    def request_written(self, ident: bytes, now: float, deadline: float) -> None:
         """Its last byte was written."""
-        self.note(now, Event.REQUEST_SENT, ident.decode(), ends)
+        self.note(now, Event.REQUEST_SENT, ident.decode(), deadline)
 
-    def answered(self, ident: bytes, now: float, status: int, body: bytes) -> str:
-        """A complete response came; the outcome, in the word that records have for it."""
-        is_own = status != 200 or body == ident.ljust(self.answer_size(ident))
+    def response_received(self, ident: bytes, now: float, status: int, body: bytes) -> RequestOutcome:
+        """A complete response came; what it means."""
+        is_own = status != 200 or body == ident.ljust(self.response_bytes(ident))
         self.note(now, Event.RESPONSE_RECEIVED, ident.decode(), status, is_own)
-        if status == 200:
-            return "settled"
-        return "declined" if status in (429, 503) else "reversed"
+        return outcome_of_status(status)
 
-    def unheard(self, ident: bytes) -> bool:
+    def may_send_again(self, ident: bytes) -> bool:
         """Whether it crossed the end of its connection is known only once all records are there: not sent again."""
         self.note(self._clock(), Event.IDLE_CLOSE_CROSSED, ident.decode())
         return False
 
-    def lost(self, ident: bytes, now: float, why: str) -> str:
+    def response_missing(self, ident: bytes, now: float, reason: str) -> RequestOutcome:
         """No response came."""
-        self.note(now, Event.RESPONSE_MISSING, ident.decode(), why)
-        return "lost"
+        self.note(now, Event.RESPONSE_MISSING, ident.decode(), reason)
+        return RequestOutcome.UNANSWERED
 
-    def ended(self, ask: Ask, how: str, now: float) -> None:
+    def request_ended(self, planned: PlannedRequest, outcome: RequestOutcome, now: float) -> None:
         """A call ended, after all the requests that its client made of it."""
-        ask.how = how
-        ask.ended = now
-        self.note(now, Event.CALL_ENDED, ask.number, how, ask.first, ask.tries)
+        planned.outcome = outcome
+        planned.ended_at = now
+        self.note(now, Event.CALL_ENDED, planned.number, outcome, planned.first_sent_at, planned.try_count)
 
     # What backends report
 
-    def got(self, node: str, ident: bytes | None, body: bytes, now: float) -> None:
+    def body_received(self, backend_id: str, ident: bytes | None, body: bytes, now: float) -> None:
         """A complete request came: its body has to be the one that its client sent."""
-        if ident is not None and self.scheme(ident) and body != content(ident, self.body_size(ident)):
-            self.breach("protocol", now, f"{node} got a body of {len(body)} bytes that is not {ident.decode()}'s own")
+        if ident is not None and self.request_class(ident) and body != request_body(ident, self.body_bytes(ident)):
+            self.violation("protocol", now, f"{backend_id} got a body of {len(body)} bytes that is not {ident.decode()}'s own")
 
-    def posted(self, node: str, zone: str, ident: bytes, since: float) -> None:
-        """A complete request came, its first byte at `since`."""
-        self.note(self._clock(), Event.ATTEMPT_RECEIVED, node, zone, ident.decode(), since)
+    def attempt_received(self, backend_id: str, zone: str, ident: bytes, sent_at: float) -> None:
+        """A complete request came, its first byte at `sent_at`."""
+        self.note(self._clock(), Event.ATTEMPT_RECEIVED, backend_id, zone, ident.decode(), sent_at)
 
-    def acted(self, node: str, ident: bytes, said: bytes, now: float) -> None:
+    def acted_on_received(self, backend_id: str, ident: bytes, versions: bytes, now: float) -> None:
         """Under which versions its proxy says to have sent it."""
-        self.note(now, Event.ATTEMPT_VERSIONS, node, ident.decode(), said.decode("latin-1"))
+        self.note(now, Event.ATTEMPT_VERSIONS, backend_id, ident.decode(), versions.decode("latin-1"))
 
-    def ran(self, node: str, ident: bytes, now: float) -> None:
+    def request_ran(self, backend_id: str, ident: bytes, now: float) -> None:
         """Its work began."""
-        self.note(now, Event.ATTEMPT_RAN, node, ident.decode())
+        self.note(now, Event.ATTEMPT_RAN, backend_id, ident.decode())
 
-    def choked(self, node: str) -> None:
+    def congestion_began(self, backend_id: str) -> None:
         """A long queue makes a backend slow."""
-        self.note(self._clock(), Event.BACKEND_CHOKED, node)
+        self.note(self._clock(), Event.BACKEND_CHOKED, backend_id)
 
-    def fell(self, node: str, now: float, warmth: float, sent: Iterable[tuple[float, float, bytes]]) -> None:
-        """A backend that warms up was pushed over by `sent`: when, work in ms, id."""
-        self.note(now, Event.BACKEND_FELL_OVER, node, warmth, [(at, work, ident.decode()) for at, work, ident in sent])
+    def backend_pushed_over(self, backend_id: str, now: float, capacity_ratio: float, recent: Iterable[RecentWork]) -> None:
+        """A backend that warms up was pushed over by `recent`."""
+        self.note(
+            now, Event.BACKEND_FELL_OVER, backend_id, capacity_ratio, [(at, work, ident.decode()) for at, work, ident in recent]
+        )
 
-    def breach(self, rule: str, now: float, text: str) -> None:
+    def violation(self, rule: str, now: float, text: str) -> None:
         """A rule that a stand-in saw broken."""
         self.note(now, Event.RULE_BROKEN, rule, text)
 
     # What discovery and the run report
 
-    def told(self, proxy: str, node: str, phase: str, now: float, launched: int = 0) -> None:
-        """A proxy is notified of an endpoint; `launched`: Unix time of its start, in ms."""
-        self.note(now, Event.ENDPOINT_NOTIFIED, proxy, node, phase, launched)
+    def proxy_notified(self, proxy: str, backend_id: str, state: str, now: float, started_at_ms: int = 0) -> None:
+        """A proxy is notified of an endpoint; `started_at_ms`: Unix time of its start."""
+        self.note(now, Event.ENDPOINT_NOTIFIED, proxy, backend_id, state, started_at_ms)
 
-    def listed(self, proxy: str, revision: int, now: float) -> None:
+    def list_sent(self, proxy: str, revision: int, now: float) -> None:
         """A list or a change of it was written to a proxy."""
         self.note(now, Event.LIST_WRITTEN, proxy, revision)
 
-    def published(self, node: str, phase: str, now: float) -> None:
-        """Discovery knows of an endpoint's phase."""
-        self.note(now, Event.ENDPOINT_PUBLISHED, node, phase)
+    def state_published(self, backend_id: str, state: str, now: float) -> None:
+        """Discovery lists an endpoint in that state."""
+        self.note(now, Event.ENDPOINT_PUBLISHED, backend_id, state)
 
-    def started(self, node: str, now: float, launched: int) -> None:
+    def backend_started(self, backend_id: str, now: float, started_at_ms: int) -> None:
         """A backend starts again."""
-        self.note(now, Event.BACKEND_STARTED, node, launched)
+        self.note(now, Event.BACKEND_STARTED, backend_id, started_at_ms)
 
-    def was_killed(self, proxy: str, now: float) -> None:
+    def proxy_killed(self, proxy: str, now: float) -> None:
         """A proxy was killed on purpose."""
         self.note(now, Event.PROXY_KILLED, proxy)
 
-    def crashed(self, proxy: str, now: float, how: str) -> None:
+    def proxy_crashed(self, proxy: str, now: float, reason: str) -> None:
         """A proxy ended by itself."""
-        self.note(now, Event.PROXY_CRASHED, proxy, how)
+        self.note(now, Event.PROXY_CRASHED, proxy, reason)
 
-    def stopped(self, proxy: str, now: float, until: float) -> None:
+    def proxy_stopped(self, proxy: str, now: float, until: float) -> None:
         """A proxy's process or machine stands still."""
         self.note(now, Event.PROXY_STOPPED, proxy, until)
 
--- a/sloeferry/fault_testing/fault_actions.py
+++ b/sloeferry/fault_testing/fault_actions.py
@@ -11,7 +11,7 @@
 from sloeferry.fault_testing import plan_faults as faults
 from sloeferry.fault_testing.plan_faults import Fault
 from sloeferry.fault_testing.recorded_events import Event
-from sloeferry.rehearsal.live import Daemon
+from sloeferry.rehearsal.live import ProxyProcess
 from sloeferry.stand_ins.call_failures import CallFailure
 
 if TYPE_CHECKING:
@@ -55,7 +55,7 @@
         """Loop time at which it is over, if it strikes now."""
         return self.loop.time() + self.fault.lasts_seconds
 
-    def proxies(self) -> list[Daemon]:
+    def proxies(self) -> list[ProxyProcess]:
         """Those that it strikes."""
         return [self.fleet.proxies[number] for number in self.targets.proxies]
 
@@ -84,7 +84,7 @@
             if self.fault.between == "discovery":
                 self.recorder.note(now, Event.DISCOVERY_HELD, name, over_at)
             elif self.fault.between == "callers":  # nobody can answer through it
-                self.recorder.stopped(name, now, over_at)
+                self.recorder.proxy_stopped(name, now, over_at)
                 self.recorder.note(now, Event.CLIENTS_CUT_OFF, name, over_at + CUT_LINK_MARGIN_SECONDS)
 
 
@@ -108,7 +108,7 @@
 
     def prepare(self, number: int) -> None:
         """Its clock will be off."""
-        self.fleet.house.clock_offsets[number] = self.fault.offset_seconds
+        self.fleet.environment.clock_offsets[number] = self.fault.offset_seconds
 
 
 class FailingCallsAction(KillAction):
@@ -116,7 +116,7 @@
 
     def prepare(self, number: int) -> None:
         """Its calls will fail."""
-        self.fleet.house.failing_calls.add(number)
+        self.fleet.environment.failing_calls.add(number)
 
 
 class StopAction(FaultAction):
@@ -125,7 +125,7 @@
     def apply(self) -> None:
         """All at once."""
         for proxy in self.proxies():
-            proxy.stop(self.fault.lasts_seconds)
+            proxy.pause(self.fault.lasts_seconds)
 
 
 class TerminateAction(FaultAction):
@@ -135,7 +135,7 @@
         """One after the other."""
         proxies = self.proxies()
         for turn, proxy in enumerate(proxies):
-            self.loop.call_later(self.fault.lasts_seconds * turn / len(proxies), proxy.leave)
+            self.loop.call_later(self.fault.lasts_seconds * turn / len(proxies), proxy.restart)
 
 
 class ReloadAction(FaultAction):
@@ -143,35 +143,35 @@
 
     def apply(self) -> None:
         """All at once; those whose process may not have read its file yet get neither."""
-        rng = self.fleet.house.rng(f"hup-{self.fault.at_seconds}")
+        rng = self.fleet.environment.rng(f"hup-{self.fault.at_seconds}")
         numbers = self.targets.proxies
         without_signal = set(rng.sample(numbers, round(self.fault.lost_ratio * len(numbers))))
         for number, proxy in zip(numbers, self.proxies(), strict=True):
             self._write_settings(number, proxy)
-            started_at = self.fleet.house.started_at.get(number, 0.0)
+            started_at = self.fleet.environment.started_at.get(number, 0.0)
             if self.loop.time() < started_at + STARTUP_SECONDS:
                 continue  # started on half of a file it would rightly end
             self._spoil_file(proxy)
             if number not in without_signal:
-                proxy.end(signal.SIGHUP)
+                proxy.send_signal(signal.SIGHUP)
 
-    def _write_settings(self, number: int, proxy: Daemon) -> None:
+    def _write_settings(self, number: int, proxy: ProxyProcess) -> None:
         if self.fault.file == "stale":
             self.fleet.objective_ratios.pop(number, None)
         else:
             self.fleet.objective_ratios[number] = self.fault.objective_ratio
-        proxy.write()
+        proxy.write_config()
 
-    def _spoil_file(self, proxy: Daemon) -> None:
-        text = proxy.path.read_text()
+    def _spoil_file(self, proxy: ProxyProcess) -> None:
+        text = proxy.config_path.read_text()
         if self.fault.file == "cut":
-            proxy.path.write_text(text[: len(text) // 2])
+            proxy.config_path.write_text(text[: len(text) // 2])
         elif self.fault.file == "missing":
-            proxy.path.unlink()
+            proxy.config_path.unlink()
         elif self.fault.file == "swapped":  # another file in its place, while it is read
-            other = proxy.path.with_suffix(".new")
+            other = proxy.config_path.with_suffix(".new")
             other.write_text(text)
-            self.loop.call_soon(os.replace, other, proxy.path)
+            self.loop.call_soon(os.replace, other, proxy.config_path)
 
 
 class DiscoveryDownAction(FaultAction):
@@ -181,9 +181,9 @@
         """It ends, and comes back."""
         for place in self.fleet.places:
             self.recorder.note(self.loop.time(), Event.DISCOVERY_UNREACHABLE, place.name, self.over_at())
-        discovery = self.fleet.roster
-        discovery.out()
-        self.loop.call_later(self.fault.lasts_seconds, lambda: self.loop.create_task(discovery.back()))
+        discovery = self.fleet.discovery
+        discovery.go_down()
+        self.loop.call_later(self.fault.lasts_seconds, lambda: self.loop.create_task(discovery.come_back()))
 
 
 class DiscoveryLagAction(FaultAction):
@@ -191,10 +191,10 @@
 
     def apply(self) -> None:
         """The list stays as it is now."""
-        discovery = self.fleet.roster
+        discovery = self.fleet.discovery
         for name in self.proxy_names():
-            discovery.show(name, until=self.loop.time())
-            self.loop.call_later(self.fault.lasts_seconds, discovery.show, name)
+            discovery.show_older_list(name, until=self.loop.time())
+            self.loop.call_later(self.fault.lasts_seconds, discovery.show_newest_list, name)
 
 
 class OlderReplicaAction(FaultAction):
@@ -202,12 +202,12 @@
 
     def apply(self) -> None:
         """Their watches end, so that they call again."""
-        discovery = self.fleet.roster
+        discovery = self.fleet.discovery
         names = self.proxy_names()
         for name in names:
-            discovery.show(name, late=self.fault.behind_seconds)
-            self.loop.call_later(self.fault.lasts_seconds, discovery.show, name)
-        discovery.hang_up(set(names))
+            discovery.show_older_list(name, self.fault.behind_seconds)
+            self.loop.call_later(self.fault.lasts_seconds, discovery.show_newest_list, name)
+        discovery.end_watches(set(names))
 
 
 class RevisionResetAction(FaultAction):
@@ -215,7 +215,7 @@
 
     def apply(self) -> None:
         """Once; nothing is to be mended."""
-        self.fleet.roster.anew()
+        self.fleet.discovery.restart_count()
 
 
 class FailingDiscoveryAction(FaultAction):
@@ -231,7 +231,7 @@
             self.loop.call_later(self.fault.lasts_seconds, self._set_failure, name, None)
 
     def _set_failure(self, proxy: str, failure: CallFailure | None) -> None:
-        self.loop.create_task(self.fleet.roster.fail_calls(proxy, failure))
+        self.loop.create_task(self.fleet.discovery.fail_calls(proxy, failure))
 
 
 ACTIONS: dict[type[Fault], type[FaultAction]] = {
--- a/sloeferry/fault_testing/link_relay.py
+++ b/sloeferry/fault_testing/link_relay.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from sloeferry.fault_testing.recorded_events import Event, EventSink
-from sloeferry.stand_ins.http_messages import Frames
+from sloeferry.stand_ins.http_messages import MessageReader
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 seconds
 BACKLOG = 1024
@@ -143,7 +143,7 @@
         self._held: list[tuple[Direction, bytes | None]] = []
         self._due_at = {Direction.TO_SERVER: 0.0, Direction.TO_CLIENT: 0.0}  # of what is on its way, delayed
         self._passed_bytes = {Direction.TO_SERVER: 0, Direction.TO_CLIENT: 0}
-        self._requests = Frames() if link.records_requests else None
+        self._requests = MessageReader() if link.records_requests else None
         self._request_began_at: float | None = None
         link.connections[self] = None
 
--- a/sloeferry/fault_testing/placement.py
+++ b/sloeferry/fault_testing/placement.py
@@ -11,27 +11,18 @@
 
 from sloeferry.fault_testing.plan import Plan
 from sloeferry.fault_testing.plan_faults import AnyLinkFault, Fault, LinkFault
-from sloeferry.rehearsal.proxy_fleet import spot
+from sloeferry.rehearsal.proxy_fleet import BACKEND_BLOCK, DISCOVERY_BLOCK, DISCOVERY_PORT_OFFSET, loopback_address
 from sloeferry.rehearsal.scenario import ScenarioError
+from sloeferry.stand_ins.connection_balancer import ProxyPlace
 
-# Blocks of loopback addresses (127.BLOCK.x.y); proxies have their block in the rehearsal's own placing.
-PROXY_BLOCK, BACKEND_BLOCK, DISCOVERY_BLOCK, LINK_BLOCK = 10, 20, 30, 50
+LINK_BLOCK = 50  # of loopback addresses (127.BLOCK.x.y), beside the blocks of a rehearsal's own placing
 LOCK_NUMBER = 249  # in discovery's block: the address that holds a run's ports
 # Below the ports that the machine gives away by itself.
 FIRST_PORT, END_PORT, PORTS_A_RUN = 12000, 32000, 2500
-DISCOVERY_PORT_OFFSET = 500  # from the run's port; one more for each proxy
 
 Address = tuple[str, int]
 
 
-class Place(NamedTuple):
-    """A proxy's address for clients, and its zone."""
-
-    name: str
-    address: Address
-    zone: str
-
-
 class RelayedLink(NamedTuple):
     """A link between a proxy and `between`; `backend`: its number, where it is to one; `listen`: the relay's address."""
 
@@ -58,23 +49,15 @@
     return f"callers/{proxy}"
 
 
-def proxy_places(plan: Plan, port: int) -> list[Place]:
-    """All proxies, dealt out over the zones in turn."""
-    zones = plan.network.zones
-    return [
-        Place(f"p{number}", (spot(PROXY_BLOCK, number), port), zones[number % len(zones)]) for number in range(plan.bank.proxies)
-    ]
-
-
-def discovery_addresses(places: list[Place], port: int) -> dict[str, Address]:
+def discovery_addresses(places: list[ProxyPlace], port: int) -> dict[str, Address]:
     """Discovery's address for each proxy, by the proxy's name."""
-    host = spot(DISCOVERY_BLOCK, 0)
+    host = loopback_address(DISCOVERY_BLOCK, 0)
     return {place.name: (host, port + DISCOVERY_PORT_OFFSET + number) for number, place in enumerate(places)}
 
 
 def backend_address(number: int, port: int) -> Address:
     """The address of a backend."""
-    return spot(BACKEND_BLOCK, number), port
+    return loopback_address(BACKEND_BLOCK, number), port
 
 
 @dataclass(slots=True)
@@ -93,7 +76,7 @@
             self.of_fault.append(self._draw(fault, self.random_for(f"fault-{number}")))
 
     def _draw(self, fault: Fault, rng: Random) -> FaultTargets:
-        proxies = fault.proxies or _draw_some(rng, self.plan.bank.proxies, fault.struck_ratio)
+        proxies = fault.proxies or _draw_some(rng, self.plan.proxies.count, fault.struck_ratio)
         if not isinstance(fault, AnyLinkFault):
             return FaultTargets(proxies, [])
         backends = self._draw_backends(fault, rng)
@@ -102,7 +85,7 @@
     def _draw_backends(self, fault: LinkFault, rng: Random) -> list[int | None]:
         if fault.between != "nodes":
             return [None]
-        return _draw_some(rng, sum(nodes.count for nodes in self.plan.nodes), fault.backend_ratio)
+        return _draw_some(rng, sum(group.count for group in self.plan.backends), fault.backend_ratio)
 
     def _link(self, between: str, proxy: int, backend: int | None) -> str:
         """The name of that link, placed where it is new: an address a proxy, a port each."""
@@ -110,7 +93,7 @@
         if name not in self.links:
             number = self._links_of_proxy.get(proxy, 0)
             self._links_of_proxy[proxy] = number + 1
-            self.links[name] = RelayedLink(between, proxy, backend, (spot(LINK_BLOCK, proxy), self.port + number))
+            self.links[name] = RelayedLink(between, proxy, backend, (loopback_address(LINK_BLOCK, proxy), self.port + number))
         return name
 
 
@@ -130,7 +113,7 @@
     """Ports that no other run has; raises ScenarioError where all are taken."""
     for port in range(FIRST_PORT, END_PORT, PORTS_A_RUN):
         try:
-            return ReservedPorts(socket.create_server((spot(DISCOVERY_BLOCK, LOCK_NUMBER), port)), port)
+            return ReservedPorts(socket.create_server((loopback_address(DISCOVERY_BLOCK, LOCK_NUMBER), port)), port)
         except OSError:
             continue
     raise ScenarioError("no ports are free for a play: eight go on at once")
--- a/sloeferry/fault_testing/plan.py
+++ b/sloeferry/fault_testing/plan.py
@@ -14,26 +14,28 @@
 from sloeferry.fault_testing import draw, draw_soak
 from sloeferry.fault_testing.plan_faults import AnyFault, DiscoveryDown, Fault, Kill, Stop, Terminate
 from sloeferry.rehearsal import scenario as scenarios
-from sloeferry.rehearsal.scenario import Above, Part, Scenario, ScenarioError, Table
+from sloeferry.rehearsal import scenario_faults
+from sloeferry.rehearsal.scenario import Scenario, ScenarioError
+from sloeferry.rehearsal.scenario_tables import Positive, Ratio, Table
 
 SHIPPED = pathlib.Path(__file__).parent / "plans"
 MAX_PROXIES = 400  # on one machine
 DRAWN_NAME = re.compile(r"(drawn|soak)-(\d{1,9})")
-# Faults that rehearsals in virtual time have too, and as which trouble.
+# Faults that rehearsals in virtual time have too, and as which of a scenario's.
 VIRTUAL_COUNTERPARTS = {
-    Kill: scenarios.ProxiesDie,
-    Stop: scenarios.ProxiesStop,
-    Terminate: scenarios.ProxiesRoll,
-    DiscoveryDown: scenarios.DiscoveryOut,
+    Kill: scenario_faults.ProxyCrash,
+    Stop: scenario_faults.ProxyPause,
+    Terminate: scenario_faults.ProxyRollingRestart,
+    DiscoveryDown: scenario_faults.DiscoveryOutage,
 }
-# Troubles of scenarios that real processes have not: they are made by the stand-ins or the virtual network.
+# Faults of scenarios that real processes have not: they are made by the stand-ins or the virtual network.
 VIRTUAL_ONLY = (
-    scenarios.OneSided,
-    scenarios.LossyWay,
-    scenarios.DiscoveryMove,
-    scenarios.ProxiesStarve,
-    scenarios.ProxiesQuiesce,
-    scenarios.DiscoveryOut,
+    scenario_faults.OneSidedLoss,
+    scenario_faults.LossyZoneLink,
+    scenario_faults.DiscoveryMove,
+    scenario_faults.ProxyCpuLimit,
+    scenario_faults.ProxyQuiesce,
+    scenario_faults.DiscoveryOutage,
 )
 
 
@@ -46,8 +48,8 @@
 
     nodes: Annotated[int, Meta(ge=1, le=8)] = 1
     callers: Annotated[int, Meta(ge=1, le=8)] = 1
-    late_ms: Above = 200.0
-    audit_s: Above | None = None
+    late_ms: Positive = 200.0
+    audit_s: Positive | None = None
 
 
 class Expect(Table):
@@ -57,7 +59,7 @@
     without a response, whoever is to blame.
     """
 
-    service: Part = 0.0
+    service: Ratio = 0.0
     lost: Annotated[int, Meta(ge=0)] = 0
 
 
@@ -80,7 +82,7 @@
         draw_plan = draw.draw_plan if drawn[1] == "drawn" else draw_soak.draw_plan
         return draw_plan(int(drawn[2])).to_toml()
     path = SHIPPED / f"{name}.toml" if name in shipped() else pathlib.Path(name)
-    return scenarios.text(path, [*shipped(), "drawn-N", "soak-N"])
+    return scenarios.read_text(path, [*shipped(), "drawn-N", "soak-N"])
 
 
 def read(name: str) -> Plan:
@@ -90,13 +92,13 @@
 
 def parse_plan(text: str, name: str = "plan") -> Plan:
     """The plan in that TOML text, checked; raises ScenarioError, which names the key."""
-    plan = scenarios.checked(text, name, Plan)
-    if plan.bank.proxies > MAX_PROXIES:
-        _refuse(name, "bank.proxies", f"{plan.bank.proxies} are too many for one machine, {MAX_PROXIES} at most")
+    plan = scenarios.parse(text, name, Plan)
+    if plan.proxies.count > MAX_PROXIES:
+        _refuse(name, "bank.proxies", f"{plan.proxies.count} are too many for one machine, {MAX_PROXIES} at most")
     if plan.clock:
         _refuse(name, "clock", "a machine's own clock is never set; use a fault")
-    for index, trouble in enumerate(plan.trouble):
-        if isinstance(trouble, VIRTUAL_ONLY):
+    for index, fault in enumerate(plan.scenario_faults):
+        if isinstance(fault, VIRTUAL_ONLY):
             _refuse(name, f"trouble[{index}].what", "exists in virtual time alone; see the faults")
     if plan.rig.audit_s and plan.rig.audit_s > plan.seconds:
         _refuse(name, "rig.audit_s", "comes after the end")
@@ -109,7 +111,7 @@
     if fault.at_seconds + fault.lasts_seconds > plan.seconds:
         _refuse(name, f"{key}.lasts", "goes on past the end")
     for number in fault.proxies:
-        if number >= plan.bank.proxies:
+        if number >= plan.proxies.count:
             _refuse(name, f"{key}.proxies", f"there is no proxy {number}")
 
 
@@ -121,29 +123,29 @@
     """The same plan with so many proxies, and so many backends in all; load goes with the backends."""
     replace = msgspec.structs.replace
     if proxies:
-        plan = replace(plan, bank=replace(plan.bank, proxies=proxies))
+        plan = replace(plan, proxies=replace(plan.proxies, count=proxies))
     if backends:
-        before = sum(nodes.count for nodes in plan.nodes)
-        groups = [replace(nodes, count=max(1, round(nodes.count * backends / before))) for nodes in plan.nodes]
-        after = sum(nodes.count for nodes in groups)
-        curve = [(seconds, rate * after / before) for seconds, rate in plan.callers.curve]
-        plan = replace(plan, nodes=groups, callers=replace(plan.callers, curve=curve))
+        before = sum(group.count for group in plan.backends)
+        groups = [replace(group, count=max(1, round(group.count * backends / before))) for group in plan.backends]
+        after = sum(group.count for group in groups)
+        curve = [(seconds, rate * after / before) for seconds, rate in plan.clients.load_curve]
+        plan = replace(plan, backends=groups, clients=replace(plan.clients, load_curve=curve))
     return plan
 
 
 def virtual_twin(plan: Plan) -> tuple[Scenario, list[str]]:
     """The scenario that plays in virtual time, and the kinds of the faults that have no part there."""
-    troubles = list(plan.trouble)
+    faults = list(plan.scenario_faults)
     left_out = []
     for fault in plan.fault:
-        trouble_type = VIRTUAL_COUNTERPARTS.get(type(fault))
-        if trouble_type is None:
+        fault_type = VIRTUAL_COUNTERPARTS.get(type(fault))
+        if fault_type is None:
             left_out.append(fault.kind)
             continue
-        ratio = len(fault.proxies) / plan.bank.proxies if fault.proxies else fault.struck_ratio
-        if trouble_type is scenarios.ProxiesStop:
-            troubles.append(trouble_type(at=fault.at_seconds, part=ratio, ms=fault.lasts_seconds * 1000))
+        ratio = len(fault.proxies) / plan.proxies.count if fault.proxies else fault.struck_ratio
+        if fault_type is scenario_faults.ProxyPause:
+            faults.append(fault_type(at=fault.at_seconds, part=ratio, pause_ms=fault.lasts_seconds * 1000))
         else:
-            troubles.append(trouble_type(at=fault.at_seconds, part=ratio, lasts=fault.lasts_seconds))
+            faults.append(fault_type(at=fault.at_seconds, part=ratio, lasts=fault.lasts_seconds))
     fields = {name: getattr(plan, name) for name in Scenario.__struct_fields__}
-    return Scenario(**{**fields, "trouble": troubles}), left_out
+    return Scenario(**{**fields, "scenario_faults": faults}), left_out
--- a/sloeferry/fault_testing/plan_faults.py
+++ b/sloeferry/fault_testing/plan_faults.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta, field
 
-from sloeferry.rehearsal.scenario import Above, From0, Part, Table
+from sloeferry.rehearsal.scenario_tables import NonNegative, Positive, Ratio, Table
 
 ProxyNumber = Annotated[int, Meta(ge=0)]
 
@@ -16,9 +16,9 @@
 class Fault(Table, tag_field="what"):
     """What all faults have: when, for how long, and which proxies, by number or a part of them that is drawn."""
 
-    at_seconds: From0 = field(name="at")
-    lasts_seconds: Above = field(name="lasts", default=2.0)
-    struck_ratio: Part = field(name="part", default=0.3)
+    at_seconds: NonNegative = field(name="at")
+    lasts_seconds: Positive = field(name="lasts", default=2.0)
+    struck_ratio: Ratio = field(name="part", default=0.3)
     proxies: list[ProxyNumber] = []
 
     @property
@@ -46,9 +46,9 @@
     `objective_ratio`: the latency objective, times what it was.
     """
 
-    lost_ratio: Part = field(name="lost", default=0.0)
+    lost_ratio: Ratio = field(name="lost", default=0.0)
     file: Literal["whole", "cut", "stale", "swapped", "missing"] = "whole"
-    objective_ratio: Above = field(name="sla", default=1.0)
+    objective_ratio: Positive = field(name="sla", default=1.0)
 
 
 class ClockStep(Fault, tag="clock"):
@@ -65,7 +65,7 @@
     """Between those proxies and `between`; `backend_ratio`: the part of the backends, drawn."""
 
     between: Literal["nodes", "discovery", "callers"] = "nodes"
-    backend_ratio: Part = field(name="nodes", default=1.0)
+    backend_ratio: Ratio = field(name="nodes", default=1.0)
 
 
 class HoldLink(LinkFault, tag="hold"):
@@ -77,7 +77,7 @@
 class DelayLink(LinkFault, tag="delay"):
     """What is sent takes so much longer."""
 
-    delay_ms: Above = field(name="ms", default=50.0)
+    delay_ms: Positive = field(name="ms", default=50.0)
 
 
 class CutLink(LinkFault, tag="cut"):
@@ -106,7 +106,7 @@
 class OlderReplica(Fault, tag="list-older"):
     """Those are answered by a replica that is so much behind."""
 
-    behind_seconds: Above = field(name="by_s", default=5.0)
+    behind_seconds: Positive = field(name="by_s", default=5.0)
 
 
 class FailingDiscovery(Fault, tag="list-fail"):
--- a/sloeferry/fault_testing/plan_run.py
+++ b/sloeferry/fault_testing/plan_run.py
@@ -17,7 +17,7 @@
 from sloeferry.fault_testing.process_host import ProcessHost
 from sloeferry.fault_testing.run_options import RunOptions
 from sloeferry.fault_testing.verdict import RunResult, judge_run
-from sloeferry.rehearsal.proxy_fleet import READY
+from sloeferry.rehearsal.play_environment import READY_TIMEOUT_SECONDS
 from sloeferry.stand_ins import processes
 
 MEMORY_FOLDER = "/dev/shm"
@@ -55,10 +55,10 @@
         started_at = loop.time()
         for proxy in fleet.proxies:
             proxy.start()
-        while not all(fleet.front.alive.values()) and loop.time() < started_at + READY:
+        while not all(fleet.balancer.alive.values()) and loop.time() < started_at + READY_TIMEOUT_SECONDS:
             await asyncio.sleep(POLL_SECONDS)
         self.figures["ready_s"] = round(loop.time() - started_at, 2)
-        self.figures["ready"] = sum(fleet.front.alive.values())
+        self.figures["ready"] = sum(fleet.balancer.alive.values())
 
     async def _play(self, began_at: float) -> None:
         seconds = self._fleet.plan.seconds
@@ -66,7 +66,7 @@
         while self._is_going_on(began_at + seconds):
             await asyncio.sleep(PLAY_POLL_SECONDS)
             if memory_mb is None and self._loop.time() > began_at + seconds / 2:
-                memory_mb = [processes.memory(pid) for pid in self._proxy_pids()]
+                memory_mb = [processes.memory_mb(pid) for pid in self._proxy_pids()]
         if memory_mb:
             self.figures["memory_mb"] = spread(memory_mb)
         cpu_seconds = [processes.cpu_seconds(pid) for pid in self._proxy_pids()]
@@ -75,7 +75,7 @@
 
     def _is_going_on(self, ends_at: float) -> bool:
         now = self._loop.time()
-        return now < ends_at or self._fleet.busy() and now < ends_at + self._fleet.longest()
+        return now < ends_at or self._fleet.is_busy() and now < ends_at + self._fleet.last_request_seconds()
 
     def _proxy_pids(self) -> Iterable[int]:
         return [proxy.process.pid for proxy in self._fleet.proxies if proxy.process]
--- a/sloeferry/fault_testing/process_fleet.py
+++ b/sloeferry/fault_testing/process_fleet.py
@@ -13,14 +13,12 @@
 from sloeferry.fault_testing.fleet_audit import audit_fleet
 from sloeferry.fault_testing.placement import (
     Address,
-    Place,
     RelayedLink,
     Targets,
     backend_address,
     callers_link,
     discovery_addresses,
     discovery_link,
-    proxy_places,
 )
 from sloeferry.fault_testing.plan import Plan
 from sloeferry.fault_testing.process_host import ProcessHost
@@ -29,17 +27,20 @@
 from sloeferry.fault_testing.shared_front import SharedFront
 from sloeferry.fault_testing.worker_processes import RemoteBackend, WorkerProcess
 from sloeferry.fault_testing.worker_protocol import ReportKind, WorkerConfig, WorkerReport, WorkerRole
-from sloeferry.rehearsal.faults import Troubles
-from sloeferry.rehearsal.proxy_fleet import Bank, expand
-from sloeferry.rehearsal.scenario import Nodes
-from sloeferry.stand_ins.discovery import Roster
+from sloeferry.rehearsal.faults import FaultInjector
+from sloeferry.rehearsal.proxy_fleet import ProxyFleet, plan_backends, plan_places
+from sloeferry.rehearsal.scenario_tables import Backends
+from sloeferry.stand_ins.connection_balancer import ProxyPlace
+from sloeferry.stand_ins.discovery import StandInDiscovery
+from sloeferry.stand_ins.platform import format_address
+from sloeferry.stand_ins.wire_protocol import BackendState
 
 END_SECONDS = 5.0  # until proxies that were killed must have gone
 POLL_SECONDS = 0.05
 OPERATOR_SETTINGS = "[versions]\ntell = true\ncarry = true\n"
 
 
-class ProcessFleet(Bank):
+class ProcessFleet(ProxyFleet):
     """Everybody who takes part in a run.
 
     The names without an underscore that are not explained here are those of a rehearsal's fleet: troubles, proxies and
@@ -50,19 +51,19 @@
         plan = options.plan
         self.plan: Plan = plan
         self.scenario = plan
-        self.house = host
+        self.environment = host
         self.loop = host.loop
         self.port = port
         self.tool_faults: list[str] = []  # of the tool's own processes
         self.objective_ratios: dict[int, float] = {}  # proxy -> its latency objective, times what the plan says
         self.judge = EventRecorder(plan, options.seed, pathlib.Path(host.folder, "driver.jsonl"), self.loop.time)
-        self.places: list[Place] = proxy_places(plan, port)
+        self.places: list[ProxyPlace] = plan_places(plan, port)
         targets = Targets(plan, port, host.rng)
         self.fault_targets = targets.of_fault
         self._links = targets.links
         self._links_open = asyncio.Event()
         addresses = discovery_addresses(self.places, port)
-        self.roster = Roster(self.loop, plan.discovery, addresses, self.judge, host.rng("roster"), host.unix)
+        self.discovery = StandInDiscovery(self.loop, plan.discovery, addresses, self.judge, host.rng("roster"))
         host.operator_file.write_text(OPERATOR_SETTINGS)
         self._options = options
         self._backend_workers = self._workers(WorkerRole.BACKENDS, plan.rig.nodes)
@@ -70,17 +71,17 @@
         relays = self._workers(WorkerRole.RELAY, 1 if self._links else 0)
         self.relay = relays[0] if relays else None
         self._all_workers = [*self._backend_workers, *self._caller_workers, *relays]
-        self.front = SharedFront(self.loop, plan.front, self.places, self._tell_alive)
-        self.nodes: list[RemoteBackend] = []
-        self._backends: dict[int, RemoteBackend] = {}  # by number: all that ever were
-        self.proxies = [host.proxy(self, number) for number in range(plan.bank.proxies)]
+        self.balancer = SharedFront(self.loop, plan.balancer, self.places, self._tell_alive)
+        self.backends: list[RemoteBackend] = []
+        self._backend_by_number: dict[int, RemoteBackend] = {}  # by number: all that ever were
+        self.proxies = [host.make_proxy(self, number) for number in range(plan.proxies.count)]
 
     def _workers(self, role: WorkerRole, count: int) -> list[WorkerProcess]:
         options = self._options
         places = [(place.name, self._address_for_callers(number), place.zone) for number, place in enumerate(self.places)]
         return [
             WorkerProcess(
-                self.house,
+                self.environment,
                 WorkerConfig(
                     role=role,
                     number=number,
@@ -88,7 +89,7 @@
                     proxy_count=options.proxy_count,
                     backend_count=options.backend_count,
                     seed=options.seed,
-                    record_path=str(pathlib.Path(self.house.folder, f"{role}-{number}.jsonl")),
+                    record_path=str(pathlib.Path(self.environment.folder, f"{role}-{number}.jsonl")),
                     caller_workers=self.plan.rig.callers,
                     places=places,
                 ),
@@ -111,9 +112,9 @@
         if report.kind is ReportKind.FAILED:
             self.tool_faults.append(report.value)
         elif report.kind is ReportKind.BACKEND_STARTED:
-            self._backends[report.value].has_started()
+            self._backend_by_number[report.value].has_started()
         elif report.kind is ReportKind.BACKEND_IDLE:
-            self._backends[report.value].has_become_idle()
+            self._backend_by_number[report.value].has_become_idle()
         elif report.kind is ReportKind.LINKS_OPEN:
             self._links_open.set()
 
@@ -121,35 +122,35 @@
         for worker in self._caller_workers:
             worker.command("set_alive", proxy, is_alive)
 
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Whether calls are open still, as far as callers have reported."""
         return any(worker.open_calls != 0 for worker in self._caller_workers)
 
     # What troubles, proxies and stand-ins ask of a fleet
 
-    def node(self, told: Nodes, zone: str) -> RemoteBackend:
+    def make_backend(self, settings: Backends, zone: str) -> RemoteBackend:
         """Another backend of that group of the plan's; it does not listen yet."""
-        number = len(self._backends)
+        number = len(self._backend_by_number)
         worker = self._backend_workers[number % len(self._backend_workers)]
-        group = self.plan.nodes.index(told)
-        backend = RemoteBackend(worker, number, backend_address(number, self.port), told, group, zone)
-        self._backends[number] = backend
+        group = self.plan.backends.index(settings)
+        backend = RemoteBackend(worker, number, backend_address(number, self.port), settings, group, zone)
+        self._backend_by_number[number] = backend
         return backend
 
-    def settings(self, at: int) -> dict[str, Any]:
+    def settings(self, index: int) -> dict[str, Any]:
         """The settings of the proxy of that number."""
-        settings = super().settings(at)
-        ratio = self.objective_ratios.get(at, 1.0)
+        settings = super().settings(index)
+        ratio = self.objective_ratios.get(index, 1.0)
         for request_class in settings["schemes"]:
             request_class["sla_time"] = min(request_class["expiry"], round(request_class["sla_time"] * ratio))
         return settings
 
-    def berth(self, at: int, seed: int) -> dict[str, Any]:
+    def instance_config(self, index: int, seed: int) -> dict[str, Any]:
         """The configuration of the proxy of that number."""
-        config = super().berth(at, seed)
-        link = self._links.get(discovery_link(at))
+        config = super().instance_config(index, seed)
+        link = self._links.get(discovery_link(index))
         if link:
-            config["discovery"] = "{}:{}".format(*link.listen)
+            config["discovery"] = format_address(link.listen)
         return config
 
     # The course of a run
@@ -157,13 +158,13 @@
     async def open(self) -> None:
         """Worker processes, links, warm backends, and discovery."""
         await asyncio.gather(*(worker.start() for worker in self._all_workers))
-        for group, zone in expand(self.plan):
-            self.nodes.append(self.node(group, zone))
+        for group, zone in plan_backends(self.plan):
+            self.backends.append(self.make_backend(group, zone))
         await self._open_links()
-        await asyncio.gather(*(backend.start(warm=True) for backend in self.nodes))
-        for backend in self.nodes:
-            self.roster.publish(backend, "active", 0.0)
-        await self.roster.start()
+        await asyncio.gather(*(backend.start(is_warm=True) for backend in self.backends))
+        for backend in self.backends:
+            self.discovery.publish(backend, BackendState.READY, 0.0)
+        await self.discovery.start()
 
     async def _open_links(self) -> None:
         if not self.relay:
@@ -172,41 +173,41 @@
             leads_to_backend = link.backend is not None
             self.relay.command("add_link", name, link.listen, self._target(link), leads_to_backend)
             if leads_to_backend:
-                way = f"p{link.proxy}", self.nodes[link.backend].ident
-                self.roster.ways[way] = "{}:{}".format(*link.listen)
+                backend_id = self.backends[link.backend].backend_id
+                self.discovery.set_link_address(f"p{link.proxy}", backend_id, format_address(link.listen))
         self.relay.command("confirm_links")
         await self._links_open.wait()
 
     def _target(self, link: RelayedLink) -> Address:
         if link.backend is not None:
-            return self.nodes[link.backend].address
+            return self.backends[link.backend].address
         place = self.places[link.proxy]
-        return place.address if link.between == "callers" else self.roster.addresses[place.name]
+        return place.address if link.between == "callers" else self.discovery.addresses[place.name]
 
     def begin(self, now: float) -> None:
         """Callers, troubles and faults, from that loop time on."""
-        self.judge.begin = now
+        self.judge.began_at = now
         self.judge.note(now, Event.RUN_BEGAN)
         for worker in self._caller_workers:
             worker.command("begin", now)
-        Troubles(self).begin(now)
+        FaultInjector(self).begin(now)
         for number, fault in enumerate(self.plan.fault):
             self.loop.call_at(now + fault.at_seconds, action_of(self, number, fault).strike)
         if self.plan.rig.audit_s:
             self.loop.call_at(now + self.plan.rig.audit_s, lambda: self.loop.create_task(self._audit()))
 
     async def _audit(self) -> None:
-        self.judge.note(self.loop.time(), Event.AUDIT_BEGAN, self.roster.revision)
-        result = await audit_fleet(self.places, self.roster)
+        self.judge.note(self.loop.time(), Event.AUDIT_BEGAN, self.discovery.list.revision)
+        result = await audit_fleet(self.places, self.discovery)
         self.judge.note(self.loop.time(), Event.AUDIT_ENDED, result)
 
     async def end(self) -> None:
         """Ends all processes, and completes the records."""
         for proxy in self.proxies:
-            proxy.over = True
-            proxy.end()
+            proxy.is_over = True
+            proxy.send_signal()
         await asyncio.gather(*(worker.end() for worker in self._all_workers))
-        self.roster.out()
+        self.discovery.go_down()
         until = self.loop.time() + END_SECONDS
         while any(proxy.process for proxy in self.proxies) and self.loop.time() < until:
             await asyncio.sleep(POLL_SECONDS)
--- a/sloeferry/fault_testing/process_host.py
+++ b/sloeferry/fault_testing/process_host.py
@@ -5,7 +5,7 @@
 import os
 import pathlib
 
-from sloeferry.rehearsal.live import Daemon, Street
+from sloeferry.rehearsal.live import LiveEnvironment, ProxyCommand, ProxyProcess
 from sloeferry.stand_ins import processes
 
 SOURCE_TREE = str(pathlib.Path(__file__).resolve().parents[2])
@@ -14,7 +14,7 @@
 MEASURING_CORES_OF_8 = 3
 
 
-class ProcessHost(Street):
+class ProcessHost(LiveEnvironment):
     """Where processes stand: measuring ones on cores of their own, proxies on the rest."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, seed: int, folder: str, proxy_tree: str | None):
@@ -30,14 +30,14 @@
         self._proxy_cores = set(cores[count:]) if len(cores) > 2 else set(cores)
         os.sched_setaffinity(0, self.measuring_cores)
 
-    def placed(self, process: asyncio.subprocess.Process, cores: set[int] | None = None) -> None:
+    def process_started(self, process: asyncio.subprocess.Process, cores: set[int] | None = None) -> None:
         """A process has been started: a proxy where no cores are given."""
         with contextlib.suppress(ProcessLookupError):  # it has ended already: whoever waits for it will say so
             os.sched_setaffinity(process.pid, cores or self._proxy_cores)
 
-    def command(self, daemon: Daemon) -> tuple[list[str], dict[str, str], str]:
+    def command(self, proxy: ProxyProcess) -> ProxyCommand:
         """Arguments, environment and folder of a proxy: as `run` starts it, or with a clock or calls that misbehave."""
-        number = daemon.at
+        number = proxy.index
         self.started_at[number] = self.loop.time()
         clock_offset = self.clock_offsets.get(number)
         has_failing_calls = number in self.failing_calls
@@ -47,6 +47,6 @@
             environment["SLOEFERRY_RIG_CLOCK"] = repr(clock_offset)
         if has_failing_calls:
             environment["SLOEFERRY_RIG_CALLS"] = "yes"
-        if daemon.bank.plan.rig.audit_s:
+        if proxy.fleet.plan.rig.audit_s:
             environment["SLOEFERRY_OPERATOR"] = str(self.operator_file)
-        return arguments, environment, self._proxy_tree
+        return ProxyCommand(arguments, environment, self._proxy_tree)
--- a/sloeferry/fault_testing/record_judge.py
+++ b/sloeferry/fault_testing/record_judge.py
@@ -1,12 +1,18 @@
 """The rehearsal's judge, more lenient where faults between processes keep a proxy from what it owes."""
 
+from collections.abc import Sequence
 from typing import NamedTuple
 
 from sloeferry.fault_testing.spans import ProxySpans
-from sloeferry.rehearsal.judge import Judge, Try
+from sloeferry.rehearsal.arrivals import PlannedRequest
+from sloeferry.rehearsal.judge import ClientTry, Judge
+from sloeferry.rehearsal.scenario import Scenario
+from sloeferry.stand_ins.wire_protocol import RequestOutcome
 
+CUT_OFF = "apart"  # the outcome, in records, of a request whose link a fault had cut: nobody could have answered there
 
-class Breach(NamedTuple):
+
+class Violation(NamedTuple):
     """A broken rule; `at` is loop time."""
 
     rule: str
@@ -17,49 +23,49 @@
 class RecordJudge(Judge):
     """A judge that hears afterwards, from records, what a rehearsal's is told as it happens."""
 
-    def __post_init__(self) -> None:
-        super().__post_init__()
-        self.breach_log: list[Breach] = []
+    def __init__(self, scenario: Scenario, planned_requests: Sequence[PlannedRequest]):
+        super().__init__(scenario, planned_requests)
+        self.violation_log: list[Violation] = []
         self.clients_cut_off = ProxySpans()  # a fault was on the link to their clients
         self.discovery_unreachable = ProxySpans()
         self.crossed_idle_close: set[bytes] = set()  # requests whose connection ended as they were sent
 
-    def breach(self, rule: str, now: float, text: str) -> None:
+    def violation(self, rule: str, now: float, text: str) -> None:
         """A broken rule; kept to be shown with its evidence."""
-        super().breach(rule, now, text)
-        self.breach_log.append(Breach(rule, now, text))
+        super().violation(rule, now, text)
+        self.violation_log.append(Violation(rule, now, text))
 
-    def _was_cut_off(self, request: Try, now: float) -> bool:
+    def _was_cut_off(self, request: ClientTry, now: float) -> bool:
         """Whether a fault was on the link between a request's client and its proxy while it was under way."""
-        return self.clients_cut_off.overlaps(request.proxy, request.at, now)
+        return self.clients_cut_off.overlaps(request.proxy, request.sent_at, now)
 
-    def stood(self, found: Try) -> bool:
+    def was_proxy_stopped(self, client_try: ClientTry) -> bool:
         """Whether its proxy, or the link to it, stood still: nobody can answer then."""
-        return super().stood(found) or self._was_cut_off(found, found.ends)
+        return super().was_proxy_stopped(client_try) or self._was_cut_off(client_try, client_try.deadline)
 
-    def posted(self, node: str, zone: str, ident: bytes, since: float) -> None:
+    def attempt_received(self, backend_id: str, zone: str, ident: bytes, sent_at: float) -> None:
         """An attempt came.  Held on its way to the proxy, a request had less time than the proxy could know."""
         request = self.tries[ident]
-        deadline = request.ends
+        deadline = request.deadline
         if self._was_cut_off(request, deadline):
-            request.ends = float("inf")
-        super().posted(node, zone, ident, since)
-        request.ends = deadline
+            request.deadline = float("inf")
+        super().attempt_received(backend_id, zone, ident, sent_at)
+        request.deadline = deadline
 
-    def lost(self, ident: bytes, now: float, why: str) -> str:
-        """No response came; its outcome, in the word that records have for it."""
+    def response_missing(self, ident: bytes, now: float, reason: str) -> RequestOutcome | str:
+        """No response came; its outcome, or CUT_OFF."""
         request = self.tries[ident]
         if self._was_cut_off(request, now):
-            return "apart"
-        if ident in self.crossed_idle_close and not request.posted and not self.died(request):
-            return "untaken"
-        return super().lost(ident, now, why)
+            return CUT_OFF
+        if ident in self.crossed_idle_close and not request.attempt_count and not self.was_proxy_killed(request):
+            return RequestOutcome.NOT_ACCEPTED
+        return super().response_missing(ident, now, reason)
 
-    def deemed_when(self, proxy: str, node: str) -> float | None:
+    def end_deemed_at(self, proxy: str, backend_id: str) -> float | None:
         """What discovery could not notify a proxy of counts as notified so long after it could."""
-        deemed_at = super().deemed_when(proxy, node)
+        deemed_at = super().end_deemed_at(proxy, backend_id)
         if deemed_at is None:
             return None
-        deemed_seconds = self.scenario.discovery.deemed_s
+        deemed_seconds = self.scenario.discovery.deemed_notified_seconds
         reachable_at = self.discovery_unreachable.end_after(proxy, deemed_at - deemed_seconds)
         return deemed_at if reachable_at is None else reachable_at + deemed_seconds
--- a/sloeferry/fault_testing/record_replay.py
+++ b/sloeferry/fault_testing/record_replay.py
@@ -12,6 +12,8 @@
 from sloeferry.fault_testing.record_judge import RecordJudge
 from sloeferry.fault_testing.recorded_events import Event
 from sloeferry.fault_testing.spans import NOTICE_SECONDS, ProxySpans
+from sloeferry.stand_ins.effect_log import RecentWork
+from sloeferry.stand_ins.wire_protocol import RequestOutcome
 
 
 class HeldNotification(NamedTuple):
@@ -50,37 +52,37 @@
 
     def audit_failures(self) -> list[str]:
         """Where the audit's result and the records contradict each other."""
-        return self.audit.failures(self._judge.killed, self._stopped, self._lists_held)
+        return self.audit.failures(self._judge.killed_at, self._stopped, self._lists_held)
 
     # Events of callers
 
     def _run_began(self, at: float) -> None:
-        self._judge.begin = at
+        self._judge.began_at = at
 
     def _request_began(self, at: float, ident: str, proxy: str, deadline: float) -> None:
-        self._judge.asked(ident.encode(), self._judge.asks[call_number(ident)], proxy, at, deadline)
+        self._judge.request_started(ident.encode(), self._judge.planned_requests[call_number(ident)], proxy, at, deadline)
 
     def _request_sent(self, at: float, ident: str, deadline: float) -> None:
-        self._judge.sent(ident.encode(), at, deadline)
+        self._judge.request_written(ident.encode(), at, deadline)
 
     def _response_received(self, at: float, ident: str, status: int, is_own: bool) -> None:
         request_id = ident.encode()
-        body = request_id.ljust(self._judge.scheme(request_id).answer) if is_own else b""
-        self._judge.answered(request_id, at, status, body)
+        body = request_id.ljust(self._judge.request_class(request_id).response_bytes) if is_own else b""
+        self._judge.response_received(request_id, at, status, body)
 
     def _idle_close_crossed(self, at: float, ident: str) -> None:
         self._judge.crossed_idle_close.add(ident.encode())
 
     def _response_missing(self, at: float, ident: str, reason: str) -> None:
-        self._missing_outcomes[call_number(ident)] = self._judge.lost(ident.encode(), at, reason)
+        self._missing_outcomes[call_number(ident)] = self._judge.response_missing(ident.encode(), at, reason)
 
     def _call_ended(self, at: float, number: int, outcome: str, first: float, requests: int) -> None:
-        call = self._judge.asks[number]
-        call.first = first
-        call.tries = requests
-        if outcome == "lost":
+        planned = self._judge.planned_requests[number]
+        planned.first_sent_at = first
+        planned.try_count = requests
+        if outcome == RequestOutcome.UNANSWERED:
             outcome = self._missing_outcomes.get(number, outcome)
-        self._judge.ended(call, outcome, at)
+        self._judge.request_ended(planned, outcome, at)
 
     # Events of links
 
@@ -107,10 +109,10 @@
     def _attempt_received(self, at: float, backend: str, zone: str, ident: str, since: float) -> None:
         # On its way through a link it may have waited: it was sent when its first byte went in.
         sent_at = self._entered_at.pop((backend, ident), since)
-        self._judge.posted(backend, zone, ident.encode(), sent_at)
+        self._judge.attempt_received(backend, zone, ident.encode(), sent_at)
 
     def _attempt_ran(self, at: float, backend: str, ident: str) -> None:
-        self._judge.ran(backend, ident.encode(), at)
+        self._judge.request_ran(backend, ident.encode(), at)
 
     def _attempt_versions(self, at: float, backend: str, ident: str, versions: str) -> None:
         """An attempt acts on no older list than its proxy was notified of a moment before."""
@@ -126,29 +128,30 @@
             )
 
     def _backend_fell_over(self, at: float, backend: str, warm_up_fraction: float, sent: list) -> None:
-        self._judge.fell(backend, at, warm_up_fraction, [(sent_at, work, ident.encode()) for sent_at, work, ident in sent])
+        recent = [RecentWork(sent_at, work_ms, ident.encode()) for sent_at, work_ms, ident in sent]
+        self._judge.backend_pushed_over(backend, at, warm_up_fraction, recent)
 
     def _backend_choked(self, at: float, backend: str) -> None:
-        self._judge.choked(backend)
+        self._judge.congestion_began(backend)
 
     def _backend_started(self, at: float, backend: str, launched: int) -> None:
-        self._judge.started(backend, at, launched)
+        self._judge.backend_started(backend, at, launched)
 
     def _rule_broken(self, at: float, rule: str, text: str) -> None:
-        self._judge.breach(rule, at, text)
+        self._judge.violation(rule, at, text)
 
     # Events of discovery
 
     def _endpoint_notified(self, at: float, proxy: str, endpoint: str, phase: str, launched: int) -> None:
         until = self._lists_held.end_after(proxy, at)
         if until is None:
-            self._judge.told(proxy, endpoint, phase, at, launched)
+            self._judge.proxy_notified(proxy, endpoint, phase, at, launched)
             return
         self._held_notifications.append(HeldNotification(until, proxy, endpoint, phase, launched))
         self._held_notifications.sort(key=lambda notification: notification.at)
 
     def _endpoint_published(self, at: float, endpoint: str, phase: str) -> None:
-        self._judge.published(endpoint, phase, at)
+        self._judge.state_published(endpoint, phase, at)
 
     def _list_written(self, at: float, proxy: str, revision: int) -> None:
         written = ListWritten(revision, at)
@@ -161,14 +164,14 @@
     # Events of proxies and of the run
 
     def _proxy_killed(self, at: float, proxy: str) -> None:
-        self._judge.was_killed(proxy, at)
+        self._judge.proxy_killed(proxy, at)
 
     def _proxy_crashed(self, at: float, proxy: str, how: str) -> None:
-        self._judge.crashed(proxy, at, how)
+        self._judge.proxy_crashed(proxy, at, how)
 
     def _proxy_stopped(self, at: float, proxy: str, until: float) -> None:
         self._stopped.add(proxy, at, until)
-        self._judge.stopped(proxy, at, until)
+        self._judge.proxy_stopped(proxy, at, until)
 
     def _audit_began(self, at: float, newest_revision: int) -> None:
         self.audit.begin(at, newest_revision)
@@ -178,7 +181,7 @@
 
     def _process_late(self, at: float, role: str, late_ms: float) -> None:
         # What runs late while all is being started measures nothing yet.
-        if self._judge.begin and at > self._judge.begin:
+        if self._judge.began_at and at > self._judge.began_at:
             self.lateness_ms[role] = max(self.lateness_ms[role], late_ms)
 
     _HANDLERS = {
--- a/sloeferry/fault_testing/shared_front.py
+++ b/sloeferry/fault_testing/shared_front.py
@@ -3,9 +3,8 @@
 import asyncio
 from collections.abc import Callable
 
-from sloeferry.fault_testing.placement import Place
-from sloeferry.rehearsal.scenario import Front as FrontSettings
-from sloeferry.stand_ins.clients import Front
+from sloeferry.rehearsal.scenario_tables import BalancerSettings
+from sloeferry.stand_ins.connection_balancer import ConnectionBalancer, ProxyPlace
 
 MIN_POLL_SECONDS = 0.05
 POLLS_PER_SECOND = 400  # of all proxies together
@@ -23,16 +22,16 @@
         self._on_change(proxy, is_alive)
 
 
-class SharedFront(Front):
+class SharedFront(ConnectionBalancer):
     """The driver asks who is ready, the callers' processes are told."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        settings: FrontSettings,
-        places: list[Place],
+        settings: BalancerSettings,
+        places: list[ProxyPlace],
         on_change: Callable[[str, bool], None],
     ):
         super().__init__(loop, settings, places)
         self.alive = ObservedAlive(self.alive, on_change)
-        self.poll = max(MIN_POLL_SECONDS, len(places) / POLLS_PER_SECOND)
+        self.poll_seconds = max(MIN_POLL_SECONDS, len(places) / POLLS_PER_SECOND)
--- a/sloeferry/fault_testing/verdict.py
+++ b/sloeferry/fault_testing/verdict.py
@@ -11,12 +11,13 @@
 from sloeferry.fault_testing.event_recorder import ID_CHARACTERS, RecordedEvent, read_events
 from sloeferry.fault_testing.placement import FaultTargets
 from sloeferry.fault_testing.plan import Plan
-from sloeferry.fault_testing.record_judge import Breach, RecordJudge
+from sloeferry.fault_testing.record_judge import RecordJudge, Violation
 from sloeferry.fault_testing.record_replay import RecordReplay
-from sloeferry.rehearsal.judge import arrivals
+from sloeferry.rehearsal.arrivals import plan_requests
+from sloeferry.rehearsal.record import make_record
 
 SHOWN_EVENTS = 14  # of a request that are shown beside a broken rule
-SHOWN_BREACHES = 5
+SHOWN_VIOLATIONS = 5
 SHOWN_STALE_ATTEMPTS = 5
 
 
@@ -40,18 +41,18 @@
 
 def judge_run(plan: Plan, seed: int, result: RunResult) -> dict[str, Any]:
     """The run's record, as it is written as JSON."""
-    judge = RecordJudge(plan, arrivals(plan, Random(f"{seed}/arrivals")))
+    judge = RecordJudge(plan, plan_requests(plan, Random(f"{seed}/arrivals")))
     zones = plan.network.zones
-    judge.proxies = {f"p{number}": zones[number % len(zones)] for number in range(plan.bank.proxies)}
+    judge.proxy_zones = {f"p{number}": zones[number % len(zones)] for number in range(plan.proxies.count)}
     replay = RecordReplay(judge)
     evidence = Evidence(judge, read_events(result.record_paths))
     last_at = max((event[0] for event in evidence.events), default=0.0)
     for event in evidence.events:
         replay.hear(event)
-    for call in judge.asks:
-        if not call.how:
-            judge.breach("1", last_at, f"txn {call.number} had no end")
-    record = judge.record()
+    for planned in judge.planned_requests:
+        if not planned.outcome:
+            judge.violation("1", last_at, f"txn {planned.number} had no end")
+    record = make_record(judge)
     failures = _failures(plan, replay, record, result)
     lateness_ms = {role: round(ms, 1) for role, ms in sorted(replay.lateness_ms.items())}
     void_reasons = [
@@ -70,7 +71,7 @@
         "void": void_reasons,
         "figures": result.figures,
         "struck": {str(number): targets.proxies for number, targets in enumerate(result.targets)},
-        "evidence": [evidence.of(breach) for breach in judge.breach_log[:SHOWN_BREACHES]],
+        "evidence": [evidence.of(violation) for violation in judge.violation_log[:SHOWN_VIOLATIONS]],
         "verdict": _verdict(bool(void_reasons), is_broken).value,
     }
 
@@ -95,7 +96,7 @@
     if plan.rig.audit_s and replay.audit.result is None:
         failures.append("the audit never ended")
     failures += [f"the rig itself: {fault}" for fault in result.tool_faults]
-    proxies = plan.bank.proxies
+    proxies = plan.proxies.count
     ready = result.figures.get("ready", proxies)
     if ready < proxies:
         failures.append(f"{proxies - ready} proxies were never ready")
@@ -114,9 +115,9 @@
                 if type(word) is str and len(word) == ID_CHARACTERS:
                     self._by_ident[word].append(event)
 
-    def of(self, breach: Breach) -> dict[str, Any]:
+    def of(self, violation: Violation) -> dict[str, Any]:
         """A broken rule, and what all processes recorded of its request."""
-        idents = (word for word in breach.text.replace(",", " ").split() if word in self._by_ident)
+        idents = (word for word in violation.text.replace(",", " ").split() if word in self._by_ident)
         events = self._by_ident.get(next(idents, ""), [])
-        shown = [[round(at - self._judge.begin, 4), event, *fields] for at, event, *fields in events[:SHOWN_EVENTS]]
-        return {"rule": breach.rule, "text": breach.text, "events": shown}
+        shown = [[round(at - self._judge.began_at, 4), event, *fields] for at, event, *fields in events[:SHOWN_EVENTS]]
+        return {"rule": violation.rule, "text": violation.text, "events": shown}
--- a/sloeferry/fault_testing/worker_processes.py
+++ b/sloeferry/fault_testing/worker_processes.py
@@ -12,8 +12,8 @@
 from sloeferry.fault_testing.placement import Address
 from sloeferry.fault_testing.process_host import SOURCE_TREE, ProcessHost
 from sloeferry.fault_testing.worker_protocol import ReportKind, WorkerConfig, WorkerReport, WorkerRole
-from sloeferry.rehearsal.proxy_fleet import READY
-from sloeferry.rehearsal.scenario import Nodes
+from sloeferry.rehearsal.play_environment import READY_TIMEOUT_SECONDS
+from sloeferry.rehearsal.scenario_tables import Backends
 
 END_SECONDS = 10.0  # until a worker that was told to end is killed
 
@@ -46,10 +46,10 @@
             stdout=PIPE,
             start_new_session=True,
         )
-        self._host.placed(self._process, self._host.measuring_cores)
+        self._host.process_started(self._process, self._host.measuring_cores)
         self._host.loop.create_task(self._read_reports())
         self._write(self.config)
-        await asyncio.wait_for(self._ready.wait(), READY)
+        await asyncio.wait_for(self._ready.wait(), READY_TIMEOUT_SECONDS)
 
     def command(self, name: str, *arguments: Any) -> None:
         """Has the worker call the method of that name."""
@@ -88,43 +88,43 @@
     It stands where a rehearsal's own backend stands: the names are those that troubles and discovery use.
     """
 
-    def __init__(self, worker: WorkerProcess, number: int, address: Address, told: Nodes, group: int, zone: str):
-        self.ident = f"s-{number:04x}"
+    def __init__(self, worker: WorkerProcess, number: int, address: Address, settings: Backends, group: int, zone: str):
+        self.backend_id = f"s-{number:04x}"
         self.address = address
-        self.told = told
+        self.settings = settings
         self.zone = zone
-        self.up = False
-        self.draining = False
+        self.is_up = False
+        self.is_draining = False
         self._worker = worker
         self._number = number
         self._is_idle = False
         self._is_drain_asked = False
         self._started: asyncio.Future[None] | None = None
-        worker.command("create", number, self.ident, address, zone, group)
+        worker.command("create", number, self.backend_id, address, zone, group)
 
     def _command(self, name: str, *arguments: Any) -> None:
         self._worker.command(name, self._number, *arguments)
 
-    async def start(self, warm: bool = False) -> None:
+    async def start(self, is_warm: bool = False) -> None:
         """Returns once it listens."""
-        self.up = True
-        self.draining = False
+        self.is_up = True
+        self.is_draining = False
         self._is_idle = False
         self._is_drain_asked = False
         self._started = asyncio.get_running_loop().create_future()
-        self._command("start", warm)
+        self._command("start", is_warm)
         await self._started
 
     def has_started(self) -> None:
         """Its process reports that it listens."""
         self._started.set_result(None)
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """At once, with all that it has."""
-        self.up = False
-        self._command("die")
+        self.is_up = False
+        self._command("crash")
 
-    def crowd(self) -> bool:
+    def in_flight(self) -> bool:
         """Whether it still has something to do; asked once it drains."""
         if not self._is_drain_asked:
             self._is_drain_asked = True
@@ -139,19 +139,19 @@
         """Other values for what it is or does."""
         self._command("change", values)
 
-    def refuse(self, is_refusing: bool) -> None:
+    def refuse_connections(self, is_refusing: bool) -> None:
         """Its listener goes, or comes back."""
-        self._command("refuse", is_refusing)
+        self._command("refuse_connections", is_refusing)
 
     def stall(self, seconds: float) -> None:
         """It stands still."""
         self._command("stall", seconds)
 
-    def report(self) -> None:
+    def refresh_report(self) -> None:
         """Its load report is made now."""
-        self._command("report_load")
+        self._command("refresh_report")
 
-    def _set_mute(self, is_mute: bool) -> None:
-        self.change(mute=is_mute)
+    def _set_cut_off(self, is_cut_off: bool) -> None:
+        self.change(is_cut_off=is_cut_off)
 
-    mute = property(None, _set_mute)
+    is_cut_off = property(None, _set_cut_off)
--- a/sloeferry/fault_testing/worker_roles.py
+++ b/sloeferry/fault_testing/worker_roles.py
@@ -11,8 +11,10 @@
 from sloeferry.fault_testing.link_relay import Link, LinkCondition
 from sloeferry.fault_testing.plan import Plan
 from sloeferry.fault_testing.worker_protocol import ReportKind, WorkerConfig, WorkerReport, WorkerRole
-from sloeferry.stand_ins.backends import Memory, Node
-from sloeferry.stand_ins.clients import Callers, Front
+from sloeferry.stand_ins.backends import StandInBackend
+from sloeferry.stand_ins.clients import StandInClients
+from sloeferry.stand_ins.connection_balancer import ConnectionBalancer, ProxyPlace
+from sloeferry.stand_ins.deduplication import DeduplicationStore
 
 DRAIN_CHECK_SECONDS = 0.02
 OPEN_CALLS_REPORT_SECONDS = 0.1
@@ -44,20 +46,20 @@
 
     def __init__(self, *arguments: Any):
         super().__init__(*arguments)
-        self._backends: dict[int, Node] = {}
-        self._idempotency_memories: dict[str, Memory] = {}  # zone (empty: all) -> who remembers its keys
+        self._backends: dict[int, StandInBackend] = {}
+        self._deduplication_stores: dict[str, DeduplicationStore] = {}  # zone (empty: all) -> who remembers its keys
 
     async def create(self, number: int, ident: str, address: list, zone: str, group: int) -> None:
         """A backend of that group of the plan's; it does not listen yet."""
-        memories = self._idempotency_memories
-        self._backends[number] = Node(
+        stores = self._deduplication_stores
+        self._backends[number] = StandInBackend(
             self._loop,
-            self._plan.nodes[group],
+            self._plan.backends[group],
             ident,
             tuple(address),
             zone,
             self._recorder,
-            {"all": memories.setdefault("", Memory()), "zone": memories.setdefault(zone, Memory())},
+            {"all": stores.setdefault("", DeduplicationStore()), "zone": stores.setdefault(zone, DeduplicationStore())},
             self._plan.obligations,
             Random(f"{self._config.seed}/node-{number}"),
         )
@@ -67,13 +69,13 @@
         await self._backends[number].start(is_warm)
         report(ReportKind.BACKEND_STARTED, number)
 
-    async def die(self, number: int) -> None:
+    async def crash(self, number: int) -> None:
         """At once, with all that it has."""
-        self._backends[number].die()
+        self._backends[number].crash()
 
-    async def refuse(self, number: int, is_refusing: bool) -> None:
+    async def refuse_connections(self, number: int, is_refusing: bool) -> None:
         """Its listener goes, or comes back."""
-        self._backends[number].refuse(is_refusing)
+        self._backends[number].refuse_connections(is_refusing)
 
     async def stall(self, number: int, seconds: float) -> None:
         """It stands still."""
@@ -83,14 +85,14 @@
         """Other values for what it is or does."""
         self._backends[number].change(**values)
 
-    async def report_load(self, number: int) -> None:
+    async def refresh_report(self, number: int) -> None:
         """Its load report is made now."""
-        self._backends[number].report()
+        self._backends[number].refresh_report()
 
     async def drain(self, number: int) -> None:
         """Reports once it has nothing left to do."""
         backend = self._backends[number]
-        if backend.up and backend.crowd():
+        if backend.is_up and backend.in_flight():
             self._loop.call_later(DRAIN_CHECK_SECONDS, lambda: self._loop.create_task(self.drain(number)))
         else:
             report(ReportKind.BACKEND_IDLE, number)
@@ -101,35 +103,35 @@
 
     def __init__(self, *arguments: Any):
         super().__init__(*arguments)
-        places = [(name, tuple(address), zone) for name, address, zone in self._config.places]
-        self._front = Front(self._loop, self._plan.front, places)
+        places = [ProxyPlace(name, tuple(address), zone) for name, address, zone in self._config.places]
+        self._balancer = ConnectionBalancer(self._loop, self._plan.balancer, places)
         self._callers = [self._zone_callers(index, zone) for index, zone in enumerate(self._plan.network.zones)]
 
-    def _zone_callers(self, index: int, zone: str) -> Callers:
+    def _zone_callers(self, index: int, zone: str) -> StandInClients:
         zone_count = len(self._plan.network.zones)
         config = self._config
         calls = [
             call
-            for call in self._recorder.asks
+            for call in self._recorder.planned_requests
             if call.client % zone_count == index and call.client // zone_count % config.caller_workers == config.number
         ]
         rng = Random(f"{config.seed}/callers-{zone}-{config.number}")
-        return Callers(self._loop, self._plan, zone, calls, self._front, self._recorder, rng)
+        return StandInClients(self._loop, self._plan, zone, calls, self._balancer, self._recorder, rng)
 
     async def begin(self, now: float) -> None:
         """The run began, in loop time: one clock for all processes of a machine."""
-        self._recorder.begin = now
+        self._recorder.began_at = now
         for callers in self._callers:
             callers.begin(now)
         self._loop.call_at(now + self._plan.seconds, self._report_open_calls)
 
     def _report_open_calls(self) -> None:
-        report(ReportKind.OPEN_CALLS, sum(callers.open for callers in self._callers))
+        report(ReportKind.OPEN_CALLS, sum(callers.open_count for callers in self._callers))
         self._loop.call_later(OPEN_CALLS_REPORT_SECONDS, self._report_open_calls)
 
     async def set_alive(self, proxy: str, is_alive: bool) -> None:
         """Whether connections are dealt out to that proxy."""
-        self._front.alive[proxy] = is_alive
+        self._balancer.alive[proxy] = is_alive
 
 
 class RelayWorker(Worker):
--- a/sloeferry/load_testing/operations.py
+++ b/sloeferry/load_testing/operations.py
@@ -16,7 +16,7 @@
 from sloeferry.load_testing.closed_loop_clients import ClosedLoopClients, request_head
 from sloeferry.load_testing.deployment import LOOPBACK
 from sloeferry.load_testing.loopback_testbed import LoopbackTestbed, RunningProxy
-from sloeferry.stand_ins.processes import memory
+from sloeferry.stand_ins.processes import memory_mb
 
 BYTES_PER_MB = 1 << 20
 WARM_UP_SECONDS = 1.0
@@ -126,7 +126,7 @@
             began_at = monotonic()
             received_bytes = await asyncio.gather(*(_read_slowly(testbed.port, number) for number in range(LONG_ANSWERS)))
             beside = clients.figures(since=began_at)
-            peak_mb = memory(proxy.process.pid, "VmHWM")
+            peak_mb = memory_mb(proxy.process.pid, "VmHWM")
     return {
         "answers": LONG_ANSWERS,
         "least_bytes": min(received_bytes),
@@ -164,7 +164,7 @@
 
 
 async def _connection_cost(process: subprocess.Popen[bytes], port: int, text: bytes) -> dict[str, float]:
-    memory_before_mb = memory(process.pid)
+    memory_before_mb = memory_mb(process.pid)
     descriptors_before = _open_descriptors(process)
     writers = []
     for _ in range(WAITING_CONNECTIONS):
@@ -173,7 +173,7 @@
         writers.append(writer)
     await asyncio.sleep(SETTLE_SECONDS)
     cost = {
-        "bytes": (memory(process.pid) - memory_before_mb) * BYTES_PER_MB / WAITING_CONNECTIONS,
+        "bytes": (memory_mb(process.pid) - memory_before_mb) * BYTES_PER_MB / WAITING_CONNECTIONS,
         "descriptors": (_open_descriptors(process) - descriptors_before) / WAITING_CONNECTIONS,
     }
     for writer in writers:
--- a/sloeferry/load_testing/proxy_config.py
+++ b/sloeferry/load_testing/proxy_config.py
@@ -17,26 +17,25 @@
 
 def proxy_settings(plan: LoadPlan, ordinal: int, instances: int) -> dict[str, Any]:
     """The platform's settings for what the clients of a plan ask."""
-    return platform.settings(
+    return platform.proxy_settings(
         [_class_settings(each) for each in plan.request_classes],
         plan.tenants,
-        instances=instances,
+        instance_count=instances,
         ordinal=ordinal,
         zones=[ZONE],
-        kinds=[MACHINE_KIND],
-        cold_s=WARM_UP_SECONDS,
-        cold_from=WARM_UP_FROM_RATIO,
+        machine_kinds=[MACHINE_KIND],
+        obligations=platform.ObligationTerms(slow_start_seconds=WARM_UP_SECONDS, slow_start_initial_ratio=WARM_UP_FROM_RATIO),
     )
 
 
 def _class_settings(request_class: RequestClassLoad) -> dict[str, Any]:
-    return platform.scheme(
+    return platform.request_class_settings(
         request_class.name,
         "referenced" if request_class.has_idempotency_key else "repeatable",
         request_class.latency_objective_ms,
         request_class.deadline_ms,
         request_class.priority_weight,
-        window_ms=DEDUPLICATION_WINDOW_MS,
+        deduplication_window_ms=DEDUPLICATION_WINDOW_MS,
     )
 
 
@@ -54,8 +53,8 @@
     admin: tuple[str, int] | None = None,
 ) -> None:
     """Writes one proxy's configuration."""
-    config = platform.berth(
-        name, listen, discovery, settings, seed=seed, sockets=sockets, memory_mb=memory_mb, cores=cores, ops=admin
+    config = platform.instance_config(
+        name, listen, discovery, settings, seed=seed, max_sockets=sockets, memory_mb=memory_mb, cores=cores, admin=admin
     )
     path.write_text(json.dumps(config))
 
--- a/sloeferry/load_testing/proxy_process.py
+++ b/sloeferry/load_testing/proxy_process.py
@@ -122,11 +122,11 @@
 
     def cpu_seconds(self) -> float:
         """CPU time so far."""
-        return self.throttle.used()
+        return self.throttle.cpu_seconds()
 
     def peak_memory_mb(self) -> float:
         """Its largest resident size so far."""
-        return processes.memory(self.process.pid, "VmHWM")
+        return processes.memory_mb(self.process.pid, "VmHWM")
 
     def undecided_requests(self) -> int:
         """Requests that it answered for want of a decision, by its log."""
@@ -139,7 +139,7 @@
 
     def end(self) -> None:
         """Ends it, and its threads."""
-        self.throttle.over.set()
+        self.throttle.stop_requested.set()
         self.lag_probe.is_over.set()
         if self.throttle.is_alive():
             self.throttle.join()
--- a/sloeferry/load_testing/stand_in_process.py
+++ b/sloeferry/load_testing/stand_in_process.py
@@ -10,7 +10,7 @@
 import sys
 from dataclasses import dataclass
 from random import Random
-from time import monotonic, time
+from time import monotonic
 from types import SimpleNamespace
 from typing import Any
 
@@ -18,9 +18,10 @@
 
 from sloeferry.load_testing.deployment import BackendFault, BackendFaultKind
 from sloeferry.load_testing.proxy_config import MACHINE_KIND, ZONE
-from sloeferry.stand_ins.backends import Node
-from sloeferry.stand_ins.discovery import Roster
-from sloeferry.stand_ins.effect_log import Ledger
+from sloeferry.stand_ins.backends import StandInBackend
+from sloeferry.stand_ins.discovery import StandInDiscovery
+from sloeferry.stand_ins.effect_log import EffectLog
+from sloeferry.stand_ins.wire_protocol import BackendState
 
 WORK_SIGMA = 0.5  # of the logarithm of the work
 UNBOUNDED = 1e6  # connections, seconds: what has no bound here
@@ -50,25 +51,27 @@
         return cls(**document | {"backends": backends, "discovery": (host, port), "faults": faults})
 
 
-class RequestCounter(Ledger):
+class RequestCounter(EffectLog):
     """All requests are alike; of what ran it is counted how often."""
 
     def __init__(self, task: StandInTask):
-        self._work_ms = task.work_ms
+        self._mean_work_ms = task.work_ms
         self._rng = Random(f"{task.seed} work")
-        self._request_class = SimpleNamespace(kind="repeatable", work_ms=task.work_ms, answer=task.answer_bytes, body=0)
+        self._request_class = SimpleNamespace(
+            kind="repeatable", work_ms=task.work_ms, response_bytes=task.answer_bytes, body_bytes=0
+        )
         self._begun: set[bytes] = set()
         self.begun_twice = 0
 
-    def scheme(self, request_id: bytes) -> SimpleNamespace:
+    def request_class(self, request_id: bytes) -> SimpleNamespace:
         """The class of a request."""
         return self._request_class
 
-    def work(self, request_id: bytes) -> float:
+    def work_ms(self, request_id: bytes) -> float:
         """What a request costs an idle backend of one core, in ms."""
-        return self._work_ms * self._rng.lognormvariate(-WORK_SIGMA * WORK_SIGMA / 2, WORK_SIGMA)
+        return self._mean_work_ms * self._rng.lognormvariate(-WORK_SIGMA * WORK_SIGMA / 2, WORK_SIGMA)
 
-    def ran(self, backend: str, request_id: bytes, now: float) -> None:
+    def request_ran(self, backend: str, request_id: bytes, now: float) -> None:
         """A backend has begun to work on a request."""
         self.begun_twice += request_id in self._begun
         self._begun.add(request_id)
@@ -81,42 +84,44 @@
     loop.add_signal_handler(signal.SIGTERM, is_over.set)
     loop.call_later(task.max_seconds, is_over.set)
     counter = RequestCounter(task)
-    roster = Roster(loop, SimpleNamespace(call_ms=0.0, spread_ms=0.0), {"any": task.discovery}, counter, Random(task.seed), time)
+    settings = SimpleNamespace(call_ms=0.0, notification_spread_ms=0.0)
+    discovery = StandInDiscovery(loop, settings, {"any": task.discovery}, counter, Random(task.seed))
     backends = []
     for index in range(len(task.backends)):
         backend = _build_backend(loop, task, index, counter)
-        await backend.start(warm=True)
-        roster.publish(backend, "active", 0.0)
+        await backend.start(is_warm=True)
+        discovery.publish(backend, BackendState.READY, 0.0)
         backends.append(backend)
     for fault in task.faults:
         _schedule_fault(loop, fault, backends[fault.backend])
-    await roster.start()
+    await discovery.start()
     print("ready", flush=True)
     await is_over.wait()
-    return {"served": sum(backend.served for backend in backends), "twice": counter.begun_twice}
+    return {"served": sum(backend.served_count for backend in backends), "twice": counter.begun_twice}
 
 
-def _build_backend(loop: asyncio.AbstractEventLoop, task: StandInTask, index: int, counter: RequestCounter) -> Node:
+def _build_backend(loop: asyncio.AbstractEventLoop, task: StandInTask, index: int, counter: RequestCounter) -> StandInBackend:
     kind = SimpleNamespace(
-        kind=MACHINE_KIND,
+        machine_kind=MACHINE_KIND,
         cores=task.cores,
-        queue=task.queue / task.cores,
+        queue_per_core=task.queue / task.cores,
         speed=1.0,
-        cold_s=0.0,
-        connections=UNBOUNDED,
-        idle_s=UNBOUNDED,
-        report_ms=0.0,
-        drops_late=False,
-        choke=None,
+        warm_up_seconds=0.0,
+        initial_capacity_ratio=1.0,
+        max_connections=UNBOUNDED,
+        idle_timeout_seconds=UNBOUNDED,
+        report_interval_ms=0.0,
+        drops_expired=False,
+        congestion=None,
     )
     rng = Random(f"{task.seed} {index}")
-    return Node(loop, kind, f"b{index}", task.backends[index], ZONE, counter, {}, None, rng)
+    return StandInBackend(loop, kind, f"b{index}", task.backends[index], ZONE, counter, {}, None, rng)
 
 
-def _schedule_fault(loop: asyncio.AbstractEventLoop, fault: BackendFault, backend: Node) -> None:
-    change = {"mute": True} if fault.kind == BackendFaultKind.SILENT else {"odds_err": CERTAIN_ERROR}
+def _schedule_fault(loop: asyncio.AbstractEventLoop, fault: BackendFault, backend: StandInBackend) -> None:
+    change = {"is_cut_off": True} if fault.kind == BackendFaultKind.SILENT else {"error_odds": CERTAIN_ERROR}
     loop.call_later(fault.since_seconds - monotonic(), lambda: backend.change(**change))
-    loop.call_later(fault.until_seconds - monotonic(), lambda: backend.change(mute=False, odds_err=0.0))
+    loop.call_later(fault.until_seconds - monotonic(), lambda: backend.change(is_cut_off=False, error_odds=0.0))
 
 
 if __name__ == "__main__":
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -90,13 +90,15 @@
 
     def test_altered(self):
         told = plans.resize(plans.read("calm"), 40, 24)
-        self.assertEqual((told.bank.proxies, sum(n.count for n in told.nodes)), (40, 24))
-        self.assertEqual(told.callers.curve[0][1], 2 * plans.read("calm").callers.curve[0][1])
+        self.assertEqual((told.proxies.count, sum(n.count for n in told.backends)), (40, 24))
+        self.assertEqual(told.clients.load_curve[0][1], 2 * plans.read("calm").clients.load_curve[0][1])
 
     def test_twin(self):
         """The same plan in virtual time: what has its part there is played, the rest is named."""
         scenario, without = plans.virtual_twin(plans.read("deaths"))
-        self.assertEqual(([t.__struct_config__.tag for t in scenario.trouble], without), (["proxies-die", "proxies-roll"], []))
+        self.assertEqual(
+            ([t.__struct_config__.tag for t in scenario.scenario_faults], without), (["proxies-die", "proxies-roll"], [])
+        )
         self.assertEqual(plans.virtual_twin(plans.read("links"))[1], ["break", "cut", "hold", "half-open", "delay"])
 
 
@@ -133,7 +135,7 @@
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, "all.jsonl")
             recorder = EventRecorder(plan, 1, path, lambda: 0.0)
-            numbers = len(recorder.asks)
+            numbers = len(recorder.planned_requests)
             recorder.note(10.0, "begin")
             for event in events:
                 recorder.note(*event)
@@ -319,7 +321,7 @@
         fleet = types.SimpleNamespace(
             fault_targets=[FaultTargets([8], [f"{between}/8"])],
             loop=types.SimpleNamespace(time=lambda: 5.0, call_later=lambda *_: None),
-            judge=types.SimpleNamespace(note=lambda at, event, *_: found.append(event), stopped=lambda *_: None),
+            judge=types.SimpleNamespace(note=lambda at, event, *_: found.append(event), proxy_stopped=lambda *_: None),
             relay=types.SimpleNamespace(command=lambda *words: found.append(words[0])),
         )
         LinkAction(fleet, 0, CutLink(at_seconds=1.0, between=between)).strike()
