--- a/sloeferry/fault_testing/draw_soak.py
+++ b/sloeferry/fault_testing/draw_soak.py
@@ -3,7 +3,7 @@
 10 to 40 proxies, backends that are replaced, and five to nine faults that overlap in time: processes killed, stopped, told
 to leave, given new settings; wall clocks off; system calls that fail; links held, cut, half open, broken; discovery down,
 late, behind, counting anew, or failing each call in one way, for longer than proxies may go without being notified.  The
-rules are the oracle, with each proxy's own guard of sending (docs/rig.md).
+rules are the oracle, with each proxy's own guard of sending (docs/fault-testing.md).
 """
 
 from random import Random
