--- a/sloeferry/fault_testing/__init__.py
+++ b/sloeferry/fault_testing/__init__.py
@@ -1,1 +1,1 @@
-"""The rig: real proxies, each a process of its own, nodes and callers in a few more, and faults between them."""
+"""Fault testing: real proxy processes, stand-in backends and clients in a few worker processes, and faults between them."""
--- a/sloeferry/fault_testing/audit_check.py
+++ b/sloeferry/fault_testing/audit_check.py
@@ -2,7 +2,7 @@
 
 from typing import Any, NamedTuple
 
-from sloeferry.fault_testing.spans import NOTICE_SECONDS, ProxySpans
+from sloeferry.rehearsal.proxy_spans import NOTICE_SECONDS, ProxySpans
 
 KILLED_LATELY_SECONDS = 30.0
 SHOWN_FIGURES = ("current", "straggler", "unknown", "acts_after_bound", "reached")
--- a/sloeferry/fault_testing/cli.py
+++ b/sloeferry/fault_testing/cli.py
@@ -111,7 +111,7 @@
     backends = sum(group.count for group in checked.backends)
     click.echo(
         f"{checked.name}: {checked.seconds:g} s, {checked.proxies.count} proxies, {backends} nodes, "
-        f"{len(checked.scenario_faults)} troubles, {len(checked.fault)} faults: good"
+        f"{len(checked.scenario_faults)} troubles, {len(checked.process_faults)} faults: good"
     )
     click.echo("  in virtual time: " + (f"all but {', '.join(left_out)}" if left_out else "all of it"))
 
--- a/sloeferry/fault_testing/draw.py
+++ b/sloeferry/fault_testing/draw.py
@@ -6,7 +6,7 @@
 
 from random import Random
 
-from sloeferry.fault_testing.draw_faults import TROUBLES, FaultDrawer, PlanTable, rolling_deploy
+from sloeferry.fault_testing.draw_faults import SCENARIO_FAULTS, FaultDrawer, PlanTable, rolling_deploy
 from sloeferry.fault_testing.drawn_plan import IDLE_SECONDS, IMPATIENT_RATIOS, DrawnPlan, request_classes
 
 PLAN_SECONDS = 9.0
@@ -26,7 +26,7 @@
     is_cold = rng.random() < 0.6
     classes = _draw_request_classes(rng, work_ms)
     faults = _draw_faults(rng)
-    more_troubles = rng.sample([*TROUBLES, SLOW_BACKENDS], rng.randint(0, 2))
+    more_scenario_faults = rng.sample([*SCENARIO_FAULTS, SLOW_BACKENDS], rng.randint(0, 2))
     return DrawnPlan(
         name=f"drawn-{seed}",
         seconds=PLAN_SECONDS,
@@ -40,7 +40,7 @@
         clients=48,
         request_classes=classes,
         faults=faults,
-        troubles=[rolling_deploy(lasts_seconds=4.0, drain_seconds=0.6), *more_troubles],
+        scenario_faults=[rolling_deploy(lasts_seconds=4.0, drain_seconds=0.6), *more_scenario_faults],
         idle_seconds=rng.choice(IDLE_SECONDS),
         impatient_ratio=rng.choice(IMPATIENT_RATIOS),
         discovery_mode=rng.choice(["subscribe", "automatic"]),
--- a/sloeferry/fault_testing/draw_faults.py
+++ b/sloeferry/fault_testing/draw_faults.py
@@ -1,4 +1,4 @@
-"""Faults and troubles as all drawn plans draw them.
+"""Process faults and scenario faults as all drawn plans draw them.
 
 Each method draws from the plan's random numbers as it is called: the order of calls is part of what a seed stands for.
 """
@@ -11,7 +11,7 @@
 FaultMaker = Callable[[], PlanTable]
 
 FILE_STATES = ["whole", "cut", "stale", "swapped", "missing"]  # what a process finds of its settings at SIGHUP
-TROUBLES: list[PlanTable] = [
+SCENARIO_FAULTS: list[PlanTable] = [
     {"what": "crash", "at": 3.0, "lasts": 1.5, "part": 0.3},
     {"what": "silent", "at": 2.0, "lasts": 2.0, "part": 0.2},
     {"what": "errs", "at": 2.0, "lasts": 3.0, "part": 0.3, "odds": 0.4},
@@ -23,7 +23,7 @@
 
 
 def rolling_deploy(lasts_seconds: float, drain_seconds: float) -> PlanTable:
-    """The trouble that all drawn plans have: most backends are replaced, some at a time."""
+    """The scenario fault that all drawn plans have: most backends are replaced, some at a time."""
     return {"what": "deploy", "at": 1.0, "lasts": lasts_seconds, "part": 0.6, "batch": 0.15, "drain_s": drain_seconds}
 
 
--- a/sloeferry/fault_testing/draw_soak.py
+++ b/sloeferry/fault_testing/draw_soak.py
@@ -8,7 +8,7 @@
 
 from random import Random
 
-from sloeferry.fault_testing.draw_faults import TROUBLES, FaultDrawer, PlanTable, rolling_deploy
+from sloeferry.fault_testing.draw_faults import SCENARIO_FAULTS, FaultDrawer, PlanTable, rolling_deploy
 from sloeferry.fault_testing.drawn_plan import IDLE_SECONDS, IMPATIENT_RATIOS, DrawnPlan, request_classes
 from sloeferry.stand_ins.call_failures import CallFailure
 
@@ -27,7 +27,7 @@
     faults = _draw_faults(rng)
     classes = request_classes(work_ms, pull_share=2, push_group=rng.choice(["all", "zone"]), push_body_bytes=300)
     deploy = rolling_deploy(lasts_seconds=8.0, drain_seconds=rng.choice([0.6, 8.0]))
-    more_troubles = rng.sample(TROUBLES, rng.randint(0, 2))
+    more_scenario_faults = rng.sample(SCENARIO_FAULTS, rng.randint(0, 2))
     return DrawnPlan(
         name=f"soak-{seed}",
         seconds=PLAN_SECONDS,
@@ -41,7 +41,7 @@
         clients=64,
         request_classes=classes,
         faults=faults,
-        troubles=[deploy, *more_troubles],
+        scenario_faults=[deploy, *more_scenario_faults],
         idle_seconds=rng.choice(IDLE_SECONDS),
         impatient_ratio=rng.choice(IMPATIENT_RATIOS),
     )
--- a/sloeferry/fault_testing/drawn_plan.py
+++ b/sloeferry/fault_testing/drawn_plan.py
@@ -46,7 +46,7 @@
     clients: int
     request_classes: list[PlanTable]
     faults: list[PlanTable]
-    troubles: list[PlanTable]
+    scenario_faults: list[PlanTable]
     idle_seconds: int
     impatient_ratio: float
     discovery_mode: str | None = None  # None: as plans have it by default
@@ -70,7 +70,7 @@
             "discovery": {**DISCOVERY_TIMES, **mode},
             # Nothing is promised of service under what was drawn; a request may be lost only by what the judge excuses.
             "fault": sorted(self.faults, key=lambda fault: fault["at"]),
-            "trouble": self.troubles,
+            "trouble": self.scenario_faults,
         }
         return msgspec.toml.encode(tables).decode()
 
--- a/sloeferry/fault_testing/event_recorder.py
+++ b/sloeferry/fault_testing/event_recorder.py
@@ -21,7 +21,8 @@
 from sloeferry.rehearsal.scenario_tables import RequestClass
 from sloeferry.stand_ins.effect_log import EffectLog, RecentWork
 from sloeferry.stand_ins.http_messages import request_body
-from sloeferry.stand_ins.wire_protocol import RequestOutcome, outcome_of_status
+from sloeferry.stand_ins.rules import Rule
+from sloeferry.stand_ins.wire_protocol import STATUS_OK, RequestKind, RequestOutcome, outcome_of_status
 
 LATENESS_CHECK_SECONDS = 0.02  # between two looks at how late a process runs
 BUFFER_BYTES = 1 << 18
@@ -92,9 +93,9 @@
     def body_bytes(self, ident: bytes) -> int:
         """Bytes of its body."""
         request_class = self.request_class(ident)
-        return request_class.body_bytes if request_class.kind != "repeatable" else 0
+        return request_class.body_bytes if request_class.kind != RequestKind.IDEMPOTENT else 0
 
-    # What callers report
+    # What clients report
 
     def request_started(self, ident: bytes, planned: PlannedRequest, proxy: str, now: float, deadline: float) -> None:
         """A request is being written."""
@@ -106,7 +107,7 @@
 
     def response_received(self, ident: bytes, now: float, status: int, body: bytes) -> RequestOutcome:
         """A complete response came; what it means."""
-        is_own = status != 200 or body == ident.ljust(self.response_bytes(ident))
+        is_own = status != STATUS_OK or body == ident.ljust(self.response_bytes(ident))
         self.note(now, Event.RESPONSE_RECEIVED, ident.decode(), status, is_own)
         return outcome_of_status(status)
 
@@ -131,7 +132,7 @@
     def body_received(self, backend_id: str, ident: bytes | None, body: bytes, now: float) -> None:
         """A complete request came: its body has to be the one that its client sent."""
         if ident is not None and self.request_class(ident) and body != request_body(ident, self.body_bytes(ident)):
-            self.violation("protocol", now, f"{backend_id} got a body of {len(body)} bytes that is not {ident.decode()}'s own")
+            self.violation(Rule.PROTOCOL, now, f"{backend_id} got a body of {len(body)} bytes that is not {ident.decode()}'s own")
 
     def attempt_received(self, backend_id: str, zone: str, ident: bytes, sent_at: float) -> None:
         """A complete request came, its first byte at `sent_at`."""
@@ -147,7 +148,7 @@
 
     def congestion_began(self, backend_id: str) -> None:
         """A long queue makes a backend slow."""
-        self.note(self._clock(), Event.BACKEND_CHOKED, backend_id)
+        self.note(self._clock(), Event.BACKEND_CONGESTED, backend_id)
 
     def backend_pushed_over(self, backend_id: str, now: float, capacity_ratio: float, recent: Iterable[RecentWork]) -> None:
         """A backend that warms up was pushed over by `recent`."""
--- a/sloeferry/fault_testing/fault_actions.py
+++ b/sloeferry/fault_testing/fault_actions.py
@@ -11,7 +11,7 @@
 from sloeferry.fault_testing import plan_faults as faults
 from sloeferry.fault_testing.plan_faults import Fault
 from sloeferry.fault_testing.recorded_events import Event
-from sloeferry.rehearsal.live import ProxyProcess
+from sloeferry.rehearsal.live import LiveProxy
 from sloeferry.stand_ins.call_failures import CallFailure
 
 if TYPE_CHECKING:
@@ -55,7 +55,7 @@
         """Loop time at which it is over, if it strikes now."""
         return self.loop.time() + self.fault.lasts_seconds
 
-    def proxies(self) -> list[ProxyProcess]:
+    def proxies(self) -> list[LiveProxy]:
         """Those that it strikes."""
         return [self.fleet.proxies[number] for number in self.targets.proxies]
 
@@ -155,14 +155,14 @@
             if number not in without_signal:
                 proxy.send_signal(signal.SIGHUP)
 
-    def _write_settings(self, number: int, proxy: ProxyProcess) -> None:
+    def _write_settings(self, number: int, proxy: LiveProxy) -> None:
         if self.fault.file == "stale":
             self.fleet.objective_ratios.pop(number, None)
         else:
             self.fleet.objective_ratios[number] = self.fault.objective_ratio
         proxy.write_config()
 
-    def _spoil_file(self, proxy: ProxyProcess) -> None:
+    def _spoil_file(self, proxy: LiveProxy) -> None:
         text = proxy.config_path.read_text()
         if self.fault.file == "cut":
             proxy.config_path.write_text(text[: len(text) // 2])
@@ -215,7 +215,7 @@
 
     def apply(self) -> None:
         """Once; nothing is to be mended."""
-        self.fleet.discovery.restart_count()
+        self.fleet.discovery.reset_revisions()
 
 
 class FailingDiscoveryAction(FaultAction):
--- a/sloeferry/fault_testing/fleet_audit.py
+++ b/sloeferry/fault_testing/fleet_audit.py
@@ -2,8 +2,7 @@
 
 from typing import Any
 
-from sloeferry.fleet.audit import DEFAULT_BOUND_MS
-from sloeferry.fleet.audit import audit_fleet as audit_answers
+from sloeferry.fleet.audit import DEFAULT_BOUND_MS, audit_fleet
 from sloeferry.fleet.fleet_config import FleetConfig, ProxyAddress
 from sloeferry.fleet.fleet_query import FleetAnswers, query_fleet
 from sloeferry.stand_ins.connection_balancer import ProxyPlace
@@ -11,10 +10,10 @@
 from sloeferry.stand_ins.wire_protocol import ADMIN_PORT_OFFSET
 
 
-async def audit_fleet(places: list[ProxyPlace], discovery: StandInDiscovery) -> dict[str, Any]:
+async def audit_run(places: list[ProxyPlace], discovery: StandInDiscovery) -> dict[str, Any]:
     """Asks all proxies at their admin addresses; discovery stands at its revision once all have answered."""
     proxies = tuple(ProxyAddress(place.name, (place.address[0], place.address[1] + ADMIN_PORT_OFFSET)) for place in places)
     fleet = FleetConfig(proxies, None)
     answers = await query_fleet(fleet)
     answers = FleetAnswers(answers.proxies, {"revision": discovery.list.revision})
-    return audit_answers(fleet, answers, DEFAULT_BOUND_MS).as_json()
+    return audit_fleet(fleet, answers, DEFAULT_BOUND_MS).as_json()
--- a/sloeferry/fault_testing/placement.py
+++ b/sloeferry/fault_testing/placement.py
@@ -44,8 +44,8 @@
     return f"discovery/{proxy}"
 
 
-def callers_link(proxy: int) -> str:
-    """The name of the link between callers and a proxy."""
+def clients_link(proxy: int) -> str:
+    """The name of the link between clients and a proxy."""
     return f"callers/{proxy}"
 
 
@@ -72,7 +72,7 @@
     _links_of_proxy: dict[int, int] = field(default_factory=dict)  # how many
 
     def __post_init__(self) -> None:
-        for number, fault in enumerate(self.plan.fault):
+        for number, fault in enumerate(self.plan.process_faults):
             self.of_fault.append(self._draw(fault, self.random_for(f"fault-{number}")))
 
     def _draw(self, fault: Fault, rng: Random) -> FaultTargets:
--- a/sloeferry/fault_testing/plan.py
+++ b/sloeferry/fault_testing/plan.py
@@ -1,4 +1,4 @@
-"""Plan files: a rehearsal's scenario, and beside its troubles the faults that strike between processes.
+"""Plan files: a rehearsal's scenario, and beside its faults those that strike between processes.
 
 Read, checked and given defaults in one place; an error names its key.  Times are as their keys say: `_ms` milliseconds,
 `_s` or none seconds.
@@ -28,8 +28,8 @@
     Terminate: scenario_faults.ProxyRollingRestart,
     DiscoveryDown: scenario_faults.DiscoveryOutage,
 }
-# Faults of scenarios that real processes have not: they are made by the stand-ins or the virtual network.
-VIRTUAL_ONLY = (
+# Faults of scenarios that plans do not take: a process fault does the same, or a run of processes has no means for them.
+NOT_IN_PLANS = (
     scenario_faults.OneSidedLoss,
     scenario_faults.LossyZoneLink,
     scenario_faults.DiscoveryMove,
@@ -67,7 +67,7 @@
     """A scenario, with faults between processes."""
 
     rig: Rig = Rig()
-    fault: list[AnyFault] = []
+    process_faults: list[AnyFault] = msgspec.field(default_factory=list, name="fault")
     expect: Expect = Expect()
 
 
@@ -98,11 +98,11 @@
     if plan.clock:
         _refuse(name, "clock", "a machine's own clock is never set; use a fault")
     for index, fault in enumerate(plan.scenario_faults):
-        if isinstance(fault, VIRTUAL_ONLY):
+        if isinstance(fault, NOT_IN_PLANS):
             _refuse(name, f"trouble[{index}].what", "exists in virtual time alone; see the faults")
     if plan.rig.audit_s and plan.rig.audit_s > plan.seconds:
         _refuse(name, "rig.audit_s", "comes after the end")
-    for index, fault in enumerate(plan.fault):
+    for index, fault in enumerate(plan.process_faults):
         _check_fault(plan, fault, name, f"fault[{index}]")
     return plan
 
@@ -137,7 +137,7 @@
     """The scenario that plays in virtual time, and the kinds of the faults that have no part there."""
     faults = list(plan.scenario_faults)
     left_out = []
-    for fault in plan.fault:
+    for fault in plan.process_faults:
         fault_type = VIRTUAL_COUNTERPARTS.get(type(fault))
         if fault_type is None:
             left_out.append(fault.kind)
--- a/sloeferry/fault_testing/plan_run.py
+++ b/sloeferry/fault_testing/plan_run.py
@@ -97,7 +97,7 @@
     finally:
         await fleet.end()
         ports.lock.close()
-    return RunResult(fleet.record_paths(), fleet.fault_targets, run.figures, fleet.tool_faults)
+    return RunResult(fleet.record_paths(), fleet.fault_targets, run.figures, fleet.tool_errors)
 
 
 def run_processes(options: RunOptions, folder: pathlib.Path, proxy_tree: str | None = None) -> RunResult:
@@ -131,7 +131,7 @@
         proxy_tree = plant(planted_fault, name) if planted_fault else None
         try:
             result = run_processes(options, folder, proxy_tree)
-            result.tool_faults += logged_errors(folder)
+            result.tool_errors += logged_errors(folder)
             return judge_run(options.plan, options.seed, result)
         finally:
             if keep_logs:
--- a/sloeferry/fault_testing/process_fleet.py
+++ b/sloeferry/fault_testing/process_fleet.py
@@ -1,7 +1,7 @@
 """The proxies and everybody round them, in processes: started, wired, told to begin, and ended, each by its id.
 
 The driver is also discovery, and the only one that starts, stops and signals proxies.  It has for the rest what a fleet has
-in a rehearsal (rehearsal/proxy_fleet.py), so that scenarios' troubles strike here as they do there.
+in a rehearsal (rehearsal/proxy_fleet.py), so that scenarios' faults strike here as they do there.
 """
 
 import asyncio
@@ -10,13 +10,13 @@
 
 from sloeferry.fault_testing.event_recorder import EventRecorder
 from sloeferry.fault_testing.fault_actions import action_of
-from sloeferry.fault_testing.fleet_audit import audit_fleet
+from sloeferry.fault_testing.fleet_audit import audit_run
 from sloeferry.fault_testing.placement import (
     Address,
     RelayedLink,
     Targets,
     backend_address,
-    callers_link,
+    clients_link,
     discovery_addresses,
     discovery_link,
 )
@@ -24,7 +24,7 @@
 from sloeferry.fault_testing.process_host import ProcessHost
 from sloeferry.fault_testing.recorded_events import Event
 from sloeferry.fault_testing.run_options import RunOptions
-from sloeferry.fault_testing.shared_front import SharedFront
+from sloeferry.fault_testing.shared_balancer import SharedBalancer
 from sloeferry.fault_testing.worker_processes import RemoteBackend, WorkerProcess
 from sloeferry.fault_testing.worker_protocol import ReportKind, WorkerConfig, WorkerReport, WorkerRole
 from sloeferry.rehearsal.faults import FaultInjector
@@ -43,7 +43,7 @@
 class ProcessFleet(ProxyFleet):
     """Everybody who takes part in a run.
 
-    The names without an underscore that are not explained here are those of a rehearsal's fleet: troubles, proxies and
+    The names without an underscore that are not explained here are those of a rehearsal's fleet: scenario faults, proxies and
     stand-ins use them.
     """
 
@@ -54,7 +54,7 @@
         self.environment = host
         self.loop = host.loop
         self.port = port
-        self.tool_faults: list[str] = []  # of the tool's own processes
+        self.tool_errors: list[str] = []  # of the tool's own processes
         self.objective_ratios: dict[int, float] = {}  # proxy -> its latency objective, times what the plan says
         self.judge = EventRecorder(plan, options.seed, pathlib.Path(host.folder, "driver.jsonl"), self.loop.time)
         self.places: list[ProxyPlace] = plan_places(plan, port)
@@ -67,18 +67,18 @@
         host.operator_file.write_text(OPERATOR_SETTINGS)
         self._options = options
         self._backend_workers = self._workers(WorkerRole.BACKENDS, plan.rig.nodes)
-        self._caller_workers = self._workers(WorkerRole.CALLERS, plan.rig.callers)
+        self._client_workers = self._workers(WorkerRole.CLIENTS, plan.rig.callers)
         relays = self._workers(WorkerRole.RELAY, 1 if self._links else 0)
         self.relay = relays[0] if relays else None
-        self._all_workers = [*self._backend_workers, *self._caller_workers, *relays]
-        self.balancer = SharedFront(self.loop, plan.balancer, self.places, self._tell_alive)
+        self._all_workers = [*self._backend_workers, *self._client_workers, *relays]
+        self.balancer = SharedBalancer(self.loop, plan.balancer, self.places, self._tell_alive)
         self.backends: list[RemoteBackend] = []
         self._backend_by_number: dict[int, RemoteBackend] = {}  # by number: all that ever were
         self.proxies = [host.make_proxy(self, number) for number in range(plan.proxies.count)]
 
     def _workers(self, role: WorkerRole, count: int) -> list[WorkerProcess]:
         options = self._options
-        places = [(place.name, self._address_for_callers(number), place.zone) for number, place in enumerate(self.places)]
+        places = [(place.name, self._address_for_clients(number), place.zone) for number, place in enumerate(self.places)]
         return [
             WorkerProcess(
                 self.environment,
@@ -90,7 +90,7 @@
                     backend_count=options.backend_count,
                     seed=options.seed,
                     record_path=str(pathlib.Path(self.environment.folder, f"{role}-{number}.jsonl")),
-                    caller_workers=self.plan.rig.callers,
+                    client_workers=self.plan.rig.callers,
                     places=places,
                 ),
                 self._on_report,
@@ -98,8 +98,8 @@
             for number in range(count)
         ]
 
-    def _address_for_callers(self, proxy: int) -> Address:
-        link = self._links.get(callers_link(proxy))
+    def _address_for_clients(self, proxy: int) -> Address:
+        link = self._links.get(clients_link(proxy))
         return link.listen if link else self.places[proxy].address
 
     def record_paths(self) -> list[str]:
@@ -110,7 +110,7 @@
 
     def _on_report(self, report: WorkerReport) -> None:
         if report.kind is ReportKind.FAILED:
-            self.tool_faults.append(report.value)
+            self.tool_errors.append(report.value)
         elif report.kind is ReportKind.BACKEND_STARTED:
             self._backend_by_number[report.value].has_started()
         elif report.kind is ReportKind.BACKEND_IDLE:
@@ -119,14 +119,14 @@
             self._links_open.set()
 
     def _tell_alive(self, proxy: str, is_alive: bool) -> None:
-        for worker in self._caller_workers:
+        for worker in self._client_workers:
             worker.command("set_alive", proxy, is_alive)
 
     def is_busy(self) -> bool:
-        """Whether calls are open still, as far as callers have reported."""
-        return any(worker.open_calls != 0 for worker in self._caller_workers)
+        """Whether requests are open still, as far as clients have reported."""
+        return any(worker.open_calls != 0 for worker in self._client_workers)
 
-    # What troubles, proxies and stand-ins ask of a fleet
+    # What scenario faults, proxies and stand-ins ask of a fleet
 
     def make_backend(self, settings: Backends, zone: str) -> RemoteBackend:
         """Another backend of that group of the plan's; it does not listen yet."""
@@ -185,20 +185,20 @@
         return place.address if link.between == "callers" else self.discovery.addresses[place.name]
 
     def begin(self, now: float) -> None:
-        """Callers, troubles and faults, from that loop time on."""
+        """Clients, scenario faults and process faults, from that loop time on."""
         self.judge.began_at = now
         self.judge.note(now, Event.RUN_BEGAN)
-        for worker in self._caller_workers:
+        for worker in self._client_workers:
             worker.command("begin", now)
         FaultInjector(self).begin(now)
-        for number, fault in enumerate(self.plan.fault):
+        for number, fault in enumerate(self.plan.process_faults):
             self.loop.call_at(now + fault.at_seconds, action_of(self, number, fault).strike)
         if self.plan.rig.audit_s:
             self.loop.call_at(now + self.plan.rig.audit_s, lambda: self.loop.create_task(self._audit()))
 
     async def _audit(self) -> None:
         self.judge.note(self.loop.time(), Event.AUDIT_BEGAN, self.discovery.list.revision)
-        result = await audit_fleet(self.places, self.discovery)
+        result = await audit_run(self.places, self.discovery)
         self.judge.note(self.loop.time(), Event.AUDIT_ENDED, result)
 
     async def end(self) -> None:
--- a/sloeferry/fault_testing/process_host.py
+++ b/sloeferry/fault_testing/process_host.py
@@ -5,7 +5,7 @@
 import os
 import pathlib
 
-from sloeferry.rehearsal.live import LiveEnvironment, ProxyCommand, ProxyProcess
+from sloeferry.rehearsal.live import LiveEnvironment, LiveProxy, ProxyCommand
 from sloeferry.stand_ins import processes
 
 SOURCE_TREE = str(pathlib.Path(__file__).resolve().parents[2])
@@ -35,7 +35,7 @@
         with contextlib.suppress(ProcessLookupError):  # it has ended already: whoever waits for it will say so
             os.sched_setaffinity(process.pid, cores or self._proxy_cores)
 
-    def command(self, proxy: ProxyProcess) -> ProxyCommand:
+    def command(self, proxy: LiveProxy) -> ProxyCommand:
         """Arguments, environment and folder of a proxy: as `run` starts it, or with a clock or calls that misbehave."""
         number = proxy.index
         self.started_at[number] = self.loop.time()
--- a/sloeferry/fault_testing/record_judge.py
+++ b/sloeferry/fault_testing/record_judge.py
@@ -3,9 +3,9 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from sloeferry.fault_testing.spans import ProxySpans
 from sloeferry.rehearsal.arrivals import PlannedRequest
 from sloeferry.rehearsal.judge import ClientTry, Judge
+from sloeferry.rehearsal.proxy_spans import ProxySpans
 from sloeferry.rehearsal.scenario import Scenario
 from sloeferry.stand_ins.wire_protocol import RequestOutcome
 
--- a/sloeferry/fault_testing/record_replay.py
+++ b/sloeferry/fault_testing/record_replay.py
@@ -11,7 +11,7 @@
 from sloeferry.fault_testing.event_recorder import RecordedEvent, call_number
 from sloeferry.fault_testing.record_judge import RecordJudge
 from sloeferry.fault_testing.recorded_events import Event
-from sloeferry.fault_testing.spans import NOTICE_SECONDS, ProxySpans
+from sloeferry.rehearsal.proxy_spans import NOTICE_SECONDS, ProxySpans
 from sloeferry.stand_ins.effect_log import RecentWork
 from sloeferry.stand_ins.wire_protocol import RequestOutcome
 
@@ -22,8 +22,8 @@
     at: float
     proxy: str
     endpoint: str
-    phase: str
-    launched: int
+    state: str
+    started_at_ms: int
 
 
 class RecordReplay:
@@ -34,14 +34,14 @@
         self.stale_attempts: list[str] = []  # that acted on an older list than their proxy had been notified of
         self.lateness_ms: defaultdict[str, float] = defaultdict(float)  # role -> the most
         self._judge = judge
-        self._entered_at: dict[tuple[str, str], float] = {}  # backend, id -> when its first byte went into the link
+        self._entered_at: dict[tuple[str, str], float] = {}  # backend, id -> when its first_sent_at byte went into the link
         self._lists_held = ProxySpans()
         self._stopped = ProxySpans()
         self._held_notifications: list[HeldNotification] = []
         self._missing_outcomes: dict[int, str] = {}  # number of a call -> the outcome of its request without a response
         self._list_history: defaultdict[str, list[ListWritten]] = defaultdict(list)  # proxy -> what was written to it
 
-    def hear(self, event: RecordedEvent) -> None:
+    def replay(self, event: RecordedEvent) -> None:
         """The next event; those that no rule is about are passed over."""
         at, word, *fields = event
         while self._held_notifications and self._held_notifications[0].at <= at:
@@ -76,10 +76,10 @@
     def _response_missing(self, at: float, ident: str, reason: str) -> None:
         self._missing_outcomes[call_number(ident)] = self._judge.response_missing(ident.encode(), at, reason)
 
-    def _call_ended(self, at: float, number: int, outcome: str, first: float, requests: int) -> None:
+    def _call_ended(self, at: float, number: int, outcome: str, first_sent_at: float, try_count: int) -> None:
         planned = self._judge.planned_requests[number]
-        planned.first_sent_at = first
-        planned.try_count = requests
+        planned.first_sent_at = first_sent_at
+        planned.try_count = try_count
         if outcome == RequestOutcome.UNANSWERED:
             outcome = self._missing_outcomes.get(number, outcome)
         self._judge.request_ended(planned, outcome, at)
@@ -107,7 +107,7 @@
     # Events of backends
 
     def _attempt_received(self, at: float, backend: str, zone: str, ident: str, since: float) -> None:
-        # On its way through a link it may have waited: it was sent when its first byte went in.
+        # On its way through a link it may have waited: it was sent when its first_sent_at byte went in.
         sent_at = self._entered_at.pop((backend, ident), since)
         self._judge.attempt_received(backend, zone, ident.encode(), sent_at)
 
@@ -134,24 +134,24 @@
     def _backend_choked(self, at: float, backend: str) -> None:
         self._judge.congestion_began(backend)
 
-    def _backend_started(self, at: float, backend: str, launched: int) -> None:
-        self._judge.backend_started(backend, at, launched)
+    def _backend_started(self, at: float, backend: str, started_at_ms: int) -> None:
+        self._judge.backend_started(backend, at, started_at_ms)
 
     def _rule_broken(self, at: float, rule: str, text: str) -> None:
         self._judge.violation(rule, at, text)
 
     # Events of discovery
 
-    def _endpoint_notified(self, at: float, proxy: str, endpoint: str, phase: str, launched: int) -> None:
+    def _endpoint_notified(self, at: float, proxy: str, endpoint: str, state: str, started_at_ms: int) -> None:
         until = self._lists_held.end_after(proxy, at)
         if until is None:
-            self._judge.proxy_notified(proxy, endpoint, phase, at, launched)
+            self._judge.proxy_notified(proxy, endpoint, state, at, started_at_ms)
             return
-        self._held_notifications.append(HeldNotification(until, proxy, endpoint, phase, launched))
+        self._held_notifications.append(HeldNotification(until, proxy, endpoint, state, started_at_ms))
         self._held_notifications.sort(key=lambda notification: notification.at)
 
-    def _endpoint_published(self, at: float, endpoint: str, phase: str) -> None:
-        self._judge.state_published(endpoint, phase, at)
+    def _endpoint_published(self, at: float, endpoint: str, state: str) -> None:
+        self._judge.state_published(endpoint, state, at)
 
     def _list_written(self, at: float, proxy: str, revision: int) -> None:
         written = ListWritten(revision, at)
@@ -198,7 +198,7 @@
         Event.ATTEMPT_VERSIONS: _attempt_versions,
         Event.ATTEMPT_RAN: _attempt_ran,
         Event.BACKEND_FELL_OVER: _backend_fell_over,
-        Event.BACKEND_CHOKED: _backend_choked,
+        Event.BACKEND_CONGESTED: _backend_choked,
         Event.BACKEND_STARTED: _backend_started,
         Event.RULE_BROKEN: _rule_broken,
         Event.ENDPOINT_NOTIFIED: _endpoint_notified,
--- a/sloeferry/fault_testing/recorded_events.py
+++ b/sloeferry/fault_testing/recorded_events.py
@@ -12,7 +12,7 @@
     FAULT_OVER = "over"  # number
     PROCESS_LATE = "late"  # role, ms
 
-    # Callers
+    # Clients
     REQUEST_BEGAN = "asked"  # id, proxy, deadline
     REQUEST_SENT = "sent"  # id, deadline
     RESPONSE_RECEIVED = "answered"  # id, status, whether its body is its own
@@ -24,7 +24,7 @@
     ATTEMPT_RECEIVED = "posted"  # backend, zone, id, when its first byte came
     ATTEMPT_VERSIONS = "acted"  # backend, id, under which versions its proxy sent it
     ATTEMPT_RAN = "ran"  # backend, id
-    BACKEND_CHOKED = "choked"  # backend
+    BACKEND_CONGESTED = "choked"  # backend
     BACKEND_FELL_OVER = "fell"  # backend, its warm-up fraction, what it was sent
     RULE_BROKEN = "breach"  # rule, text
 
--- a/sloeferry/fault_testing/shared_front.py
+++ b/sloeferry/fault_testing/shared_balancer.py
@@ -22,7 +22,7 @@
         self._on_change(proxy, is_alive)
 
 
-class SharedFront(ConnectionBalancer):
+class SharedBalancer(ConnectionBalancer):
     """The driver asks who is ready, the callers' processes are told."""
 
     def __init__(
--- a/sloeferry/fault_testing/verdict.py
+++ b/sloeferry/fault_testing/verdict.py
@@ -15,6 +15,7 @@
 from sloeferry.fault_testing.record_replay import RecordReplay
 from sloeferry.rehearsal.arrivals import plan_requests
 from sloeferry.rehearsal.record import make_record
+from sloeferry.stand_ins.rules import Rule
 
 SHOWN_EVENTS = 14  # of a request that are shown beside a broken rule
 SHOWN_VIOLATIONS = 5
@@ -36,7 +37,7 @@
     record_paths: Sequence[pathlib.Path | str]
     targets: list[FaultTargets] = field(default_factory=list)  # of each fault of the plan
     figures: dict[str, Any] = field(default_factory=dict)  # of the processes, as they go into the run's record
-    tool_faults: list[str] = field(default_factory=list)  # of the tool's own processes, and errors that proxies logged
+    tool_errors: list[str] = field(default_factory=list)  # of the tool's own processes, and errors that proxies logged
 
 
 def judge_run(plan: Plan, seed: int, result: RunResult) -> dict[str, Any]:
@@ -48,10 +49,10 @@
     evidence = Evidence(judge, read_events(result.record_paths))
     last_at = max((event[0] for event in evidence.events), default=0.0)
     for event in evidence.events:
-        replay.hear(event)
+        replay.replay(event)
     for planned in judge.planned_requests:
         if not planned.outcome:
-            judge.violation("1", last_at, f"txn {planned.number} had no end")
+            judge.violation(Rule.ONE_ANSWER, last_at, f"txn {planned.number} had no end")
     record = make_record(judge)
     failures = _failures(plan, replay, record, result)
     lateness_ms = {role: round(ms, 1) for role, ms in sorted(replay.lateness_ms.items())}
@@ -95,7 +96,7 @@
     failures += replay.stale_attempts[:SHOWN_STALE_ATTEMPTS]
     if plan.rig.audit_s and replay.audit.result is None:
         failures.append("the audit never ended")
-    failures += [f"the rig itself: {fault}" for fault in result.tool_faults]
+    failures += [f"the rig itself: {fault}" for fault in result.tool_errors]
     proxies = plan.proxies.count
     ready = result.figures.get("ready", proxies)
     if ready < proxies:
--- a/sloeferry/fault_testing/worker_processes.py
+++ b/sloeferry/fault_testing/worker_processes.py
@@ -83,9 +83,9 @@
 
 
 class RemoteBackend:
-    """A backend in a worker process; what scenarios' troubles do to it is done there.
+    """A backend in a worker process; what scenarios' faults do to it is done there.
 
-    It stands where a rehearsal's own backend stands: the names are those that troubles and discovery use.
+    It stands where a rehearsal's own backend stands: the names are those that scenario faults and discovery use.
     """
 
     def __init__(self, worker: WorkerProcess, number: int, address: Address, settings: Backends, group: int, zone: str):
--- a/sloeferry/fault_testing/worker_protocol.py
+++ b/sloeferry/fault_testing/worker_protocol.py
@@ -14,7 +14,7 @@
     """What a worker process stands for.  The value is the word in records."""
 
     BACKENDS = "nodes"
-    CALLERS = "callers"
+    CLIENTS = "callers"
     RELAY = "relay"
 
 
@@ -28,7 +28,7 @@
     backend_count: int | None
     seed: int
     record_path: str
-    caller_workers: int
+    client_workers: int
     places: list[tuple[str, tuple[str, int], str]]  # proxies: name, address as callers see it, zone
 
 
--- a/sloeferry/fault_testing/worker_roles.py
+++ b/sloeferry/fault_testing/worker_roles.py
@@ -1,4 +1,4 @@
-"""What a worker process stands for: backends, callers or links.  A command of the driver calls the method of its name."""
+"""What a worker process stands for: backends, clients or links.  A command of the driver calls the method of its name."""
 
 import asyncio
 import sys
@@ -98,22 +98,22 @@
             report(ReportKind.BACKEND_IDLE, number)
 
 
-class CallersWorker(Worker):
-    """Callers of all zones, with a part of all clients."""
+class ClientsWorker(Worker):
+    """A part of all clients, of each zone."""
 
     def __init__(self, *arguments: Any):
         super().__init__(*arguments)
         places = [ProxyPlace(name, tuple(address), zone) for name, address, zone in self._config.places]
         self._balancer = ConnectionBalancer(self._loop, self._plan.balancer, places)
-        self._callers = [self._zone_callers(index, zone) for index, zone in enumerate(self._plan.network.zones)]
+        self._clients = [self._clients_of_zone(index, zone) for index, zone in enumerate(self._plan.network.zones)]
 
-    def _zone_callers(self, index: int, zone: str) -> StandInClients:
+    def _clients_of_zone(self, index: int, zone: str) -> StandInClients:
         zone_count = len(self._plan.network.zones)
         config = self._config
         calls = [
             call
             for call in self._recorder.planned_requests
-            if call.client % zone_count == index and call.client // zone_count % config.caller_workers == config.number
+            if call.client % zone_count == index and call.client // zone_count % config.client_workers == config.number
         ]
         rng = Random(f"{config.seed}/callers-{zone}-{config.number}")
         return StandInClients(self._loop, self._plan, zone, calls, self._balancer, self._recorder, rng)
@@ -121,12 +121,12 @@
     async def begin(self, now: float) -> None:
         """The run began, in loop time: one clock for all processes of a machine."""
         self._recorder.began_at = now
-        for callers in self._callers:
-            callers.begin(now)
+        for clients in self._clients:
+            clients.begin(now)
         self._loop.call_at(now + self._plan.seconds, self._report_open_calls)
 
     def _report_open_calls(self) -> None:
-        report(ReportKind.OPEN_CALLS, sum(callers.open_count for callers in self._callers))
+        report(ReportKind.OPEN_CALLS, sum(clients.open_count for clients in self._clients))
         self._loop.call_later(OPEN_CALLS_REPORT_SECONDS, self._report_open_calls)
 
     async def set_alive(self, proxy: str, is_alive: bool) -> None:
@@ -159,6 +159,6 @@
 
 ROLES: dict[WorkerRole, type[Worker]] = {
     WorkerRole.BACKENDS: BackendsWorker,
-    WorkerRole.CALLERS: CallersWorker,
+    WorkerRole.CLIENTS: ClientsWorker,
     WorkerRole.RELAY: RelayWorker,
 }
--- a/sloeferry/load_testing/load_run.py
+++ b/sloeferry/load_testing/load_run.py
@@ -22,7 +22,7 @@
 from sloeferry.load_testing.figures import LoadFigures, ProxyFigures, figures_between
 from sloeferry.load_testing.outcomes import Outcome, OutcomeCounts
 from sloeferry.load_testing.plan import LoadPlan, LoadPlanError
-from sloeferry.load_testing.proxy_process import ProxyProcess
+from sloeferry.load_testing.proxy_process import ProxyUnderLoad
 from sloeferry.load_testing.stand_in_process import StandInTask
 from sloeferry.stand_ins.processes import free_ports
 
@@ -81,7 +81,7 @@
         self._proxy_addresses = addresses[deployment.backends + 1 :]
         self._begins_at = monotonic() + PROXY_START_SECONDS + WORKER_START_SECONDS
         self._stand_ins: subprocess.Popen[str] | None = None
-        self._proxies: list[ProxyProcess] = []
+        self._proxies: list[ProxyUnderLoad] = []
         self._workers: list[subprocess.Popen[str]] = []
         self._cpu_seconds = 0.0  # that the proxies used during the curve
 
@@ -138,8 +138,8 @@
         for proxy in self._proxies:
             proxy.wait_until_ready()
 
-    def _start_proxy(self, ordinal: int) -> ProxyProcess:
-        return ProxyProcess(
+    def _start_proxy(self, ordinal: int) -> ProxyUnderLoad:
+        return ProxyUnderLoad(
             self._folder,
             ordinal,
             self._proxy_addresses[ordinal],
--- a/sloeferry/load_testing/proxy_config.py
+++ b/sloeferry/load_testing/proxy_config.py
@@ -7,6 +7,7 @@
 
 from sloeferry.load_testing.plan import LoadPlan, RequestClassLoad
 from sloeferry.stand_ins import platform
+from sloeferry.stand_ins.wire_protocol import RequestKind
 
 DEDUPLICATION_WINDOW_MS = 30_000
 ZONE = "a"
@@ -31,7 +32,7 @@
 def _class_settings(request_class: RequestClassLoad) -> dict[str, Any]:
     return platform.request_class_settings(
         request_class.name,
-        "referenced" if request_class.has_idempotency_key else "repeatable",
+        RequestKind.DEDUPLICATED if request_class.has_idempotency_key else RequestKind.IDEMPOTENT,
         request_class.latency_objective_ms,
         request_class.deadline_ms,
         request_class.priority_weight,
--- a/sloeferry/load_testing/proxy_process.py
+++ b/sloeferry/load_testing/proxy_process.py
@@ -63,7 +63,7 @@
             sleep(LAG_PROBE_SECONDS)
 
 
-class ProxyProcess:
+class ProxyUnderLoad:
     """One proxy, with its throttle, its lag probe and its log."""
 
     def __init__(
--- a/sloeferry/load_testing/stand_in_process.py
+++ b/sloeferry/load_testing/stand_in_process.py
@@ -21,11 +21,11 @@
 from sloeferry.stand_ins.backends import StandInBackend
 from sloeferry.stand_ins.discovery import StandInDiscovery
 from sloeferry.stand_ins.effect_log import EffectLog
-from sloeferry.stand_ins.wire_protocol import BackendState
+from sloeferry.stand_ins.wire_protocol import BackendState, RequestKind
 
 WORK_SIGMA = 0.5  # of the logarithm of the work
 UNBOUNDED = 1e6  # connections, seconds: what has no bound here
-CERTAIN_ERROR = 2.0  # backends err at once with half of these odds: every request does
+ALWAYS_ERRS = 2.0  # half of the odds of errors are drawn as a request comes: each one fails then
 
 
 @dataclass(frozen=True)
@@ -58,7 +58,7 @@
         self._mean_work_ms = task.work_ms
         self._rng = Random(f"{task.seed} work")
         self._request_class = SimpleNamespace(
-            kind="repeatable", work_ms=task.work_ms, response_bytes=task.answer_bytes, body_bytes=0
+            kind=RequestKind.IDEMPOTENT, work_ms=task.work_ms, response_bytes=task.answer_bytes, body_bytes=0
         )
         self._begun: set[bytes] = set()
         self.begun_twice = 0
@@ -119,7 +119,7 @@
 
 
 def _schedule_fault(loop: asyncio.AbstractEventLoop, fault: BackendFault, backend: StandInBackend) -> None:
-    change = {"is_cut_off": True} if fault.kind == BackendFaultKind.SILENT else {"error_odds": CERTAIN_ERROR}
+    change = {"is_cut_off": True} if fault.kind == BackendFaultKind.SILENT else {"error_odds": ALWAYS_ERRS}
     loop.call_later(fault.since_seconds - monotonic(), lambda: backend.change(**change))
     loop.call_later(fault.until_seconds - monotonic(), lambda: backend.change(is_cut_off=False, error_odds=0.0))
 
--- a/sloeferry/rehearsal/__init__.py
+++ b/sloeferry/rehearsal/__init__.py
@@ -1,1 +1,4 @@
-"""The rehearsal kit: a whole bank in one process, on a clock and a network of its own.  The daemon imports none of it."""
+"""Rehearsals: a whole fleet of proxies in one process, in virtual time and on a simulated network.
+
+The proxy imports none of it.
+"""
--- a/sloeferry/rehearsal/arrivals.py
+++ b/sloeferry/rehearsal/arrivals.py
@@ -36,10 +36,10 @@
 
 
 class LognormalShape(NamedTuple):
-    """Parameters of a lognormal distribution."""
+    """Parameters of a lognormal distribution: those of the logarithm."""
 
-    mean: float
-    deviation: float
+    log_mean: float
+    log_deviation: float
 
 
 class FaultEffect(NamedTuple):
@@ -58,7 +58,7 @@
 
 
 def unit_mean_lognormal(variation: float) -> LognormalShape:
-    """The one with mean 1 and that coefficient of variation."""
+    """The lognormal distribution with mean 1 and that coefficient of variation."""
     variance = log(1 + variation * variation)
     return LognormalShape(-variance / 2, sqrt(variance))
 
--- a/sloeferry/rehearsal/cli.py
+++ b/sloeferry/rehearsal/cli.py
@@ -77,7 +77,7 @@
 )
 @click.option(
     "--chance",
-    "luck",
+    "environment_seed",
     type=click.IntRange(0),
     default=0,
     show_default=True,
@@ -87,17 +87,24 @@
 @click.option("--json", "as_json", is_flag=True, help="The record on standard output.")
 @click.option("--log", is_flag=True, help="The proxies' log on standard error.")
 def run_scenario(
-    scenario: str, seed: int, live: bool, policy: str, luck: int, record: pathlib.Path | None, as_json: bool, log: bool
+    scenario: str,
+    seed: int,
+    live: bool,
+    policy: str,
+    environment_seed: int,
+    record: pathlib.Path | None,
+    as_json: bool,
+    log: bool,
 ) -> None:
     """Plays SCENARIO (a shipped name, or a path).  Exit 0: rules kept, 1: one broken, 2: can't be played."""
     checked = scenarios.read(scenario)
     if live and policy != DESIGN:
         raise ScenarioError("--policy: a live play has the design alone")
-    if live and luck:
+    if live and environment_seed:
         raise ScenarioError("--chance: a live play has luck of its own")
     if record and not record.parent.is_dir():
         raise ScenarioError(f"--record: {record.parent} is no folder")
-    played = play_scenario(checked, seed, live, policy, luck, print_to_stderr if log else None)
+    played = play_scenario(checked, seed, live, policy, environment_seed, print_to_stderr if log else None)
     clear_progress_line()
     text = json.dumps(played, indent=1, sort_keys=True) + "\n"
     write_record(record, text)
@@ -107,7 +114,7 @@
 
 
 def play_scenario(
-    scenario: Scenario, seed: int, live: bool, policy: str, luck: int, show_line: Callable[[str], object] | None
+    scenario: Scenario, seed: int, live: bool, policy: str, environment_seed: int, show_line: Callable[[str], object] | None
 ) -> dict[str, Any]:
     """The record of a play, in virtual time or live."""
     progress = progress_line(scenario.name)
@@ -118,7 +125,7 @@
         return live_play.play(scenario, seed, progress, show_line)
     from sloeferry.rehearsal import play as virtual_play
 
-    return virtual_play.play(scenario, seed, policy, progress, show_line, luck)
+    return virtual_play.play(scenario, seed, policy, progress, show_line, environment_seed)
 
 
 @rehearse.command("list")
--- a/sloeferry/rehearsal/faults.py
+++ b/sloeferry/rehearsal/faults.py
@@ -40,7 +40,7 @@
             self._loop.call_at(now + fault.at, self.handlers[type(fault)], fault, rng)
 
     def _drawn_with_requests(self, fault: scenario_faults.RequestFault, rng: Random) -> None:
-        """It is in the requests already."""
+        """Nothing is left to do: `arrivals.py` has drawn the requests with it."""
 
     # Discovery
 
--- a/sloeferry/rehearsal/judge.py
+++ b/sloeferry/rehearsal/judge.py
@@ -5,17 +5,17 @@
 
 from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import NamedTuple
 
 from sloeferry.rehearsal.arrivals import PlannedRequest
 from sloeferry.rehearsal.notifications import Notifications
+from sloeferry.rehearsal.proxy_spans import ProxySpans
 from sloeferry.rehearsal.scenario import Scenario
 from sloeferry.rehearsal.scenario_tables import RequestClass
 from sloeferry.stand_ins.effect_log import EffectLog, RecentWork
 from sloeferry.stand_ins.http_messages import request_body
+from sloeferry.stand_ins.rules import Rule
 from sloeferry.stand_ins.wire_protocol import REJECTED_STATUSES, STATUS_OK, RequestKind, RequestOutcome, outcome_of_status
 
-RULES = ("1", "2", "3", "4", "protocol", "drain", "crash")
 MAX_VIOLATION_TEXTS = 20
 # Part of the work that pushed a backend over, which has to come from proxies that could know that it was cold.
 KNOWING_WORK_RATIO = (2, 3)
@@ -35,13 +35,6 @@
     run_count: int = 0
 
 
-class Span(NamedTuple):
-    """A time from and to, in seconds."""
-
-    since: float
-    until: float
-
-
 def format_id(request_id: bytes) -> str:
     """A request id as texts have it."""
     return request_id.decode("latin-1")
@@ -57,12 +50,12 @@
         self.began_at = 0.0
         self.proxy_zones: dict[str, str] = {}  # by proxy
         self.tries: dict[bytes, ClientTry] = {}  # by request id
-        self.violation_counts = dict.fromkeys(RULES, 0)
+        self.violation_counts = {rule.value: 0 for rule in Rule}
         self.violation_texts: list[str] = []  # of the first ones
         self.slack_seconds = obligations.slack_ms / 1000
         self.notifications = Notifications(scenario.discovery.deemed_notified_seconds)
         self.killed_at: dict[str, float] = {}  # by proxy
-        self.stopped_spans: dict[str, list[Span]] = {}  # by proxy: its machine stood still
+        self.stopped_spans = ProxySpans()  # in which its machine stood still
         self.work_done_ms = 0.0
         self.health_check_work_ms = 0.0
         self.health_check_count = 0
@@ -74,7 +67,7 @@
         self._drain_grace_seconds = obligations.drain_grace_ms / 1000
 
     def violation(self, rule: str, now: float, text: str) -> None:
-        """A rule is broken."""
+        """Counts a broken rule, and keeps the texts of the first ones."""
         self.violation_counts[rule] += 1
         if len(self.violation_texts) < MAX_VIOLATION_TEXTS:
             label = f"rule {rule}" if rule.isdigit() else rule
@@ -128,16 +121,16 @@
         client_try, request_class = self.tries[request_id], self.request_class(request_id)
         name = format_id(request_id)
         if client_try.answered_at:
-            self.violation("1", now, f"{name} was answered twice")
+            self.violation(Rule.ONE_ANSWER, now, f"{name} was answered twice")
         client_try.answered_at = now
         client_try.status = status
         if now > client_try.deadline + self.slack_seconds and not self.was_proxy_stopped(client_try):
             late_ms = 1000 * (now - client_try.deadline)
-            self.violation("1", now, f"{name} was answered {late_ms:.0f} ms past its expiry")
+            self.violation(Rule.ONE_ANSWER, now, f"{name} was answered {late_ms:.0f} ms past its expiry")
         if status == STATUS_OK:
             never_ran = not client_try.run_count and request_class.kind != RequestKind.DEDUPLICATED
             if never_ran or body != request_id.ljust(request_class.response_bytes):
-                self.violation("1", now, f"{name} was served what no node made for it")
+                self.violation(Rule.ONE_ANSWER, now, f"{name} was served what no node made for it")
         elif status in REJECTED_STATUSES and client_try.run_count:
             self._rejected_and_ran(request_id, now, request_class)
         return outcome_of_status(status)
@@ -154,7 +147,7 @@
             return RequestOutcome.PROXY_KILLED
         if self.was_proxy_stopped(client_try):
             return RequestOutcome.PROXY_STOPPED
-        self.violation("1", now, f"{format_id(request_id)} got no answer from {client_try.proxy}: {reason}")
+        self.violation(Rule.ONE_ANSWER, now, f"{format_id(request_id)} got no answer from {client_try.proxy}: {reason}")
         return RequestOutcome.UNANSWERED
 
     def request_ended(self, planned: PlannedRequest, outcome: RequestOutcome, now: float) -> None:
@@ -169,7 +162,7 @@
     def was_proxy_stopped(self, client_try: ClientTry) -> bool:
         """Whether its proxy's machine stood still at its deadline, or for half of its time: nobody can answer then."""
         sent_at, deadline = client_try.sent_at, client_try.deadline
-        spans = self.stopped_spans.get(client_try.proxy, ())
+        spans = self.stopped_spans.of(client_try.proxy)
         if any(span.since <= deadline <= span.until + self.slack_seconds for span in spans):
             return True
         overlaps = (min(span.until, deadline) - max(span.since, sent_at) for span in spans)
@@ -181,7 +174,7 @@
         """See EffectLog: the body has to be the one that its client sent."""
         if self.request_class(request_id) and body != request_body(request_id, self.body_bytes(request_id)):
             text = f"{backend_id} got {len(body)} bytes as the body of {format_id(request_id)}, which are not its own"
-            self.violation("protocol", now, text)
+            self.violation(Rule.PROTOCOL, now, text)
 
     def attempt_received(self, backend_id: str, zone: str, request_id: bytes, sent_at: float) -> None:
         """See EffectLog."""
@@ -190,13 +183,15 @@
         self.attempt_count += 1
         sent = f"{format_id(request_id)} was sent to {backend_id}"
         if sent_at > client_try.deadline + self.slack_seconds:
-            self.violation("1", sent_at, f"{sent} {1000 * (sent_at - client_try.deadline):.0f} ms past its expiry")
+            self.violation(Rule.ONE_ANSWER, sent_at, f"{sent} {1000 * (sent_at - client_try.deadline):.0f} ms past its expiry")
         if client_try.answered_at and sent_at > client_try.answered_at + self.slack_seconds:
-            self.violation("1", sent_at, f"{sent} after its answer")
+            self.violation(Rule.ONE_ANSWER, sent_at, f"{sent} after its answer")
         self.cross_zone_count += self.proxy_zones[client_try.proxy] != zone
         notified_at = self.end_notified_at(client_try.proxy, backend_id)
         if notified_at is not None and sent_at > notified_at + self._drain_grace_seconds + self.slack_seconds:
-            self.violation("3", sent_at, f"{sent} {1000 * (sent_at - notified_at):.0f} ms after its proxy was told")
+            self.violation(
+                Rule.NO_SEND_AFTER_DRAIN, sent_at, f"{sent} {1000 * (sent_at - notified_at):.0f} ms after its proxy was told"
+            )
 
     def end_notified_at(self, proxy: str, backend_id: str) -> float | None:
         """When a proxy was told, or counts as told, that a backend wants nothing new; None if it does want."""
@@ -214,7 +209,9 @@
         if client_try.run_count > 1:
             self.repeated_run_count += 1
             if request_class.kind != RequestKind.IDEMPOTENT:
-                self.violation("2", now, f"{format_id(request_id)}, {request_class.kind}, ran again, on {backend_id}")
+                self.violation(
+                    Rule.NO_REPEATED_EFFECT, now, f"{format_id(request_id)}, {request_class.kind}, ran again, on {backend_id}"
+                )
         if client_try.status in REJECTED_STATUSES:
             self._rejected_and_ran(request_id, now, request_class)
 
@@ -222,7 +219,9 @@
         is_deduplicated = request_class.kind == RequestKind.DEDUPLICATED
         is_known_everywhere = is_deduplicated and request_class.deduplication_group == "all"
         if request_class.kind != RequestKind.IDEMPOTENT and not is_known_everywhere:
-            self.violation("2", now, f"{format_id(request_id)}, {request_class.kind}, was declined and has run")
+            self.violation(
+                Rule.NO_REPEATED_EFFECT, now, f"{format_id(request_id)}, {request_class.kind}, was declined and has run"
+            )
 
     def work_done(self, work_ms: float) -> None:
         """See EffectLog."""
@@ -243,7 +242,7 @@
         knowing_ms = sum(work.work_ms for work in recent if self._knew_start(backend_id, work))
         numerator, denominator = KNOWING_WORK_RATIO
         if knowing_ms >= sum(work.work_ms for work in recent) * numerator / denominator:
-            self.violation("4", now, f"{backend_id} fell over at {capacity_ratio:.2f} of its capacity")
+            self.violation(Rule.NO_OVERLOAD_IN_WARM_UP, now, f"{backend_id} fell over at {capacity_ratio:.2f} of its capacity")
 
     def _knew_start(self, backend_id: str, work: RecentWork) -> bool:
         return self.notifications.knew_start(self.tries[work.request_id].proxy, backend_id, work.received_at)
@@ -264,7 +263,7 @@
 
     def proxy_stopped(self, proxy: str, now: float, until: float) -> None:
         """A proxy's machine stands still until then."""
-        self.stopped_spans.setdefault(proxy, []).append(Span(now, until))
+        self.stopped_spans.add(proxy, now, until)
 
     def proxy_killed(self, proxy: str, now: float) -> None:
         """A proxy has been killed on purpose."""
@@ -272,5 +271,5 @@
 
     def proxy_crashed(self, proxy: str, now: float, reason: str) -> None:
         """A proxy has ended by itself, which it must not."""
-        self.violation("crash", now, f"{proxy} ended: {reason}")
+        self.violation(Rule.CRASH, now, f"{proxy} ended: {reason}")
         self.proxy_killed(proxy, now)
--- a/sloeferry/rehearsal/live.py
+++ b/sloeferry/rehearsal/live.py
@@ -65,11 +65,11 @@
     def set_cut_off(self, address: tuple[str, int], is_cut_off: bool) -> None:
         """See PlayEnvironment: the backend itself says nothing."""
 
-    def make_proxy(self, fleet: ProxyFleet, index: int) -> "ProxyProcess":
+    def make_proxy(self, fleet: ProxyFleet, index: int) -> "LiveProxy":
         """See PlayEnvironment."""
-        return ProxyProcess(self, fleet, index)
+        return LiveProxy(self, fleet, index)
 
-    def command(self, proxy: "ProxyProcess") -> ProxyCommand:
+    def command(self, proxy: "LiveProxy") -> ProxyCommand:
         """How a proxy is started."""
         return ProxyCommand(*processes.command(), None)
 
@@ -77,7 +77,7 @@
         """A proxy's process has been started."""
 
 
-class ProxyProcess(ProxyHandle):
+class LiveProxy(ProxyHandle):
     """One proxy: a real process, and one after it."""
 
     environment: LiveEnvironment
--- a/sloeferry/rehearsal/play.py
+++ b/sloeferry/rehearsal/play.py
@@ -35,10 +35,10 @@
 class VirtualEnvironment:
     """A `PlayEnvironment` in virtual time."""
 
-    def __init__(self, scenario: Scenario, seed: int, folder: str, policy: str, luck: int):
+    def __init__(self, scenario: Scenario, seed: int, folder: str, policy: str, environment_seed: int):
         unix_start = start_of_clock(scenario.clock) if scenario.clock else DEFAULT_UNIX_START
         network = scenario.network
-        self.scheduler = Scheduler(seed, unix_start, luck)
+        self.scheduler = Scheduler(seed, unix_start, environment_seed)
         self.folder = folder
         self.policy = policy
         self.network = SimulatedNetwork(
@@ -195,21 +195,20 @@
     policy: str = baselines.DESIGN,
     progress: Progress | None = None,
     show_line: ShowLine | None = None,
-    luck: int = 0,
+    environment_seed: int = 0,
 ) -> dict[str, Any]:
     """Plays it; the record.  `progress` is called each virtual second.
 
-    Another `luck` is the same day, with the same requests and faults, drawn anew in what its network and its proxies leave to
-    chance.
+    Another `environment_seed`: the same requests and faults, other random numbers of network and proxies.
     """
     log = LogCounter(show_line)
     with tempfile.TemporaryDirectory(prefix="rehearsal-") as folder:
-        play_environment = VirtualEnvironment(scenario, seed, folder, policy, luck)
+        play_environment = VirtualEnvironment(scenario, seed, folder, policy, environment_seed)
         with proxies_run_in(play_environment, log):
             record = _play_in(play_environment, scenario, progress)
     record["seed"] = seed
     record["policy"] = policy
-    record["chance"] = luck
+    record["chance"] = environment_seed
     record["log"] = dict(sorted(log.counts.items()))
     return record
 
--- a/sloeferry/rehearsal/proxy_faults.py
+++ b/sloeferry/rehearsal/proxy_faults.py
@@ -7,11 +7,13 @@
 from sloeferry.rehearsal import scenario_faults
 from sloeferry.rehearsal.scenario_faults import LastingFault
 from sloeferry.stand_ins.client_connection import ClientConnection, Response
+from sloeferry.stand_ins.rules import Rule
 from sloeferry.stand_ins.wire_protocol import ADMIN_PORT_OFFSET
 
 if TYPE_CHECKING:
     from sloeferry.rehearsal.faults import Handlers
-    from sloeferry.rehearsal.proxy_fleet import ProxyFleet, ProxyHandle
+    from sloeferry.rehearsal.play_environment import ProxyHandle
+    from sloeferry.rehearsal.proxy_fleet import ProxyFleet
 
 QUIESCED_SECONDS = 4.0  # after which no client is left
 RESUMED_SECONDS = 2.0  # after which clients may come again
@@ -90,7 +92,7 @@
             self._violation(f"{proxy.name} goes on taking requests")
 
     def _violation(self, text: str) -> None:
-        self._fleet.judge.violation("drain", self._loop.time(), text)
+        self._fleet.judge.violation(Rule.DRAIN, self._loop.time(), text)
 
     async def _call_admin(self, proxy: "ProxyHandle", name: bytes) -> bool:
         """One call at a proxy's admin address; whether it says yes."""
--- a/sloeferry/rehearsal/proxy_fleet.py
+++ b/sloeferry/rehearsal/proxy_fleet.py
@@ -1,4 +1,4 @@
-"""Everybody who takes part in a play but the proxies themselves: who stands where, and what each proxy is told.
+"""A play's proxies and all round them: backends, discovery, clients, connection balancer; addresses and configurations.
 
 The same in virtual time and in real time; `play_environment` says what differs between the two.
 """
@@ -21,6 +21,7 @@
 from sloeferry.stand_ins.connection_balancer import ConnectionBalancer, ProxyPlace
 from sloeferry.stand_ins.deduplication import DeduplicationStore
 from sloeferry.stand_ins.discovery import StandInDiscovery
+from sloeferry.stand_ins.rules import Rule
 from sloeferry.stand_ins.wire_protocol import ADMIN_PORT_OFFSET, BackendState
 
 LAST_ANSWER_SECONDS = 1.0  # beyond all tries of the last request
@@ -223,7 +224,7 @@
     def record(self, now: float) -> dict[str, Any]:
         """The play's record, once all that could end has ended."""
         for request in [request for clients in self.clients for request in clients.planned_requests if not request.outcome]:
-            self.judge.violation("1", now, f"txn {request.number} had no end")
+            self.judge.violation(Rule.ONE_ANSWER, now, f"txn {request.number} had no end")
         return make_record(self.judge)
 
     def last_request_seconds(self) -> float:
--- a/sloeferry/rehearsal/record.py
+++ b/sloeferry/rehearsal/record.py
@@ -108,9 +108,14 @@
 def weighted_mean(scenario: Scenario, parts: dict[str, float | None]) -> float:
     """Of the parts of service; where nobody asked anything, nothing was left undone."""
     weights = scenario.service_weights
-    part_weights = (weights.whole, weights.worst_10_seconds, weights.worst_class, weights.worst_tenant)
-    weighted = (weight * (1.0 if part is None else part) for weight, part in zip(part_weights, parts.values(), strict=True))
-    return sum(weighted) / sum(part_weights)
+    part_weights = {
+        "whole": weights.whole,
+        "worst_10s": weights.worst_10_seconds,
+        "worst_scheme": weights.worst_class,
+        "worst_customer": weights.worst_tenant,
+    }
+    weighted = (weight * (1.0 if parts[name] is None else parts[name]) for name, weight in part_weights.items())
+    return sum(weighted) / sum(part_weights.values())
 
 
 def service_costs(judge: Judge, service: Service, requests: Requests) -> dict[str, float]:
--- a/sloeferry/rehearsal/simulated_process.py
+++ b/sloeferry/rehearsal/simulated_process.py
@@ -17,7 +17,7 @@
 
 from sloeferry.rehearsal.loop_handle import Callback, Handle
 from sloeferry.rehearsal.loop_socket_calls import LoopSocketCalls
-from sloeferry.rehearsal.virtual_time import Event, Scheduler
+from sloeferry.rehearsal.virtual_time import ScheduledCall, Scheduler
 
 if TYPE_CHECKING:
     from sloeferry.rehearsal.network import SimulatedHost
@@ -44,7 +44,7 @@
         self._is_running = False
         self._cpu_seconds = 0.0  # spent in this pass
         self._free_at = 0.0
-        self._next_pass: Event | None = None
+        self._next_pass: ScheduledCall | None = None
         self._tasks: dict[asyncio.Task, None] = {}
         self._signal_handlers: dict[int, partial] = {}
         self._on_exit: Callable[[SimulatedProcess], object] | None = None
--- a/sloeferry/rehearsal/virtual_time.py
+++ b/sloeferry/rehearsal/virtual_time.py
@@ -13,12 +13,13 @@
     from sloeferry.rehearsal.simulated_process import SimulatedProcess
 
 START_SECONDS = 1000.0  # what monotonic clocks show at the start
-# Purposes (by their first letters) whose chance is another one on the same day with other luck.
-LUCK_PURPOSES = ("network", "proxy", "roster")
+# Random generators whose purpose begins so get another seed where `environment_seed` is set; requests and faults stay the same.
+# A purpose is part of the seed: another word for one changes every play.
+RESEEDED_PURPOSES = ("network", "proxy", "roster")
 
 
 @dataclass(slots=True)
-class Event:
+class ScheduledCall:
     """A call that is to happen; `callback` is None once it is cancelled."""
 
     callback: Callable[..., object] | None
@@ -29,38 +30,38 @@
 class Scheduler:
     """The clock and what is to happen; times in seconds.  `current` is the process that runs now."""
 
-    def __init__(self, seed: int | str, unix_start: float = 0.0, luck: int = 0):
-        """`luck`: another one is the same day, with other chance of the network and the proxies."""
+    def __init__(self, seed: int | str, unix_start: float = 0.0, environment_seed: int = 0):
+        """Another `environment_seed`: the same requests and faults, other random numbers of network and proxies."""
         self.now = START_SECONDS
         self.current: SimulatedProcess | None = None
         self.processes: list[SimulatedProcess] = []
         self.process_errors: list[str] = []
         self.event_count = 0
         self._seed = seed
-        self._luck = luck
+        self._environment_seed = environment_seed
         self._unix_offset = unix_start - START_SECONDS
-        self._heap: list[tuple[float, int, Event]] = []
+        self._heap: list[tuple[float, int, ScheduledCall]] = []
         self._scheduled_count = 0
 
     def rng(self, purpose: str) -> Random:
         """A source of chance for one purpose: what another draws changes nothing in it."""
-        if self._luck and purpose.startswith(LUCK_PURPOSES):
-            return Random(f"{self._seed}.{self._luck}/{purpose}")
+        if self._environment_seed and purpose.startswith(RESEEDED_PURPOSES):
+            return Random(f"{self._seed}.{self._environment_seed}/{purpose}")
         return Random(f"{self._seed}/{purpose}")
 
-    def call_at(self, when: float, callback: Callable[..., object], *arguments: Any) -> Event:
+    def call_at(self, when: float, callback: Callable[..., object], *arguments: Any) -> ScheduledCall:
         """Has it called then; the event, for `cancel`."""
         self._scheduled_count += 1
-        event = Event(callback, arguments, max(when, self.now))
+        event = ScheduledCall(callback, arguments, max(when, self.now))
         heappush(self._heap, (event.at, self._scheduled_count, event))
         return event
 
-    def call_later(self, seconds: float, callback: Callable[..., object], *arguments: Any) -> Event:
+    def call_later(self, seconds: float, callback: Callable[..., object], *arguments: Any) -> ScheduledCall:
         """Has it called after so many seconds."""
         return self.call_at(self.now + seconds, callback, *arguments)
 
     @staticmethod
-    def cancel(event: Event) -> None:
+    def cancel(event: ScheduledCall) -> None:
         """It will not be called."""
         event.callback = None
 
--- a/sloeferry/stand_ins/backend_list.py
+++ b/sloeferry/stand_ins/backend_list.py
@@ -47,7 +47,7 @@
     def __init__(self):
         self.revision = 0
         self._entries: dict[str, Entry] = {}
-        self._changes: list[Change] = []  # since the count began; not what it began with
+        self._changes: list[Change] = []  # published since revisions were last reset, without what stood there at the reset
         self._history: list[Change] = []
 
     def started_at_ms(self, backend_id: str) -> int:
@@ -63,7 +63,7 @@
         self._changes.append(change)
         self._history.append(change)
 
-    def restart_count(self, now: float) -> None:
+    def reset_revisions(self, now: float) -> None:
         """The count is lost: what stands in the list is its revision 1."""
         self.revision = 1
         self._changes = []
--- a/sloeferry/stand_ins/clients.py
+++ b/sloeferry/stand_ins/clients.py
@@ -11,6 +11,7 @@
 from sloeferry.stand_ins.client_requests import make_request, make_request_id
 from sloeferry.stand_ins.connection_balancer import CONNECT_TIMEOUT_SECONDS, ConnectionBalancer, ProxyPlace
 from sloeferry.stand_ins.effect_log import ClientLog
+from sloeferry.stand_ins.rules import Rule
 from sloeferry.stand_ins.wire_protocol import RequestKind, RequestOutcome
 
 if TYPE_CHECKING:
@@ -133,7 +134,7 @@
             return None
 
     def _unexpected_response(self, connection: ClientConnection) -> None:
-        self._log.violation("1", self._loop.time(), f"{connection.proxy} sent an answer more than it was asked for")
+        self._log.violation(Rule.ONE_ANSWER, self._loop.time(), f"{connection.proxy} sent an answer more than it was asked for")
 
     async def _exchange(
         self, connection: ClientConnection, planned: "PlannedRequest", try_number: int, patience_seconds: float
@@ -186,5 +187,5 @@
         try:
             return TryResult(outcome, float(retry_after))
         except ValueError:
-            self._log.violation("protocol", now, f"Retry-After: {retry_after!r}")
+            self._log.violation(Rule.PROTOCOL, now, f"Retry-After: {retry_after!r}")
             return TryResult(outcome)
--- a/sloeferry/stand_ins/discovery.py
+++ b/sloeferry/stand_ins/discovery.py
@@ -97,9 +97,9 @@
             if watch.proxy in proxies:
                 watch.abort()
 
-    def restart_count(self) -> None:
+    def reset_revisions(self) -> None:
         """It has lost its count of revisions: what stands in the list is its revision 1."""
-        self.list.restart_count(self.loop.time())
+        self.list.reset_revisions(self.loop.time())
         self.end_watches(set(self.addresses))
 
     # Changes
@@ -107,7 +107,7 @@
     def publish_later(
         self, backend: "StandInBackend", state: BackendState, delay_seconds: float, started_at: float | None = None
     ) -> None:
-        """As `publish`, after that time and what changes take longer now."""
+        """As `publish`, after that time and the extra delay that a fault of discovery sets."""
         self.loop.call_later(delay_seconds + self.extra_delay_seconds, self.publish, backend, state, started_at)
 
     def publish(self, backend: "StandInBackend", state: str, started_at: float | None = None) -> None:
@@ -134,10 +134,13 @@
         """From now on that proxy is shown the list as it was so long ago, and nothing after `until`."""
         self._views[proxy] = ListView(delay_seconds) if until is None else ListView(delay_seconds, until)
 
-    def show_newest_list(self, proxy: str, has_watch_told: bool = True) -> None:
-        """From now on that proxy is shown the list as it is; unless told, its watch has missed what changed before."""
+    def show_newest_list(self, proxy: str, sends_missed_changes: bool = True) -> None:
+        """From now on that proxy is shown the list as it is.
+
+        Its watch is sent the changes that it missed, unless `sends_missed_changes` is False.
+        """
         self._views.pop(proxy, None)
-        if not has_watch_told:
+        if not sends_missed_changes:
             return
         for watch in list(self.watches):
             if watch.proxy == proxy:
@@ -183,8 +186,8 @@
         entries = list(self._sent_entries[proxy].values())
         return {"revision": self._sent_revision[proxy], "complete": True, "members": entries}
 
-    def turn_seconds(self) -> float:
-        """One service for all, calls are worked through in turn: how long one that has just come waits and takes."""
+    def reserve_turn(self) -> float:
+        """Queues one poll behind those that are being served; seconds until it is answered."""
         now = self.loop.time()
         self._busy_until = max(self._busy_until, now) + self._settings.call_ms / 1000
         return self._busy_until - now
@@ -226,7 +229,7 @@
             self._transport.write(response(404))
             return
         parameters = dict(part.partition(b"=")[::2] for part in query.split(b"&") if part)
-        discovery.loop.call_later(discovery.turn_seconds(), self._serve, parameters)
+        discovery.loop.call_later(discovery.reserve_turn(), self._serve, parameters)
 
     def _serve(self, parameters: Mapping[bytes, bytes]) -> None:
         if self._transport.is_closing():
--- a/sloeferry/stand_ins/request_handler.py
+++ b/sloeferry/stand_ins/request_handler.py
@@ -12,6 +12,7 @@
 from sloeferry.stand_ins.deduplication import DeduplicationStore
 from sloeferry.stand_ins.effect_log import RecentWork
 from sloeferry.stand_ins.http_messages import Message, response
+from sloeferry.stand_ins.rules import Rule
 from sloeferry.stand_ins.wire_protocol import RequestKind
 from sloeferry.stand_ins.work_queue import Job
 
@@ -79,7 +80,7 @@
         request_class = self._effect_log.request_class(request_id)
         if request_class is None:
             text = f"{backend.backend_id} was sent an id that nobody asked: {request_id!r}"
-            self._effect_log.violation("protocol", backend.loop.time(), text)
+            self._effect_log.violation(Rule.PROTOCOL, backend.loop.time(), text)
             connection.respond(response(400))
             return
         # An error says nothing of what ran: half of them come at once, half when all has been done.
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -147,7 +147,7 @@
         self.write(6, sla=400)
         for at in (0, 1, 7, 9):
             await self.until(lambda at=at: self.holds(at, revision=5))
-        roster.show_newest_list("p5", has_watch_told=False)  # its watch has missed a change, and only a new one brings it
+        roster.show_newest_list("p5", sends_missed_changes=False)  # its watch has missed a change, and only a new one brings it
         after = await self.verb("bring-up", path, "--pace", "0.05", "--patience", "2")
         garbage.close()
         roster.go_down()
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -397,7 +397,7 @@
     def test_other_luck(self):
         """Another draw of chance on the same day: the same txns are asked, other things come of them."""
         told = squall(lines=[("seconds = 9", "seconds = 3"), *EARLY])
-        one, other = (play.play(told, 5, luck=luck) for luck in (0, 1))
+        one, other = (play.play(told, 5, environment_seed=environment_seed) for environment_seed in (0, 1))
         self.assertEqual(one["txns"]["asked"], other["txns"]["asked"])
         self.assertEqual([w["asked"] for w in one["windows"]], [w["asked"] for w in other["windows"]])
         self.assertNotEqual(one["world"], other["world"])
