--- a/sloeferry/fault_testing/link_relay.py
+++ b/sloeferry/fault_testing/link_relay.py
@@ -12,6 +12,7 @@
 
 from sloeferry.fault_testing.recorded_events import Event, EventSink
 from sloeferry.stand_ins.http_messages import MessageReader
+from sloeferry.stand_ins.wire_protocol import REQUEST_ID
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 seconds
 BACKLOG = 1024
@@ -169,8 +170,8 @@
         if self._request_began_at is None:
             self._request_began_at = link.loop.time()
         for _, fields, _ in self._requests.feed(data):
-            if b"x-call-id" in fields:
-                ident = fields[b"x-call-id"].decode("latin-1")
+            if REQUEST_ID in fields:
+                ident = fields[REQUEST_ID].decode("latin-1")
                 link.recorder.note(link.loop.time(), Event.LINK_ENTERED, link.name, ident, self._request_began_at)
             self._request_began_at = None
 
--- a/sloeferry/fault_testing/placement.py
+++ b/sloeferry/fault_testing/placement.py
@@ -11,9 +11,8 @@
 
 from sloeferry.fault_testing.plan import Plan
 from sloeferry.fault_testing.plan_faults import AnyLinkFault, Fault, LinkFault
-from sloeferry.rehearsal.proxy_fleet import BACKEND_BLOCK, DISCOVERY_BLOCK, DISCOVERY_PORT_OFFSET, loopback_address
+from sloeferry.rehearsal.proxy_fleet import BACKEND_BLOCK, DISCOVERY_BLOCK, loopback_address
 from sloeferry.rehearsal.scenario import ScenarioError
-from sloeferry.stand_ins.connection_balancer import ProxyPlace
 
 LINK_BLOCK = 50  # of loopback addresses (127.BLOCK.x.y), beside the blocks of a rehearsal's own placing
 LOCK_NUMBER = 249  # in discovery's block: the address that holds a run's ports
@@ -49,12 +48,6 @@
     return f"callers/{proxy}"
 
 
-def discovery_addresses(places: list[ProxyPlace], port: int) -> dict[str, Address]:
-    """Discovery's address for each proxy, by the proxy's name."""
-    host = loopback_address(DISCOVERY_BLOCK, 0)
-    return {place.name: (host, port + DISCOVERY_PORT_OFFSET + number) for number, place in enumerate(places)}
-
-
 def backend_address(number: int, port: int) -> Address:
     """The address of a backend."""
     return loopback_address(BACKEND_BLOCK, number), port
--- a/sloeferry/fault_testing/process_fleet.py
+++ b/sloeferry/fault_testing/process_fleet.py
@@ -17,7 +17,6 @@
     Targets,
     backend_address,
     clients_link,
-    discovery_addresses,
     discovery_link,
 )
 from sloeferry.fault_testing.plan import Plan
@@ -62,7 +61,7 @@
         self.fault_targets = targets.of_fault
         self._links = targets.links
         self._links_open = asyncio.Event()
-        addresses = discovery_addresses(self.places, port)
+        addresses = self.discovery_addresses()
         self.discovery = StandInDiscovery(self.loop, plan.discovery, addresses, self.judge, host.rng("roster"))
         host.operator_file.write_text(OPERATOR_SETTINGS)
         self._options = options
--- a/sloeferry/fault_testing/record_replay.py
+++ b/sloeferry/fault_testing/record_replay.py
@@ -11,6 +11,7 @@
 from sloeferry.fault_testing.event_recorder import RecordedEvent, call_number
 from sloeferry.fault_testing.record_judge import RecordJudge
 from sloeferry.fault_testing.recorded_events import Event
+from sloeferry.rehearsal.proxy_fleet import make_backend_id
 from sloeferry.rehearsal.proxy_spans import NOTICE_SECONDS, ProxySpans
 from sloeferry.stand_ins.effect_log import RecentWork
 from sloeferry.stand_ins.wire_protocol import RequestOutcome
@@ -88,7 +89,7 @@
 
     def _link_entered(self, at: float, link: str, ident: str, since: float) -> None:
         backend_number = int(link.rpartition("/")[2])
-        self._entered_at[f"s-{backend_number:04x}", ident] = since
+        self._entered_at[make_backend_id(backend_number), ident] = since
 
     def _link_refused(self, at: float, link: str) -> None:
         between, _, proxy_number = link.partition("/")
--- a/sloeferry/fault_testing/worker_processes.py
+++ b/sloeferry/fault_testing/worker_processes.py
@@ -13,6 +13,7 @@
 from sloeferry.fault_testing.process_host import SOURCE_TREE, ProcessHost
 from sloeferry.fault_testing.worker_protocol import ReportKind, WorkerConfig, WorkerReport, WorkerRole
 from sloeferry.rehearsal.play_environment import READY_TIMEOUT_SECONDS
+from sloeferry.rehearsal.proxy_fleet import make_backend_id
 from sloeferry.rehearsal.scenario_tables import Backends
 
 END_SECONDS = 10.0  # until a worker that was told to end is killed
@@ -89,7 +90,7 @@
     """
 
     def __init__(self, worker: WorkerProcess, number: int, address: Address, settings: Backends, group: int, zone: str):
-        self.backend_id = f"s-{number:04x}"
+        self.backend_id = make_backend_id(number)
         self.address = address
         self.settings = settings
         self.zone = zone
--- a/sloeferry/fault_testing/worker_roles.py
+++ b/sloeferry/fault_testing/worker_roles.py
@@ -14,7 +14,7 @@
 from sloeferry.stand_ins.backends import StandInBackend
 from sloeferry.stand_ins.clients import StandInClients
 from sloeferry.stand_ins.connection_balancer import ConnectionBalancer, ProxyPlace
-from sloeferry.stand_ins.deduplication import DeduplicationStore
+from sloeferry.stand_ins.deduplication import DeduplicationStores
 
 DRAIN_CHECK_SECONDS = 0.02
 OPEN_CALLS_REPORT_SECONDS = 0.1
@@ -47,11 +47,10 @@
     def __init__(self, *arguments: Any):
         super().__init__(*arguments)
         self._backends: dict[int, StandInBackend] = {}
-        self._deduplication_stores: dict[str, DeduplicationStore] = {}  # zone (empty: all) -> who remembers its keys
+        self._deduplication_stores = DeduplicationStores()
 
     async def create(self, number: int, ident: str, address: list, zone: str, group: int) -> None:
         """A backend of that group of the plan's; it does not listen yet."""
-        stores = self._deduplication_stores
         self._backends[number] = StandInBackend(
             self._loop,
             self._plan.backends[group],
@@ -59,7 +58,7 @@
             tuple(address),
             zone,
             self._recorder,
-            {"all": stores.setdefault("", DeduplicationStore()), "zone": stores.setdefault(zone, DeduplicationStore())},
+            self._deduplication_stores.of_zone(zone),
             self._plan.obligations,
             Random(f"{self._config.seed}/node-{number}"),
         )
--- a/sloeferry/load_testing/open_loop_clients.py
+++ b/sloeferry/load_testing/open_loop_clients.py
@@ -18,6 +18,7 @@
 from sloeferry.load_testing.client_connection import ClientConnection, OpenLoopRequest, Response, encode_request
 from sloeferry.load_testing.outcomes import Outcome, OutcomeCounts
 from sloeferry.load_testing.plan import Arrival, LoadPlan, RequestClassLoad, arrivals
+from sloeferry.stand_ins.wire_protocol import REJECTED_STATUSES, STATUS_OK
 
 # A client still listens for so long past its patience, to tell a late answer from none.
 LISTEN_ON_SECONDS = 0.05
@@ -26,7 +27,6 @@
 DUE_CHECKS_PER_SWEEP = 5
 MAX_CONNECTION_WAIT_RATIO = 1 / 4  # of the latency objective
 SEED_OFFSET = 7  # from the plan's seed, which draws the arrivals
-REJECTED_STATUSES = (429, 503)
 
 
 class OpenLoopClients:
@@ -180,7 +180,7 @@
             connection.transport.close()
         else:
             self._release(connection)
-        if response.status == 200:
+        if response.status == STATUS_OK:
             self._end(request, self._served_outcome(request, now))
         elif 400 <= response.status < 500 and response.status not in REJECTED_STATUSES:
             self._end(request, Outcome.INVALID)
--- a/sloeferry/rehearsal/proxy_fleet.py
+++ b/sloeferry/rehearsal/proxy_fleet.py
@@ -19,7 +19,7 @@
 from sloeferry.stand_ins.backends import StandInBackend
 from sloeferry.stand_ins.clients import StandInClients
 from sloeferry.stand_ins.connection_balancer import ConnectionBalancer, ProxyPlace
-from sloeferry.stand_ins.deduplication import DeduplicationStore
+from sloeferry.stand_ins.deduplication import DeduplicationStores
 from sloeferry.stand_ins.discovery import StandInDiscovery
 from sloeferry.stand_ins.rules import Rule
 from sloeferry.stand_ins.wire_protocol import ADMIN_PORT_OFFSET, BackendState
@@ -55,6 +55,11 @@
     return f"127.{block}.{index // ADDRESSES_PER_BLOCK}.{index % ADDRESSES_PER_BLOCK + 1}"
 
 
+def make_backend_id(index: int) -> str:
+    """A backend's id, by its number."""
+    return f"s-{index:04x}"
+
+
 def plan_backends(scenario: Scenario) -> list[BackendPlan]:
     """All backends, dealt out over the zones in turn."""
     zones = scenario.network.zones
@@ -85,7 +90,7 @@
         self.judge = Judge(scenario, plan_requests(scenario, environment.rng("arrivals")))
         self.places = plan_places(scenario, port)
         self.judge.proxy_zones = {place.name: place.zone for place in self.places}
-        self._deduplication_stores: dict[str, DeduplicationStore] = {}  # by zone; "" for all
+        self._deduplication_stores = DeduplicationStores()
         self._backend_count = 0
         zones = scenario.network.zones
         self.discovery = StandInDiscovery(
@@ -118,12 +123,7 @@
         index = self._backend_count
         self._backend_count += 1
         address = loopback_address(BACKEND_BLOCK, index), self.port
-        backend_id = f"s-{index:04x}"
-        # A class's group says who knows its idempotency keys: all backends, or those of one zone.
-        stores = {
-            group: self._deduplication_stores.setdefault(key, DeduplicationStore())
-            for group, key in (("all", ""), ("zone", zone))
-        }
+        backend_id = make_backend_id(index)
         return StandInBackend(
             self.environment.place(backend_id, address, zone),
             settings,
@@ -131,7 +131,7 @@
             address,
             zone,
             self.judge,
-            stores,
+            self._deduplication_stores.of_zone(zone),
             self.scenario.obligations,
             self.environment.rng(f"node-{index}"),
         )
--- a/sloeferry/stand_ins/deduplication.py
+++ b/sloeferry/stand_ins/deduplication.py
@@ -54,3 +54,15 @@
             return KeyLookup(entry, True)
         entry = self._entries[key] = KeyEntry(now)
         return KeyLookup(entry, False)
+
+
+class DeduplicationStores:
+    """The stores of a whole fleet of backends: one that all share, and one for each zone."""
+
+    def __init__(self):
+        self._for_all = DeduplicationStore()
+        self._by_zone: dict[str, DeduplicationStore] = {}
+
+    def of_zone(self, zone: str) -> dict[str, DeduplicationStore]:
+        """Those of a backend there, by the group that a request class names: all backends, or those of its zone."""
+        return {"all": self._for_all, "zone": self._by_zone.setdefault(zone, DeduplicationStore())}
--- a/tests/dispatch/test_stale_list.py
+++ b/tests/dispatch/test_stale_list.py
@@ -13,7 +13,7 @@
 from sloeferry.network import sockets
 from tests.support.fake_backends import response
 from tests.support.instrumented_harness import InstrumentedHarness, wait_until
-from tests.support.proxy_harness import PlayStory
+from tests.support.proxy_harness import PlayStory, Story
 
 
 def make_stale(harness: InstrumentedHarness) -> None:
@@ -55,19 +55,24 @@
     play_story(story, "stale_dial", InstrumentedHarness({"b": response()}))
 
 
-def test_after_a_wait(play_story: PlayStory):
-    """The list goes stale while the attempt waits right before its first byte, as after a stall."""
+def stale_before_first_byte(body: str = "") -> Story:
+    """The list goes stale while the attempt waits right before its first byte."""
 
     async def story(harness: InstrumentedHarness) -> None:
         with harness.before_first_byte() as gate:
-            call = asyncio.ensure_future(harness.request("once"))
+            call = asyncio.ensure_future(harness.request("once", body=body))
             await gate.held.wait()
             make_stale(harness)
             gate.opened.set()
             await call
         harness.record(f"asked {harness.backends.requests_received}")
 
-    play_story(story, "stale_wait", InstrumentedHarness({"b": response()}))
+    return story
+
+
+def test_after_a_wait(play_story: PlayStory):
+    """The list goes stale while the attempt waits right before its first byte, as after a stall."""
+    play_story(stale_before_first_byte(), "stale_wait", InstrumentedHarness({"b": response()}))
 
 
 def test_retry(play_story: PlayStory):
@@ -87,17 +92,7 @@
 
 def test_upload(play_story: PlayStory):
     """The list goes stale before the first byte of a streamed body."""
-
-    async def story(harness: InstrumentedHarness) -> None:
-        with harness.before_first_byte() as gate:
-            call = asyncio.ensure_future(harness.request("once", body="x" * 200_000))
-            await gate.held.wait()
-            make_stale(harness)
-            gate.opened.set()
-            await call
-        harness.record(f"asked {harness.backends.requests_received}")
-
-    play_story(story, "stale_upload", InstrumentedHarness({"b": response()}))
+    play_story(stale_before_first_byte(body="x" * 200_000), "stale_upload", InstrumentedHarness({"b": response()}))
 
 
 def test_health_check(play_story: PlayStory):
