--- a/sloeferry/dispatch/dispatcher.py
+++ b/sloeferry/dispatch/dispatcher.py
@@ -19,7 +19,7 @@
 from sloeferry.dispatch.loop_monitor import LoopMonitor
 from sloeferry.dispatch.request_context import RequestContext
 from sloeferry.dispatch.send_guard import Refusal, SendGuard
-from sloeferry.policy.endpoint_staleness import ON_SOCKETS
+from sloeferry.policy.endpoint_staleness import SOCKET_LIMITS
 from sloeferry.policy.interface import Abandon, Complete, EndpointId, SendAttempt
 from sloeferry.policy.overload_control import OverloadController
 from sloeferry.policy.policy import Policy
@@ -33,7 +33,7 @@
         self.host = CommandHost(request_wakeup)
         self.requests = self.host.requests
         self._last_request_id = 0
-        self.policy = Policy(self.host, environment.monotonic_ms(), seed, settings, ON_SOCKETS)
+        self.policy = Policy(self.host, environment.monotonic_ms(), seed, settings, SOCKET_LIMITS)
         self.overload = OverloadController(self.policy)
         self.policy.extensions.install(self.overload)
         self._is_beating = False
@@ -205,7 +205,7 @@
 
     def _note_rejection(self) -> None:
         """Counts the policy's own rejections while the list is stale, beside attempts refused at their first byte."""
-        if not self.endpoint_events.staleness.usable(environment.monotonic_ms()):
+        if not self.endpoint_events.staleness.is_usable(environment.monotonic_ms()):
             self.guard.count_refusal(Refusal.LIST_STALE)
 
     # For operators
--- a/sloeferry/dispatch/endpoint_events.py
+++ b/sloeferry/dispatch/endpoint_events.py
@@ -115,11 +115,11 @@
 
     def discovery_time(self, unix_ms: float) -> None:
         """Discovery's own word of what time it is."""
-        self._start_times.discovery_time(environment.monotonic_ms(), unix_ms)
+        self._start_times.set_discovery_time(environment.monotonic_ms(), unix_ms)
 
     def discovery_moved(self) -> None:
         """Discovery is elsewhere from now on."""
-        self.staleness.moved(environment.monotonic_ms())
+        self.staleness.discovery_relocated(environment.monotonic_ms())
 
     def is_watch_overdue(self) -> bool:
         """Whether a watch fell silent and no list has come since."""
@@ -130,14 +130,14 @@
     def log_staleness(self, now: float) -> None:
         """A line when the list becomes stale, and one when a newer one has come: no line a request tells of either."""
         staleness = self.staleness
-        if not staleness.usable(now) and self._stale_since is None:
+        if not staleness.is_usable(now) and self._stale_since is None:
             self._stale_since = staleness.usable_until
             logger.info(
                 "endpoint list is stale, nothing is sent until another comes: cause={!r} trusted_ms_ago={:.0f}",
                 staleness.cause.value,
                 now - staleness.trusted_until,
             )
-        elif self._stale_since is not None and staleness.usable(now):
+        elif self._stale_since is not None and staleness.is_usable(now):
             logger.info(
                 "endpoint list is usable again: cause={!r} stale_ms={:.0f}",
                 staleness.cause.value,
@@ -149,7 +149,7 @@
         """The age of the list."""
         now = environment.monotonic_ms()
         return {
-            "usable": self.staleness.usable(now),
+            "usable": self.staleness.is_usable(now),
             "cause": self.staleness.cause.value,
             "known_true_ms_ago": round(now - self.staleness.trusted_until),
         }
--- a/sloeferry/lifecycle/snapshot.py
+++ b/sloeferry/lifecycle/snapshot.py
@@ -33,7 +33,7 @@
     "pace": "slowdown",
     "learned": "learned_at",
 }
-OUTLIER_FIGURES = {"cured": "cured_ratio", "errs": "error_rate", "refused": "unreachable_rate"}
+OUTLIER_FIGURES = {"cured": "retry_recovery_ratio", "errs": "error_rate", "refused": "unreachable_rate"}
 
 
 def take_snapshot(policy: Policy) -> dict[str, Any]:
--- a/sloeferry/network/discovery_watch.py
+++ b/sloeferry/network/discovery_watch.py
@@ -59,7 +59,7 @@
     def poll_end(self, now: float, patience_ms: float) -> PollEnd:
         """How it failed, if it brought no list; `patience_ms` is for how long a poll may take."""
         if self.phase is PollPhase.NOT_DIALED:
-            return PollEnd.NOT_MADE
+            return PollEnd.NOT_SENT
         if self.phase is PollPhase.DIALED:
             return PollEnd.UNREACHABLE
         if self.phase is PollPhase.ANSWERED or now - self.tried_at < QUICK_END_RATIO * patience_ms:
--- a/sloeferry/policy/admission.py
+++ b/sloeferry/policy/admission.py
@@ -91,12 +91,16 @@
         """Whether the request was sent or given up; otherwise it is held."""
         endpoint, odds, expected_ms = self._selector.choose(request, now) if may_search else (None, 0.0, 0.0)
         slowdown = self._latency.slowdown(endpoint, now) if endpoint else 1.0
-        idle_ms = request.typical_ms() * self._latency.stretch[0] * slowdown
+        idle_ms = request.typical_ms() * self._latency.level_slowdowns[0] * slowdown
         spread = self._latency.spread
         good_odds = GOOD_ODDS_RATIO * spread.fraction_below(request.request_class.objective_ms / idle_ms)
         if endpoint is not None:
             has_good_odds = odds >= good_odds and odds > MIN_ODDS
-            if has_good_odds or self._is_blind(endpoint, now) and self._load.may_send_uninformed(self._selector.candidates.all):
+            if (
+                has_good_odds
+                or self._is_blind(endpoint, now)
+                and self._load.may_send_without_reports(self._selector.candidates.all)
+            ):
                 self._retries.send(request, endpoint, now, expected_ms)
                 return True
         if may_search and has_waited or spread.fraction_below((request.objective_at - now) / idle_ms) < good_odds:
@@ -108,7 +112,7 @@
         """Whether no endpoint is asked and nothing was heard of this one of late: only what is sent brings news."""
         if self._arrivals.is_rush():
             return True
-        return not self._brings_news_by_asking and now - endpoint.reported_at > self._load.fade_ms
+        return not self._brings_news_by_asking and now - endpoint.reported_at > self._load.report_half_life_ms
 
     def _give_up_those_without_place(self, kept: list[Request]) -> None:
         """No more are held than can hope for a place: what ends at the endpoints while a request may wait."""
--- a/sloeferry/policy/attempt_feedback.py
+++ b/sloeferry/policy/attempt_feedback.py
@@ -43,7 +43,7 @@
         attempt.end(now, outcome)
         if report:
             self.load_reported(endpoint, now, report)
-        self._outliers.note_outcome(outcome, attempt.opens_connection)
+        self._outliers.record_outcome(outcome, attempt.opens_connection)
         if outcome is AttemptOutcome.SERVED:
             self._served(request, attempt, now, took_ms)
         elif outcome in GIVEN_UP:
@@ -68,14 +68,14 @@
         endpoint, request_class = attempt.endpoint, request.request_class
         is_slow = took_ms > attempt.expected_ms and endpoint.path_quality == 1.0
         # Where no health check is answered all classes are lost, not this one.
-        is_dead = bool(endpoint.health_checks_out) and self._outliers.is_silent(endpoint, now)
+        is_dead = bool(endpoint.health_checks_in_flight) and self._outliers.is_silent(endpoint, now)
         is_class_lost = request_class in endpoint.class_ejections or self._attribution.is_loss_likely(request_class, endpoint)
         if is_slow and not is_dead and is_class_lost:
             endpoint.eject_for(request_class, now, REPORT_MAX_AGE_MS)  # it serves the other classes
         elif is_slow and not (self._rules.may_hedge and attempt.is_overtaken()):
             self._latency.learn(request, attempt, took_ms * GIVEN_UP_FACTOR, now, self._table.ready, outcome)
         if self._reporting.is_report_age_unknown:  # given up here, it goes on there, and no report says so in time
-            endpoint.counted_until.append(now + took_ms)
+            endpoint.counted_in_flight_until.append(now + took_ms)
         is_timed_out = outcome is AttemptOutcome.TIMED_OUT
         is_very_late = is_timed_out and took_ms > VERY_LATE_FACTOR * attempt.expected_ms
         is_outlier = self._reporting.is_report_age_unknown and is_very_late or self._outliers.is_silent(endpoint, now)
@@ -85,7 +85,7 @@
     def _failed(self, request: Request, attempt: Attempt, now: float, outcome: AttemptOutcome) -> None:
         """It was rejected, or its connection failed."""
         endpoint = attempt.endpoint
-        self._outliers.count_for_longer(request, endpoint, now)
+        self._outliers.count_as_in_flight(request, endpoint, now)
         # An endpoint with open connections that takes no further one is full, but serves.
         if outcome is not AttemptOutcome.UNREACHABLE or endpoint.open_connections <= 0:
             self._outliers.record_failure(endpoint, now)
@@ -95,7 +95,7 @@
 
     def health_check_ended(self, endpoint: Endpoint, now: float, outcome: AttemptOutcome, load_report: Sequence[float]) -> None:
         """A health check has ended."""
-        del endpoint.health_checks_out[:1]
+        del endpoint.health_checks_in_flight[:1]
         is_served = outcome is AttemptOutcome.SERVED
         tells_something = outcome not in TELLS_NOTHING
         if self._reporting.comes_with_health_checks and tells_something:
--- a/sloeferry/policy/candidates.py
+++ b/sloeferry/policy/candidates.py
@@ -40,10 +40,10 @@
         self._load = load
         self._rng = rng
         self.all: list[Endpoint] = []
-        self.home: list[Endpoint] = []  # of them, those in this proxy's zone
-        self.elsewhere: list[Endpoint] = []
-        self.home_zone = fleet.zone
-        self.ejected: Collection[EndpointId] = ()
+        self.local: list[Endpoint] = []  # of them, those in this proxy's zone
+        self.remote: list[Endpoint] = []
+        self.local_zone = fleet.zone
+        self.ejected_endpoint_ids: Collection[EndpointId] = ()
 
     def refresh(self, now: float) -> list[Endpoint]:
         """The candidates: all ready endpoints that something is known of, without outliers, and a sample of the others."""
@@ -51,18 +51,18 @@
         if now < table.candidates_chosen_at + self._refresh_ms:
             return self.all
         elapsed_ms, table.candidates_chosen_at = now - table.candidates_chosen_at, now
-        listed = table.ready if self._staleness.usable(now) else []
+        listed = table.ready if self._staleness.is_usable(now) else []
         table.drop_inactive(now, REPORT_MAX_AGE_MS)
-        self.ejected = self._outliers.ejected(now, len(listed))
+        self.ejected_endpoint_ids = self._outliers.ejected_endpoint_ids(now, len(listed))
         sample = self._rng.sample(listed, min(len(listed), SAMPLE_SIZE))
         active = [
             endpoint
             for endpoint in table.active.values()
-            if endpoint.state is EndpointState.READY and endpoint.endpoint_id not in self.ejected and listed
+            if endpoint.state is EndpointState.READY and endpoint.endpoint_id not in self.ejected_endpoint_ids and listed
         ]
         self.all = active + [endpoint for endpoint in sample if endpoint.endpoint_id not in table.active]
         self._attribution.review(now, self.all)
-        self.home = [endpoint for endpoint in self.all if endpoint.zone == self.home_zone]
-        self.elsewhere = [endpoint for endpoint in self.all if endpoint.zone != self.home_zone]
+        self.local = [endpoint for endpoint in self.all if endpoint.zone == self.local_zone]
+        self.remote = [endpoint for endpoint in self.all if endpoint.zone != self.local_zone]
         self._load.refresh(now, elapsed_ms, self.all, len(listed))
         return self.all
--- a/sloeferry/policy/endpoint_polling.py
+++ b/sloeferry/policy/endpoint_polling.py
@@ -68,9 +68,9 @@
         self._poll_number += 1
         if scope not in (ListScope.POLL_FAILED, ListScope.WATCH_ENDED):
             self._failures, self._watch_told_at = 0, self._watch_told_at or now
-            self.staleness.answered(now)
+            self.staleness.poll_succeeded(now)
             return
-        self.staleness.unanswered(now)
+        self.staleness.poll_unanswered(now)
         stood_ms = now - self._watch_told_at if self._watch_told_at is not None else 0.0
         self._watch_told_at = None
         if scope is ListScope.WATCH_ENDED and stood_ms >= SHORT_WATCH_MS:
@@ -83,4 +83,4 @@
     def _backoff_ms(self) -> float:
         """The mean wait until the next poll."""
         base_ms = min(self._poll_within_ms, LONGEST_BACKOFF_BASE_MS) * BACKOFF_BASE_RATIO
-        return min(base_ms * 2**self._failures, MAX_BACKOFF_OF_NOTICE * self.staleness.limits.notice_ms)
+        return min(base_ms * 2**self._failures, MAX_BACKOFF_OF_NOTICE * self.staleness.limits.notification_limit_ms)
--- a/sloeferry/policy/endpoint_selection.py
+++ b/sloeferry/policy/endpoint_selection.py
@@ -35,7 +35,7 @@
     """The endpoint chosen for an attempt."""
 
     endpoint: Endpoint | None  # None: there is none that may get it
-    odds: float = 0.0  # that its answer comes within the latency objective
+    success_probability: float = 0.0  # that its answer comes within the latency objective
     expected_ms: float = 0.0
 
 
@@ -103,7 +103,7 @@
 
     def is_uninformed_in_rush(self) -> bool:
         """Whether requests come too fast to ask, and too little is out to learn from."""
-        return self._arrivals.is_rush() and self.load.may_send_uninformed(self.candidates.all)
+        return self._arrivals.is_rush() and self.load.may_send_without_reports(self.candidates.all)
 
     def passes_over_crowded(self) -> bool:
         """Whether crowded endpoints are passed over: where endpoints were just asked, unless this proxy knows too little."""
@@ -136,7 +136,7 @@
         self._work_ms = request.typical_ms()
         self._crowded_ms = CROWDED_RATIO * request_class.objective_ms
         self._is_retry = bool(request.attempts)
-        idle_ms = self._work_ms * selector.latency.stretch[0]
+        idle_ms = self._work_ms * selector.latency.level_slowdowns[0]
         self._is_long = request_class.mean_cost_hint and idle_ms > LONG_WORK_RATIO * request_class.objective_ms
         self._affine_endpoints = selector.affinity.affine_endpoints(request.affinity_key, selector.table.ready)
         unreachable = selector.outliers.unreachable_rate
@@ -147,21 +147,23 @@
         """The endpoints to choose from, at home and elsewhere: candidates, and those that stand for the request's key."""
         candidates = self._selector.candidates
         if not self._affine_endpoints or not candidates.all:
-            return candidates.home, candidates.elsewhere
+            return candidates.local, candidates.remote
         added = [
-            each for each in self._affine_endpoints if each.endpoint_id not in candidates.ejected and each not in candidates.all
+            each
+            for each in self._affine_endpoints
+            if each.endpoint_id not in candidates.ejected_endpoint_ids and each not in candidates.all
         ]
-        home_zone = self._selector.candidates.home_zone
+        local_zone = self._selector.candidates.local_zone
         return (
-            candidates.home + [each for each in added if each.zone == home_zone],
-            candidates.elsewhere + [each for each in added if each.zone != home_zone],
+            candidates.local + [each for each in added if each.zone == local_zone],
+            candidates.remote + [each for each in added if each.zone != local_zone],
         )
 
     def leader(self, endpoints: Sequence[Endpoint]) -> _Leader | None:
         """The endpoint with the lowest rank, ties at random; None where none may get the attempt."""
         selector, now, work_ms, affine_endpoints = self._selector, self._now, self._work_ms, self._affine_endpoints
         estimate_of, slowdown_of, rank_of = selector.load.estimate, selector.latency.slowdown, selector.load.rank
-        stretch, may_start = selector.latency.stretch, selector.slow_start.may_send
+        stretch, may_start = selector.latency.level_slowdowns, selector.slow_start.may_send
         warm_since = now - selector.slow_start.duration_ms
         lowest, ties = inf, []
         for endpoint in endpoints:
--- a/sloeferry/policy/endpoint_staleness.py
+++ b/sloeferry/policy/endpoint_staleness.py
@@ -15,11 +15,11 @@
 from dataclasses import dataclass
 from math import inf
 
-NOTICE_MS = 6000.0  # a change counts as notified so long after discovery had it and could be reached
-MOVED_NOTICE_MS = 4000.0  # the same where the list is pushed and discovery has moved
-ENDED_WATCH_NOTICE_MS = 2000.0  # the same for a change that ended a watch instead of being told on it
-WATCH_DELAY_MS = NOTICE_MS / 15  # a change may be so much older than the watch's word that does not tell it
-SHORT_WATCH_MS = NOTICE_MS / 24  # a poll so soon after a watch's end, or after a failed poll, leaves no gap behind it
+NOTIFICATION_LIMIT_MS = 6000.0  # a change counts as notified so long after discovery had it and could be reached
+MOVED_NOTIFICATION_LIMIT_MS = 4000.0  # the same where the list is pushed and discovery has moved
+ENDED_WATCH_NOTIFICATION_LIMIT_MS = 2000.0  # the same for a change that ended a watch instead of being told on it
+WATCH_DELAY_MS = NOTIFICATION_LIMIT_MS / 15  # a change may be so much older than the watch's word that does not tell it
+SHORT_WATCH_MS = NOTIFICATION_LIMIT_MS / 24  # a poll so soon after a watch's end, or after a failed poll, leaves no gap behind it
 FAILED_POLL_FACTOR = 4  # a list may be so much older after a poll that failed
 
 
@@ -27,7 +27,7 @@
     """How a poll ended that brought no list."""
 
     UNREACHABLE = "no connection came up"
-    NOT_MADE = "no descriptor for it"
+    NOT_SENT = "no descriptor for it"
     REFUSED = "discovery ended it at once"
     UNANSWERED = "discovery ended it after a wait"
 
@@ -36,25 +36,25 @@
     """Why the list's age runs: the last fact that set the deadline."""
 
     WATCHED = "watched"
-    HELD = "as last held by an earlier process"  # also at a start without any list
+    CACHED = "as last held by an earlier process"  # also at a start without any list
     WATCH_ENDED = "watch ended"
     WATCH_SILENT = "watch silent"
     POLL_FAILED = "call failed"
-    OUT_OF_REACH = "discovery out of reach"
-    MOVED = "discovery moved"
+    DISCOVERY_UNREACHABLE = "discovery out of reach"
+    DISCOVERY_MOVED = "discovery moved"
 
 
 @dataclass(frozen=True, slots=True)
 class StalenessLimits:
     """What a host's platform allows, in ms.  The defaults leave only the settings' own limit (the simulator's rule)."""
 
-    notice_ms: float = inf
-    moved_notice_ms: float = inf
-    ended_watch_notice_ms: float = inf
+    notification_limit_ms: float = inf
+    moved_notification_limit_ms: float = inf
+    ended_watch_notification_limit_ms: float = inf
 
 
-BY_SETTINGS_ALONE = StalenessLimits()
-ON_SOCKETS = StalenessLimits(NOTICE_MS, MOVED_NOTICE_MS, ENDED_WATCH_NOTICE_MS)
+NO_PLATFORM_LIMITS = StalenessLimits()
+SOCKET_LIMITS = StalenessLimits(NOTIFICATION_LIMIT_MS, MOVED_NOTIFICATION_LIMIT_MS, ENDED_WATCH_NOTIFICATION_LIMIT_MS)
 
 
 class ListStaleness:
@@ -64,21 +64,23 @@
     holds only where it is polled, and four times as long after a poll that failed.
     """
 
-    def __init__(self, now: float, poll_within_ms: float, is_polled: bool, limits: StalenessLimits = BY_SETTINGS_ALONE):
+    def __init__(self, now: float, poll_within_ms: float, is_polled: bool, limits: StalenessLimits = NO_PLATFORM_LIMITS):
         self.poll_within_ms = poll_within_ms
         self.limits = limits
         self.trusted_until = now
-        self.cause = StalenessCause.HELD
-        self.usable_until = now + min(limits.notice_ms, poll_within_ms if is_polled else inf)
+        self.cause = StalenessCause.CACHED
+        self.usable_until = now + min(limits.notification_limit_ms, poll_within_ms if is_polled else inf)
         self.is_watch_overdue = False  # a watch was given up as silent, and no list has come since
         self._is_polled = is_polled
-        self._is_on_sockets = limits.notice_ms < inf
+        self._is_on_sockets = limits.notification_limit_ms < inf
         # Whether word of changes may have stopped because discovery is out of reach, and since when that would be.
         self._outage_since = now
         self._may_be_outage = True
-        self._outage_gap_ms = limits.notice_ms  # before its first poll a proxy has no watch whose end tells of an outage
+        self._outage_gap_ms = (
+            limits.notification_limit_ms
+        )  # before its first poll a proxy has no watch whose end tells of an outage
 
-    def usable(self, now: float) -> bool:
+    def is_usable(self, now: float) -> bool:
         """Whether requests may be sent by this list."""
         return now <= self.usable_until
 
@@ -88,7 +90,7 @@
         """A list was taken in, or a watch that stands said something, written at `at` or later."""
         self.trusted_until = max(self.trusted_until, at - WATCH_DELAY_MS)
         self.cause = StalenessCause.WATCHED
-        self.usable_until = self.trusted_until + self.limits.notice_ms
+        self.usable_until = self.trusted_until + self.limits.notification_limit_ms
         self._may_be_outage, self._outage_gap_ms, self.is_watch_overdue = True, SHORT_WATCH_MS, False
 
     def poll_began(self, now: float) -> None:
@@ -96,12 +98,12 @@
         if self._is_polled and not self._is_on_sockets:
             self.usable_until = now + self.poll_within_ms
 
-    def answered(self, now: float) -> None:
+    def poll_succeeded(self, now: float) -> None:
         """A list came.  Only in the simulator: on sockets `confirmed` says more."""
         if not self._is_on_sockets:
             self.trusted_until, self.cause, self.usable_until = now, StalenessCause.WATCHED, inf
 
-    def unanswered(self, now: float) -> None:
+    def poll_unanswered(self, now: float) -> None:
         """A poll failed.  Only in the simulator: on sockets the events below say more."""
         if not self._is_on_sockets:
             self.cause = StalenessCause.POLL_FAILED
@@ -112,20 +114,20 @@
         if self.cause is StalenessCause.WATCHED:
             self.trusted_until = max(self.trusted_until, now - WATCH_DELAY_MS)
         self._outage_since = now
-        limit_ms = self.limits.ended_watch_notice_ms if self._is_polled else self.limits.notice_ms
+        limit_ms = self.limits.ended_watch_notification_limit_ms if self._is_polled else self.limits.notification_limit_ms
         self._limit(StalenessCause.WATCH_ENDED, limit_ms)
 
     def watch_silent(self, since: float) -> None:
         """A watch has said nothing since then, and is given up: what it missed counts as notified in time."""
         self.trusted_until = min(self.trusted_until, since)
         self._may_be_outage, self.is_watch_overdue = False, True
-        self._limit(StalenessCause.WATCH_SILENT, self.limits.notice_ms)
+        self._limit(StalenessCause.WATCH_SILENT, self.limits.notification_limit_ms)
 
-    def moved(self, now: float) -> None:
+    def discovery_relocated(self, now: float) -> None:
         """Discovery is elsewhere: nothing that the former place says tells what the new one has."""
         self.trusted_until = min(self.trusted_until, now)
-        limit_ms = self.limits.notice_ms if self._is_polled else self.limits.moved_notice_ms
-        self._limit(StalenessCause.MOVED, limit_ms)
+        limit_ms = self.limits.notification_limit_ms if self._is_polled else self.limits.moved_notification_limit_ms
+        self._limit(StalenessCause.DISCOVERY_MOVED, limit_ms)
 
     def poll_waiting(self, began: float, tried: float) -> bool:
         """A poll that began then is still on its way; whether that tells of an outage.
@@ -137,14 +139,14 @@
             return False
         # Word stopped because discovery is out of reach, and has been from then on: nothing was missed so far.
         self.trusted_until = max(self.trusted_until, tried)
-        self.cause = StalenessCause.OUT_OF_REACH
+        self.cause = StalenessCause.DISCOVERY_UNREACHABLE
         self.usable_until = self._allowed_until(self.trusted_until, began)
         return True
 
     def poll_failed(self, now: float, end: PollEnd, began: float, tried: float) -> None:
         """A poll that brought no list has ended; `began` and `tried` as above."""
         if end in (PollEnd.UNREACHABLE, PollEnd.UNANSWERED) and self.poll_waiting(began, tried):
-            self._outage_since, self._outage_gap_ms = now, self.limits.notice_ms
+            self._outage_since, self._outage_gap_ms = now, self.limits.notification_limit_ms
             return
         self._may_be_outage = False
         if self.cause is StalenessCause.WATCH_ENDED and now <= self.usable_until:
@@ -155,7 +157,7 @@
 
     def _allowed_until(self, since: float, began: float) -> float:
         by_settings = began + FAILED_POLL_FACTOR * self.poll_within_ms if self._is_polled else inf
-        return min(since + self.limits.notice_ms, by_settings)
+        return min(since + self.limits.notification_limit_ms, by_settings)
 
     def _limit(self, cause: StalenessCause, limit_ms: float) -> None:
         """The list's age runs from `trusted_until`; a deadline that stands already is only brought forward."""
--- a/sloeferry/policy/endpoint_table.py
+++ b/sloeferry/policy/endpoint_table.py
@@ -65,7 +65,7 @@
     def _forget_gone(self) -> None:
         """Ids are ever new: endpoints that are gone would fill the memory on a long day."""
         for endpoint in list(self.by_id.values()):
-            has_anything_out = endpoint.own_in_flight or endpoint.health_checks_out
+            has_anything_out = endpoint.own_in_flight or endpoint.health_checks_in_flight
             if endpoint.state is EndpointState.GONE and not has_anything_out:
                 del self.by_id[endpoint.endpoint_id]
                 self.active.pop(endpoint.endpoint_id, None)
@@ -86,8 +86,8 @@
             endpoint_id: endpoint
             for endpoint_id, endpoint in self.active.items()
             if endpoint.own_in_flight
-            or endpoint.counted_until
-            or endpoint.health_checks_out
+            or endpoint.counted_in_flight_until
+            or endpoint.health_checks_in_flight
             or endpoint.consecutive_failures
             or now - endpoint.reported_at <= max_age_ms
         }
--- a/sloeferry/policy/endpoints.py
+++ b/sloeferry/policy/endpoints.py
@@ -54,13 +54,13 @@
         self.others_in_flight = 0.0  # requests that it holds for other proxies, as of `reported_at`
         self.reported_at = -inf
         self.own_in_flight = 0
-        self.counted_until: list[float] = []  # attempts that ended and still count as in flight here, each until then
+        self.counted_in_flight_until: list[float] = []  # attempts that ended and still count as in flight here, each until then
         self.open_connections = 0  # likely
         self.consecutive_failures = 0
         self.consecutive_errors = 0
         self.ejected_until = 0.0
         self.unanswered_since: float | None = None
-        self.health_checks_out: list[float] = []  # when each was sent, oldest first
+        self.health_checks_in_flight: list[float] = []  # when each was sent, oldest first
         self.latency_ratios = Histogram(1.0, ENDPOINT_SAMPLES, [1.0, 1.0])  # against its machine kind's
         self.slowdown = 1.0  # how much longer than usual an attempt takes here
         self.learned_at = 0.0
@@ -94,7 +94,7 @@
         self.slowdown = max(MIN_SLOWDOWN, measured * spread.quantile(0.5) / spread.quantile(SLOWDOWN_QUANTILE))
         self.learned_at = now
 
-    def slowdown_believed(self, fraction: float) -> float:
+    def decayed_slowdown(self, fraction: float) -> float:
         """Its slowdown, of which that fraction is still believed against its kind's."""
         kind_slowdown = self.machine_kind.slowdown()
         if self.slowdown == 1.0:
--- a/sloeferry/policy/fault_attribution.py
+++ b/sloeferry/policy/fault_attribution.py
@@ -13,7 +13,7 @@
 from sloeferry.policy.interface import PolicyHost
 from sloeferry.policy.load_reporting import REPORT_MAX_AGE_MS
 from sloeferry.policy.request_classes import HIGH_LOSS_RATE, RequestClass, RequestClasses
-from sloeferry.policy.success_rate import SuccessRateTracker, rate_against_best
+from sloeferry.policy.success_rate import SuccessRateTracker, update_relative_rates
 
 # A kind of requests is at fault below the first rate in time, and no longer from the second on.
 AT_FAULT_RATE, CLEARED_RATE = 0.2, 0.4
@@ -51,7 +51,7 @@
         kind_groups = (self._classes.class_trackers, self._classes.tenant_trackers)
         path_groups = self._path_groups()
         for group in (*kind_groups, *path_groups):
-            rate_against_best(group, now, REPORT_MAX_AGE_MS)
+            update_relative_rates(group, now, REPORT_MAX_AGE_MS)
         for group in kind_groups:
             self._clear_if_all_at_fault(group, now)
         kinds = [*chain(*kind_groups)]
@@ -71,7 +71,7 @@
 
     def _clear_if_all_at_fault(self, group: Collection[SuccessRateTracker], now: float) -> None:
         """Where all that are met are at fault, none of them is."""
-        if all(each.is_at_fault for each in group if now - each.judged_at < REPORT_MAX_AGE_MS):
+        if all(each.is_at_fault for each in group if now - each.last_recorded_at < REPORT_MAX_AGE_MS):
             for each in group:
                 each.is_at_fault = False
 
@@ -86,7 +86,7 @@
         for each in everything:  # what the others suffered from it is held against nobody
             if not each.is_at_fault:
                 each.rate = max(each.rate, SUFFERED_RATE)
-            each.unjudged.clear()
+            each.uncounted_attempts.clear()
         if self._may_cancel:
             for attempt in kind.open_attempts:
                 request = attempt.request
@@ -94,7 +94,7 @@
 
     def _judge_path(self, path: SuccessRateTracker, now: float) -> None:
         """What was told of a bad path is believed ever less, or it would never be tried again."""
-        believed = 1 - (1 - path.relative_rate) * 0.5 ** ((now - path.judged_at) / REPORT_MAX_AGE_MS)
+        believed = 1 - (1 - path.relative_rate) * 0.5 ** ((now - path.last_recorded_at) / REPORT_MAX_AGE_MS)
         path.relative_rate = max(MIN_PATH_QUALITY, believed) if believed < BAD_PATH_RELATIVE_RATE else 1.0
 
     def is_loss_likely(self, request_class: RequestClass, endpoint: Endpoint) -> bool:
--- a/sloeferry/policy/health_checks.py
+++ b/sloeferry/policy/health_checks.py
@@ -48,8 +48,8 @@
     def send(self, endpoint: Endpoint, now: float) -> None:
         """Checks that endpoint, unless enough checks are out there."""
         is_ready = endpoint.state is EndpointState.READY
-        if is_ready and self._reporting.may_health_check and len(endpoint.health_checks_out) < MAX_CHECKS_OUT:
-            endpoint.health_checks_out.append(now)
+        if is_ready and self._reporting.may_health_check and len(endpoint.health_checks_in_flight) < MAX_CHECKS_OUT:
+            endpoint.health_checks_in_flight.append(now)
             self._table.activate(endpoint)
             self._host.send_health_check(endpoint.endpoint_id)
 
@@ -67,7 +67,7 @@
             due = [ready[turn % len(ready)]] if ready else []
         else:
             active = self._table.active.values()
-            due = [each for each in active if each.consecutive_failures or each.health_checks_out]
+            due = [each for each in active if each.consecutive_failures or each.health_checks_in_flight]
         # One timer for all: with one for each endpoint, hundreds of proxies do little else.
         self._timers.schedule(now + interval_ms, self._next_round, turn + 1)
         for endpoint in due:
--- a/sloeferry/policy/latency_model.py
+++ b/sloeferry/policy/latency_model.py
@@ -47,7 +47,7 @@
         self._can_ask = bool(reporting.health_checks_per_request)
         self._sample = 0
         self.level_ratios = [Histogram(1.0, LEVEL_SAMPLES) for _ in LOAD_LEVELS]
-        self.stretch = [1.0 + level for level in LOAD_LEVELS]  # how much longer an attempt takes at each level
+        self.level_slowdowns = [1.0 + level for level in LOAD_LEVELS]  # how much longer an attempt takes at each level
         self.spread = Histogram(1.0, SPREAD_SAMPLES, [0.5, 0.7, 1.0, 1.4, 2.0])  # of what attempts took against the expected
         self.refresh()
 
@@ -69,7 +69,7 @@
             learned = guess
             if ratios.count >= MIN_LEVEL_SAMPLES and (at or not self._is_report_age_unknown):
                 learned = max(ratios.quantile(0.5), below)
-            below = self.stretch[at] = guess if is_growth_bounded and at and guess < learned else learned
+            below = self.level_slowdowns[at] = guess if is_growth_bounded and at and guess < learned else learned
 
     def slowdown(self, endpoint: Endpoint, now: float) -> float:
         """How much longer than usual an attempt takes at the endpoint: as measured, or the least that its warm-up says."""
@@ -78,7 +78,7 @@
             if fraction < 1.0:
                 return max(endpoint.slowdown, 1 / fraction)
         # What was slow is believed ever less, or it would never be tried again.
-        return endpoint.slowdown_believed(0.5 ** ((now - endpoint.learned_at) / SLOWDOWN_HALF_LIFE_MS))
+        return endpoint.decayed_slowdown(0.5 ** ((now - endpoint.learned_at) / SLOWDOWN_HALF_LIFE_MS))
 
     def learn(
         self,
@@ -97,13 +97,13 @@
         unadjusted_ms = took_ms
         if request.affinity_key:  # against what it would take without a key
             is_affine = endpoint in self._affinity.affine_endpoints(request.affinity_key, ready)
-            self._affinity.learn(is_affine, took_ms / (typical * self.stretch[level]))
+            self._affinity.learn(is_affine, took_ms / (typical * self.level_slowdowns[level]))
             took_ms /= self._affinity.affine_ratio if is_affine else 1.0
-        endpoint.learn(took_ms / (typical * self.stretch[level]), self.spread, now)
+        endpoint.learn(took_ms / (typical * self.level_slowdowns[level]), self.spread, now)
         if self._slow_start.warm_up_fraction(endpoint, now) < 1.0:  # that it takes long tells of no queue elsewhere
             return
         if outcome is AttemptOutcome.SERVED if self._is_report_age_unknown else level == 0:
-            latency_ms = took_ms * self.stretch[0] / self.stretch[level] / request.relative_size
+            latency_ms = took_ms * self.level_slowdowns[0] / self.level_slowdowns[level] / request.relative_size
             request.request_class.idle_latency.add(latency_ms)
         self.level_ratios[level].add(took_ms / typical)
         self.spread.add(unadjusted_ms / attempt.expected_ms)
--- a/sloeferry/policy/load_estimate.py
+++ b/sloeferry/policy/load_estimate.py
@@ -49,8 +49,8 @@
         # By whether the endpoint is in this proxy's own zone: [elsewhere, home].
         self.mean_load = [0.0, 0.0]
         self._mean_own_in_flight = [0.0, 0.0]
-        self.turnover_ms = 1.0  # the typical latency of the quickest class: a full endpoint is less full by then
-        self.fade_ms = 1.0  # half-life of a report that says an endpoint is loaded
+        self.shortest_latency_ms = 1.0  # the typical latency of the quickest class: a full endpoint is less full by then
+        self.report_half_life_ms = 1.0  # half-life of a report that says an endpoint is loaded
         self._ready_count = 0
 
     def estimate(self, endpoint: Endpoint, now: float) -> float:
@@ -60,7 +60,7 @@
         ones, by half in the time an attempt takes, and is void past `REPORT_MAX_AGE_MS`: else all proxies would send to
         the endpoint that looked empty last.
         """
-        ended = endpoint.counted_until  # roughly in order: one behind a later end is counted until that
+        ended = endpoint.counted_in_flight_until  # roughly in order: one behind a later end is counted until that
         while ended and ended[0] <= now:
             ended.pop(0)
         own = endpoint.own_in_flight + len(ended)
@@ -73,7 +73,7 @@
         if age_ms > REPORT_MAX_AGE_MS:
             return own + mean
         # One that looked empty fills at once, by all who heard of it; one that was full stays so while reports hold.
-        half_life_ms = self.fade_ms if endpoint.others_in_flight > mean else self.turnover_ms
+        half_life_ms = self.report_half_life_ms if endpoint.others_in_flight > mean else self.shortest_latency_ms
         return own + mean + (endpoint.others_in_flight - mean) * 0.5 ** (age_ms / half_life_ms)
 
     def rank(self, estimate: float, slowdown: float, factor: float = 1.0) -> float:
@@ -87,8 +87,8 @@
     def refresh(self, now: float, elapsed_ms: float, candidates: Sequence[Endpoint], ready_count: int) -> None:
         """Works out the mean load anew, `elapsed_ms` after the last time."""
         self._ready_count = ready_count
-        self.turnover_ms = min([each.typical_ms() for each in self._classes.all])
-        self.fade_ms = REPORT_MAX_AGE_MS / 2 if self._is_report_age_unknown else self.turnover_ms
+        self.shortest_latency_ms = min([each.typical_ms() for each in self._classes.all])
+        self.report_half_life_ms = REPORT_MAX_AGE_MS / 2 if self._is_report_age_unknown else self.shortest_latency_ms
         reports = self._weighted_reports(now, candidates)
         for is_home in (False, True):
             # Where crossing zones is dear they are loaded apart: a full home zone must not make the others look full.
@@ -104,7 +104,7 @@
 
     def _weighted_reports(self, now: float, candidates: Sequence[Endpoint]) -> list[tuple[float, float, bool]]:
         """(weight by age, load, whether at home) of each report that is not too old; warm endpoints' if there are any."""
-        half_life_ms = max(self.fade_ms, MIN_FADE_GAPS * self._arrivals.mean_gap_ms)
+        half_life_ms = max(self.report_half_life_ms, MIN_FADE_GAPS * self._arrivals.mean_gap_ms)
         reported = [each for each in candidates if now - each.reported_at <= REPORT_MAX_AGE_MS]
         warm = [each for each in reported if each.started_at <= now - self._slow_start.duration_ms]
         return [
@@ -119,7 +119,7 @@
     def _raise_mean_by_own(self, is_home: bool, elapsed_ms: float) -> None:
         """What takes long reports late: what this proxy has out tells before it, if all proxies do alike."""
         out = sum(
-            each.own_in_flight + len(each.counted_until)
+            each.own_in_flight + len(each.counted_in_flight_until)
             for each in self._table.active.values()
             if (each.zone == self._fleet.zone) == is_home
         )
@@ -129,7 +129,7 @@
         by_own = self._mean_own_in_flight[is_home] * other_proxies_per_endpoint
         self.mean_load[is_home] = max(self.mean_load[is_home], by_own)
 
-    def may_send_uninformed(self, candidates: Collection[Endpoint]) -> bool:
+    def may_send_without_reports(self, candidates: Collection[Endpoint]) -> bool:
         """Whether to send although nothing is known: less is out than this proxy's part of one request an endpoint.
 
         Only what is sent brings reports then.  Where their age is unknown it draws from `rng`, so that a part of the
@@ -138,7 +138,7 @@
         if not self._is_report_age_unknown:
             out = sum(each.own_in_flight for each in candidates)
             return out < max(1, self._ready_count / self._fleet.instance_count)
-        out = sum(each.own_in_flight + len(each.counted_until) for each in self._table.active.values())
+        out = sum(each.own_in_flight + len(each.counted_in_flight_until) for each in self._table.active.values())
         if out >= max(1, self._ready_count / self._fleet.instance_count):
             return False
         return self._rng.random() < SHARED_PART_RATIO
--- a/sloeferry/policy/load_refresh.py
+++ b/sloeferry/policy/load_refresh.py
@@ -20,7 +20,7 @@
 
     def is_outstanding(self) -> bool:
         """Whether its answer is still out."""
-        sent = self.endpoint.health_checks_out
+        sent = self.endpoint.health_checks_in_flight
         return bool(sent) and sent[0] <= self.asked_at
 
 
@@ -46,10 +46,10 @@
         in_order = sorted((rank, self._rng.random(), endpoint) for rank, endpoint in ranked)
         lowest = [endpoint for _, _, endpoint in in_order if not self._is_fresh(endpoint, now)][:ASKED_TOGETHER]
         for endpoint in lowest:
-            if not endpoint.health_checks_out and self.budget.may_spend():
+            if not endpoint.health_checks_in_flight and self.budget.may_spend():
                 self.budget.spend()
                 self._health_checks.send(endpoint, now)
-        return [PendingReport(endpoint, now) for endpoint in lowest if endpoint.health_checks_out]
+        return [PendingReport(endpoint, now) for endpoint in lowest if endpoint.health_checks_in_flight]
 
     def _is_fresh(self, endpoint: Endpoint, now: float) -> bool:
         return now - endpoint.reported_at <= self._check_timeout_ms
--- a/sloeferry/policy/load_refresh_stage.py
+++ b/sloeferry/policy/load_refresh_stage.py
@@ -51,7 +51,7 @@
         self._rng = rng
         self._waiting: list[_Waiting] = []
 
-    def take(self, request: Request, now: float) -> None:
+    def handle_request(self, request: Request, now: float) -> None:
         """A request was taken on."""
         if self._sheds_for_lateness(request):
             self._requests.give_up(request, request.request_class.objective_ms)
--- a/sloeferry/policy/outlier_detection.py
+++ b/sloeferry/policy/outlier_detection.py
@@ -47,11 +47,11 @@
         self._reporting = reporting
         self._check_timeout_ms = check_timeout_ms
         self._rng = rng
-        self.cured_ratio = 1.0  # of requests that met an error: served by another endpoint
+        self.retry_recovery_ratio = 1.0  # of requests that met an error: served by another endpoint
         self.error_rate = 0.0  # of attempts
         self.unreachable_rate = 0.0  # of attempts that had to open a connection
 
-    def note_outcome(self, outcome: AttemptOutcome, opened_connection: bool) -> None:
+    def record_outcome(self, outcome: AttemptOutcome, opened_connection: bool) -> None:
         """Updates the rates of errors and of refused connections after an attempt."""
         self.error_rate += ((outcome is AttemptOutcome.ERROR) - self.error_rate) / ERROR_SMOOTHING
         is_unreachable = outcome is AttemptOutcome.UNREACHABLE
@@ -61,13 +61,13 @@
         """Whether a health check is unanswered or, where these are dear, nothing was heard for longer than answers take."""
         # A proxy with a request a second would hear by its own long requests alone; that is no silence.
         if self._reporting.may_health_check and not self._reporting.comes_with_health_checks:
-            sent = endpoint.health_checks_out
+            sent = endpoint.health_checks_in_flight
             patience_ms = max(self._check_timeout_ms, LATENESS_MULTIPLE * self._timers.lateness_ms)
             return bool(sent) and now - sent[0] > patience_ms
         since = endpoint.unanswered_since
         return since is not None and now - since > self._latency.longest_ms
 
-    def ejected(self, now: float, listed_count: int) -> Collection[EndpointId]:
+    def ejected_endpoint_ids(self, now: float, listed_count: int) -> Collection[EndpointId]:
         """The endpoints that get nothing now; none where that would be half of the listed or more."""
         ejected = {
             endpoint.endpoint_id
@@ -96,21 +96,21 @@
         """
         endpoint.consecutive_errors += 1
         if any(attempt.outcome is AttemptOutcome.ERROR for attempt in request.attempts[:-1]):
-            self.cured_ratio -= self.cured_ratio / CURED_SMOOTHING  # at two endpoints: it is the request
-        elif self.cured_ratio > MOSTLY_CURED:
-            self.count_for_longer(request, endpoint, now)
+            self.retry_recovery_ratio -= self.retry_recovery_ratio / CURED_SMOOTHING  # at two endpoints: it is the request
+        elif self.retry_recovery_ratio > MOSTLY_CURED:
+            self.count_as_in_flight(request, endpoint, now)
         is_beyond_chance = self.error_rate**endpoint.consecutive_errors < CHANCE_LIMIT
         is_never_retried = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
-        if is_beyond_chance or is_never_retried and self.cured_ratio > MOSTLY_CURED:
+        if is_beyond_chance or is_never_retried and self.retry_recovery_ratio > MOSTLY_CURED:
             self.record_failure(endpoint, now)
 
     def record_served(self, request: Request, now: float) -> None:
         """The request was served: whichever endpoint erred with it before is at fault."""
         for attempt in request.attempts:
             if attempt.outcome is AttemptOutcome.ERROR:
-                self.cured_ratio += (1 - self.cured_ratio) / CURED_SMOOTHING
+                self.retry_recovery_ratio += (1 - self.retry_recovery_ratio) / CURED_SMOOTHING
                 self.record_failure(attempt.endpoint, now)
 
-    def count_for_longer(self, request: Request, endpoint: Endpoint, now: float) -> None:
+    def count_as_in_flight(self, request: Request, endpoint: Endpoint, now: float) -> None:
         """Goes on counting an attempt that ended badly: a quick error must not make an endpoint look empty."""
-        endpoint.counted_until.append(now + ABANDONED_TYPICAL_TIMES * request.typical_ms())
+        endpoint.counted_in_flight_until.append(now + ABANDONED_TYPICAL_TIMES * request.typical_ms())
--- a/sloeferry/policy/policy.py
+++ b/sloeferry/policy/policy.py
@@ -13,7 +13,7 @@
 from sloeferry.policy.attempt_feedback import AttemptFeedback
 from sloeferry.policy.endpoint_polling import EndpointPolling
 from sloeferry.policy.endpoint_selection import EndpointSelector
-from sloeferry.policy.endpoint_staleness import BY_SETTINGS_ALONE, StalenessLimits
+from sloeferry.policy.endpoint_staleness import NO_PLATFORM_LIMITS, StalenessLimits
 from sloeferry.policy.extension_points import ExtensionPoints
 from sloeferry.policy.fleet import FleetShare
 from sloeferry.policy.health_checks import HealthChecks
@@ -41,7 +41,7 @@
         now: float,
         seed: int,
         settings: Settings,
-        staleness_limits: StalenessLimits = BY_SETTINGS_ALONE,
+        staleness_limits: StalenessLimits = NO_PLATFORM_LIMITS,
     ):
         self.settings = settings
         self.rng = Random(seed)
@@ -155,7 +155,7 @@
             # The client's first try began that much earlier.
             request.objective_at = now + time_left_ms - (request_class.deadline_ms - request_class.objective_ms)
         self.requests.add(request, now)
-        self.load_refresh.take(request, now)
+        self.load_refresh.handle_request(request, now)
 
     def response_started(self, now: float, request_id: int, attempt_number: int) -> None:
         """An attempt's response has begun to go out: nothing else can be done for its request.  Only the bench tells it."""
--- a/sloeferry/policy/retry_policy.py
+++ b/sloeferry/policy/retry_policy.py
@@ -103,7 +103,7 @@
         if not (self._rules.may_attempt(request, now, instead_of=attempt) and self._extensions.may_retry(now, request)):
             return False
         choice = self._selector.choose(request, now, [each.endpoint for each in request.attempts])
-        if choice.endpoint is None or choice.odds <= MIN_HEDGE_ODDS:
+        if choice.endpoint is None or choice.success_probability <= MIN_HEDGE_ODDS:
             return False
         if self._rules.may_hedge:
             self.send(request, choice.endpoint, now, choice.expected_ms)
@@ -126,7 +126,7 @@
         choice = self._selector.choose(request, now, [each.endpoint for each in request.attempts])
         if (
             choice.endpoint is not None
-            and choice.odds > MIN_RETRY_ODDS
+            and choice.success_probability > MIN_RETRY_ODDS
             and self._rules.may_attempt(request, now)
             and self._extensions.may_retry(now, request)
         ):
@@ -142,6 +142,6 @@
         if now >= request.deadline - LAST_RETRY_TICKS * self._tick_ms or request.is_at_fault():
             return True
         has_erred = request.attempts[-1].outcome is AttemptOutcome.ERROR
-        if not (has_erred and self._outliers.cured_ratio < MOSTLY_CURED):
+        if not (has_erred and self._outliers.retry_recovery_ratio < MOSTLY_CURED):
             return False
         return self._rng.random() > ERROR_RETRY_RATIO
--- a/sloeferry/policy/safety_rules.py
+++ b/sloeferry/policy/safety_rules.py
@@ -71,7 +71,7 @@
 
     def is_list_usable(self, now: float) -> bool:
         """Rule 3: whether the list is young enough to send by."""
-        return self._staleness.usable(now)
+        return self._staleness.is_usable(now)
 
     def send(self, request: Request, endpoint: Endpoint, now: float, expected_ms: float) -> Attempt | None:
         """Begins an attempt; None where a rule forbids it."""
@@ -89,7 +89,7 @@
         endpoint.own_in_flight += 1
         endpoint.unanswered_since = endpoint.unanswered_since or now
         self._table.activate(endpoint)
-        self._slow_start.note_send(endpoint, now, work_ms)
+        self._slow_start.record_send(endpoint, now, work_ms)
         self._host.send_attempt(request.request_id, endpoint.endpoint_id)
         return attempt
 
--- a/sloeferry/policy/slow_start.py
+++ b/sloeferry/policy/slow_start.py
@@ -62,7 +62,7 @@
             return False
         return not sends or sum(work for _, work in sends) + work_ms <= budget * share_ms
 
-    def note_send(self, endpoint: Endpoint, now: float, work_ms: float) -> None:
+    def record_send(self, endpoint: Endpoint, now: float, work_ms: float) -> None:
         """So much work was sent to the endpoint."""
         if self.warm_up_fraction(endpoint, now) < 1.0:
             endpoint.recent_sends.append((now, work_ms))
--- a/sloeferry/policy/start_times.py
+++ b/sloeferry/policy/start_times.py
@@ -16,11 +16,11 @@
 from collections.abc import Set
 from typing import NamedTuple
 
-from sloeferry.policy.endpoint_staleness import NOTICE_MS
+from sloeferry.policy.endpoint_staleness import NOTIFICATION_LIMIT_MS
 from sloeferry.policy.interface import EndpointId
 
 DATE_ERROR_MS = 2000.0  # a Date header's second, and how long it was on its way
-PROMPT_NOTICE_MS = NOTICE_MS / 3  # a change that tells of a start is commonly not older than that
+PROMPT_NOTICE_MS = NOTIFICATION_LIMIT_MS / 3  # a change that tells of a start is commonly not older than that
 
 
 class _KnownStart(NamedTuple):
@@ -38,7 +38,7 @@
         self._offset = unix - now
         self._known: dict[EndpointId, _KnownStart] = {}
 
-    def discovery_time(self, now: float, unix: float) -> None:
+    def set_discovery_time(self, now: float, unix: float) -> None:
         """Discovery's own word of what time it is."""
         ahead = now + self._offset - unix
         if abs(ahead) > DATE_ERROR_MS:
@@ -58,7 +58,7 @@
         age_ms = now - (told_unix - self._offset)
         if is_news and 0 <= age_ms <= PROMPT_NOTICE_MS:
             self.is_clock_confirmed = True
-        is_believed = self.is_clock_confirmed and not (is_news and age_ms > NOTICE_MS)
+        is_believed = self.is_clock_confirmed and not (is_news and age_ms > NOTIFICATION_LIMIT_MS)
         started_at = now - max(0.0, age_ms) if is_believed else now
         self._known[endpoint_id] = _KnownStart(told_unix, started_at, now)
         return started_at
--- a/sloeferry/rehearsal/baselines.py
+++ b/sloeferry/rehearsal/baselines.py
@@ -38,7 +38,7 @@
         fit = [
             endpoint
             for endpoint in policy.table.ready
-            if endpoint.endpoint_id not in policy.candidates.ejected
+            if endpoint.endpoint_id not in policy.candidates.ejected_endpoint_ids
             and rules.is_list_usable(now)
             and endpoint not in excluded
             and rules.would_deduplicate(request, endpoint)
@@ -48,7 +48,7 @@
             return NO_CHOICE
         endpoint = self._pick(fit, now)
         latency = policy.latency
-        expected_ms = work_ms * latency.slowdown(endpoint, now) * latency.stretch[0]
+        expected_ms = work_ms * latency.slowdown(endpoint, now) * latency.level_slowdowns[0]
         odds = latency.spread.fraction_below((request.objective_at - now) / expected_ms)
         return Choice(endpoint, max(MIN_ODDS, odds), expected_ms)
 
--- a/tests/dispatch/test_send_guard.py
+++ b/tests/dispatch/test_send_guard.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sloeferry.dispatch.send_guard import MAX_REMEMBERED_LEAVERS, Refusal, SendGuard, Violation
-from sloeferry.policy.endpoint_staleness import ON_SOCKETS
+from sloeferry.policy.endpoint_staleness import SOCKET_LIMITS
 from sloeferry.policy.interface import AttemptOutcome, EndpointState, ListScope
 from tests.support.policy_recorder import PolicyRecorder
 
@@ -16,7 +16,7 @@
 @pytest.fixture
 def recorder() -> PolicyRecorder:
     """A policy with two endpoints, on a list that was confirmed at its beginning."""
-    recorder = PolicyRecorder(limits=ON_SOCKETS, discovery="subscribe", obligations__drain_grace=GRACE_MS)
+    recorder = PolicyRecorder(limits=SOCKET_LIMITS, discovery="subscribe", obligations__drain_grace=GRACE_MS)
     recorder.list_endpoints("a", "b")
     recorder.policy.polling.staleness.confirmed(0.0)
     return recorder
--- a/tests/lifecycle/test_snapshot.py
+++ b/tests/lifecycle/test_snapshot.py
@@ -101,7 +101,7 @@
         "level_medians": [ratios.quantile(0.5) for ratios in latency.level_ratios],
         "mean_gap_ms": policy.arrivals.mean_gap_ms,
         "mean_weight": policy.classes.mean_weight,
-        "cured": outliers.cured_ratio,
+        "cured": outliers.retry_recovery_ratio,
         "error_rate": outliers.error_rate,
         "unreachable_rate": outliers.unreachable_rate,
     }
--- a/tests/network/test_connect_errors.py
+++ b/tests/network/test_connect_errors.py
@@ -56,6 +56,6 @@
     """A poll whose connection was not tried is no sign that discovery is out of reach; one that failed is."""
     watch = DiscoveryWatch(types.SimpleNamespace(loop=None), 1)
     now = watch.began_at + 10.0
-    assert watch.poll_end(now, 2500.0) == PollEnd.NOT_MADE
+    assert watch.poll_end(now, 2500.0) == PollEnd.NOT_SENT
     watch.phase = PollPhase.DIALED
     assert watch.poll_end(now, 2500.0) == PollEnd.UNREACHABLE
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -18,7 +18,7 @@
     while (request := recorder.policy.requests.by_id.get(request_id)) and not request.is_answered:
         recorder.advance_by(took_ms)
         for endpoint in endpoints:
-            for _ in list(endpoint.health_checks_out):
+            for _ in list(endpoint.health_checks_in_flight):
                 recorder.report_load(endpoint.endpoint_id, 0)
         if request.has_attempt_out():
             recorder.advance_by(took_ms)
--- a/tests/policy/test_endpoint_polling.py
+++ b/tests/policy/test_endpoint_polling.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sloeferry.policy.endpoint_staleness import ON_SOCKETS, WATCH_DELAY_MS, PollEnd
+from sloeferry.policy.endpoint_staleness import SOCKET_LIMITS, WATCH_DELAY_MS, PollEnd
 from sloeferry.policy.interface import AttemptOutcome, ListScope
 from tests.support.golden import GoldenFiles
 from tests.support.policy_recorder import PolicyRecorder
@@ -66,7 +66,7 @@
 
 def test_what_a_silent_watch_missed(golden: GoldenFiles):
     """From when a silent watch counts as notified nothing is sent, whatever polls fail meanwhile.  A list ends that."""
-    recorder = PolicyRecorder(discovery="subscribe", obligations__must_ask_in=40000.0, limits=ON_SOCKETS)
+    recorder = PolicyRecorder(discovery="subscribe", obligations__must_ask_in=40000.0, limits=SOCKET_LIMITS)
     staleness = recorder.policy.polling.staleness
     recorder.list_endpoints("a")
     staleness.confirmed(WATCH_DELAY_MS)  # what it says is true for certain until the beginning
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -101,7 +101,7 @@
     for name in fast + slow:
         policy.feedback.load_reported(policy.table.by_id[name], recorder.now, (2.0 if name in fast else 1.0,))
     policy.table.candidates_chosen_at = -1.0
-    policy.latency.stretch[1:3] = (1.1, 1.2)
+    policy.latency.level_slowdowns[1:3] = (1.1, 1.2)
     for request_id, cost_ms in ((100, 100.0), (101, 500.0)):
         policy.request_arrived(recorder.now, request_id, 0, 0, 0, 1000.0, cost_ms, False)
     golden.check(recorder.lines, "blame_make")
--- a/tests/policy/test_fault_attribution.py
+++ b/tests/policy/test_fault_attribution.py
@@ -134,7 +134,7 @@
     for tracker in trackers:
         tracker.is_at_fault = True
         tracker.rate = 0.1
-        tracker.judged_at = 0.0
+        tracker.last_recorded_at = 0.0
     recorder.policy.attribution.review(100.0, recorder.policy.candidates.all)
     recorder.advance_to(100.0)
     record_tenants(recorder, f"dragging: {[tracker.is_at_fault for tracker in trackers]} ")
@@ -156,7 +156,7 @@
         recorder.advance_to(50.0)
         endpoint = recorder.policy.requests.by_id[1].attempts[0].endpoint
         recorder.advance_to(500.0)
-        endpoint.health_checks_out = [100.0] if is_checked else []
+        endpoint.health_checks_in_flight = [100.0] if is_checked else []
         recorder.end_attempt(1, 0, AttemptOutcome.TIMED_OUT, took_ms=490.0)
         is_ejected = endpoint.is_ejected_for(first_class, recorder.now)
         lines.append(f"asked in vain {is_checked}: the scheme rests there alone {is_ejected}")
@@ -195,7 +195,7 @@
     recorder.record(f"postings of those that err: {attempts_sent[1::2]}")
     endpoints = recorder.policy.table.ready
     failures = [each.consecutive_failures for each in endpoints]
-    recorder.record(f"fails {failures}, ghosts {[len(each.counted_until) for each in endpoints]}")
+    recorder.record(f"fails {failures}, ghosts {[len(each.counted_in_flight_until) for each in endpoints]}")
     for request_id in range(100, 140):
         recorder.advance_by(20.0)
         recorder.request(request_id)
--- a/tests/policy/test_latency_model.py
+++ b/tests/policy/test_latency_model.py
@@ -14,7 +14,7 @@
     for _ in range(12):
         policy.latency.level_ratios[1].add(5.2)
     policy.latency.refresh()
-    recorder.record(" ".join(f"{factor:.1f}" for factor in policy.latency.stretch))
+    recorder.record(" ".join(f"{factor:.1f}" for factor in policy.latency.level_slowdowns))
     for name in "ab":
         recorder.report_load(name, 1)
     recorder.request(1)
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -31,7 +31,7 @@
         recorder.end_attempt(request_id, 1, AttemptOutcome.SERVED, 0)
     recorder.policy.health_check_ended(recorder.now, "a", AttemptOutcome.UNKNOWN, 0.5, ())
     endpoints = recorder.policy.table.by_id.values()
-    recorder.record(str([(each.endpoint_id, each.consecutive_failures, each.counted_until) for each in endpoints]))
+    recorder.record(str([(each.endpoint_id, each.consecutive_failures, each.counted_in_flight_until) for each in endpoints]))
     golden.check(recorder.lines, "spoilt")
 
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -111,7 +111,7 @@
             for confirmed in ("nothing", "a Date header", "news"):
                 starts = StartTimes(now, now + 5e9 + off)
                 if confirmed == "a Date header":
-                    starts.discovery_time(now, now + 5e9 - 300.0)
+                    starts.set_discovery_time(now, now + 5e9 - 300.0)
                 elif confirmed == "news":
                     starts.started_at(now, "first", now + 5e9 - 700.0, True)
                 for ident, ago, news in (("old", 50_000.0, False), ("young", 400.0, False), ("new", 400.0, True)):
@@ -121,7 +121,7 @@
                         f"clock off by {off / 3600e3:g} h, {confirmed} confirms it: {ident}, started {ago:g} ms "
                         f"ago, news {news}: taken for {now - at:.0f} ms ago, stays {same}"
                     )
-                starts.discovery_time(now, now + 5e9 - 300.0)
+                starts.set_discovery_time(now, now + 5e9 - 300.0)
                 lines.lines.append(f"confirmed then: {starts.confirmed_starts()}")
                 lines.lines.append(f"long ago stays so: {starts.started_at(now, 'x', 0, True)}")
         trace.compare(self, lines, "rig_clocks")
