--- a/sloeferry/policy/candidates.py
+++ b/sloeferry/policy/candidates.py
@@ -1,4 +1,4 @@
-"""Which endpoints may be chosen: chosen anew every few ticks, and whenever the list changes."""
+"""The candidate endpoints, refreshed every few ticks and whenever the endpoint list changes."""
 
 from collections.abc import Collection
 from random import Random
@@ -15,11 +15,12 @@
 from sloeferry.policy.outlier_detection import OutlierDetector
 
 REFRESH_TICKS = 4
-SAMPLE_SIZE = 9  # endpoints of which nothing is known: they are all alike, and a choice among all costs time
+# Endpoints without any recorded state that become candidates. They are interchangeable, and comparing all of them costs time.
+INACTIVE_SAMPLE_SIZE = 9
 
 
 class CandidateSet:
-    """The endpoints among which the lowest estimate wins."""
+    """The endpoints that the selection of an endpoint compares."""
 
     def __init__(
         self,
@@ -40,13 +41,16 @@
         self._load = load
         self._rng = rng
         self.all: list[Endpoint] = []
-        self.local: list[Endpoint] = []  # of them, those in this proxy's zone
-        self.remote: list[Endpoint] = []
+        self.local: list[Endpoint] = []  # candidates in this proxy's zone
+        self.remote: list[Endpoint] = []  # candidates in other zones
         self.local_zone = fleet.zone
         self.ejected_endpoint_ids: Collection[EndpointId] = ()
 
     def refresh(self, now: float) -> list[Endpoint]:
-        """The candidates: all ready endpoints that something is known of, without outliers, and a sample of the others."""
+        """Refresh the candidates if they are due and return them.
+
+        These are the ready and active endpoints that are not ejected, and a random sample of the inactive ones.
+        """
         table = self._table
         if now < table.candidates_chosen_at + self._refresh_ms:
             return self.all
@@ -54,7 +58,7 @@
         listed = table.ready if self._staleness.is_usable(now) else []
         table.drop_inactive(now, REPORT_MAX_AGE_MS)
         self.ejected_endpoint_ids = self._outliers.ejected_endpoint_ids(now, len(listed))
-        sample = self._rng.sample(listed, min(len(listed), SAMPLE_SIZE))
+        sample = self._rng.sample(listed, min(len(listed), INACTIVE_SAMPLE_SIZE))
         active = [
             endpoint
             for endpoint in table.active.values()
--- a/sloeferry/policy/endpoint_selection.py
+++ b/sloeferry/policy/endpoint_selection.py
@@ -1,12 +1,12 @@
-"""Which endpoint an attempt goes to: the lowest load estimate wins, ties at random.
-
-Where that breaks, the smallest exception; each stands here by name:
-- an endpoint whose queue alone takes most of the latency objective is passed over (`CROWDED_RATIO`);
-- a slow endpoint, or one behind a bad path, is rated worse than its estimate (`LoadEstimator.rank`, `path_quality`);
-- one that likely knows the request's key is rated better (`KeyAffinity`);
-- a request of long work goes where it ends first (`LONG_WORK_RATIO`);
-- where new connections are often refused, open ones go first (`NOTABLE_UNREACHABLE_RATE`);
-- another zone is chosen only where what that gains exceeds what crossing costs.
+"""Selects the endpoint of each attempt: the lowest load estimate wins, ties are broken at random.
+
+The exceptions to that rule are:
+- an endpoint whose queue alone takes most of the latency objective is skipped (`OVERLOAD_LATENCY_RATIO`);
+- a slow endpoint, or one behind a bad path, ranks worse than its estimate (`LoadEstimator.rank`, `path_quality`);
+- an endpoint that has probably cached the request's key ranks better (`KeyAffinity`);
+- a long request goes where it is expected to finish first (`LONG_WORK_RATIO`);
+- where new connections are often refused, endpoints with an open one are preferred (`HIGH_UNREACHABLE_RATE`);
+- an endpoint in another zone is selected only where the gain exceeds the cost of crossing zones.
 """
 
 from bisect import bisect
@@ -22,37 +22,37 @@
 from sloeferry.policy.requests import Request
 from sloeferry.policy.safety_rules import SafetyRules
 
-# Of the latency objective: an attempt expected to take longer only overloads its endpoint,
-# if it takes this many times as long as at an idle one.
-CROWDED_RATIO, CROWDED_STRETCH = 0.55, 1.5
+# An endpoint counts as overloaded where an attempt is expected to take more than this ratio of the latency objective
+# and more than this multiple of its latency at an idle endpoint: sending it there would only add to the overload.
+OVERLOAD_LATENCY_RATIO, OVERLOAD_SLOWDOWN = 0.55, 1.5
 LONG_WORK_RATIO = 0.3  # of the latency objective
-NOTABLE_UNREACHABLE_RATE, MIN_CONNECT_ODDS = 0.1, 0.05
-# Of the mean weight of a request: what each place in a queue costs those behind it.
-QUEUE_PLACE_COST = 0.1
+HIGH_UNREACHABLE_RATE, MIN_CONNECT_PROBABILITY = 0.1, 0.05
+# Ratio of the mean request weight that each queue position costs the requests behind it.
+QUEUE_POSITION_COST = 0.1
 
 
 class Choice(NamedTuple):
     """The endpoint chosen for an attempt."""
 
-    endpoint: Endpoint | None  # None: there is none that may get it
-    success_probability: float = 0.0  # that its answer comes within the latency objective
+    endpoint: Endpoint | None  # None where no endpoint may get the attempt
+    success_probability: float = 0.0  # of an answer within the latency objective
     expected_ms: float = 0.0
 
 
 NO_CHOICE = Choice(None)
 
 
-class _Leader(NamedTuple):
-    """The lowest of one group of endpoints."""
+class _RankedEndpoint(NamedTuple):
+    """The endpoint with the lowest rank in a group."""
 
     endpoint: Endpoint
     expected_ms: float
-    is_crowded: bool
+    is_overloaded: bool
     rank: float
 
 
 class EndpointSelector:
-    """Chooses the endpoint of each attempt."""
+    """Selects the endpoint of each attempt."""
 
     def __init__(self, settings: Settings, models: Models, rules: SafetyRules, rng: Random):
         self.table = models.table
@@ -64,54 +64,57 @@
         self.outliers = models.outliers
         self.rules = rules
         self.rng = rng
-        self.can_ask = bool(models.reporting.health_checks_per_request)
+        self.checks_load_per_request = bool(models.reporting.health_checks_per_request)
         self._classes = models.classes
         self._arrivals = models.arrivals
         self._is_report_age_unknown = models.reporting.is_report_age_unknown
         self._cross_zone_cost = settings.costs.cross_zone
 
     def choose(self, request: Request, now: float, excluded: Collection[Endpoint] = ()) -> Choice:
-        """The endpoint for the request's next attempt, without the excluded ones."""
+        """Return the endpoint for the request's next attempt, leaving out the excluded ones."""
         self.candidates.refresh(now)
         search = _Search(self, request, now, excluded)
         best, best_value, lowest_rank = None, 0.0, inf
-        for endpoints in search.groups():
-            # Where not even certainty elsewhere would pay for crossing zones, the others need no look.
+        for endpoints in search.endpoint_groups():
+            # Remote endpoints are not searched where even a success probability of 1 would not pay for crossing zones.
             if best and not self._is_report_age_unknown and (1 - best_value) * request.weight <= self._crossing_cost():
                 break
-            leader = search.leader(endpoints) if endpoints else None
-            if leader is None:
+            group_best = search.group_best(endpoints) if endpoints else None
+            if group_best is None:
                 continue
-            odds = 0.0
-            if not leader.is_crowded:
-                odds = self.latency.spread.fraction_below((request.objective_at - now) / leader.expected_ms)
-            value = odds * leader.endpoint.path_quality
-            if best is None or (value - best_value) * request.weight > self._crossing_cost(lowest_rank - leader.rank):
-                best, best_value = leader, value
-            lowest_rank = min(lowest_rank, leader.rank)
+            success_probability = 0.0
+            if not group_best.is_overloaded:
+                success_probability = self.latency.spread.fraction_below((request.objective_at - now) / group_best.expected_ms)
+            value = success_probability * group_best.endpoint.path_quality
+            if best is None or (value - best_value) * request.weight > self._crossing_cost(lowest_rank - group_best.rank):
+                best, best_value = group_best, value
+            lowest_rank = min(lowest_rank, group_best.rank)
         if best is None:
             return NO_CHOICE
         return Choice(best.endpoint, best_value / best.endpoint.path_quality, best.expected_ms)
 
-    def _crossing_cost(self, places_spared: float = 0.0) -> float:
-        """What an attempt in another zone costs, in weight.
+    def _crossing_cost(self, saved_positions: float = 0.0) -> float:
+        """Return the cost of an attempt in another zone, as request weight.
 
-        Where no endpoint can be asked, the queue that is spared counts for it, too: others wait in it.
+        Where endpoints can't be health-checked for load, the queue positions saved are deducted, since other requests wait there.
         """
-        spared = QUEUE_PLACE_COST * places_spared if self._is_report_age_unknown and places_spared < inf else 0.0
-        return (self._cross_zone_cost - spared) * self._classes.mean_weight
+        saved_cost = QUEUE_POSITION_COST * saved_positions if self._is_report_age_unknown and saved_positions < inf else 0.0
+        return (self._cross_zone_cost - saved_cost) * self._classes.mean_weight
 
-    def is_uninformed_in_rush(self) -> bool:
-        """Whether requests come too fast to ask, and too little is out to learn from."""
+    def must_send_without_reports(self) -> bool:
+        """Return whether requests arrive too fast for health checks and too few are in flight to bring load reports."""
         return self._arrivals.is_rush() and self.load.may_send_without_reports(self.candidates.all)
 
-    def passes_over_crowded(self) -> bool:
-        """Whether crowded endpoints are passed over: where endpoints were just asked, unless this proxy knows too little."""
-        return not self.is_uninformed_in_rush() and self.can_ask
+    def skips_overloaded(self) -> bool:
+        """Return whether overloaded endpoints are skipped.
+
+        Requests that trigger health checks skip them, unless only the requests themselves can bring load reports.
+        """
+        return not self.must_send_without_reports() and self.checks_load_per_request
 
 
 class _Search:
-    """The search for one attempt: its inputs, and what was decided on the way."""
+    """The search for one attempt's endpoint, with its inputs and the decisions it caches."""
 
     __slots__ = (
         "_selector",
@@ -119,12 +122,12 @@
         "_now",
         "_excluded",
         "_work_ms",
-        "_crowded_ms",
+        "_overload_ms",
         "_is_retry",
         "_is_long",
         "_affine_endpoints",
-        "_connect_odds",
-        "_passes_over_crowded",
+        "_connect_probability",
+        "_skips_overloaded",
     )
 
     def __init__(self, selector: EndpointSelector, request: Request, now: float, excluded: Collection[Endpoint]):
@@ -134,17 +137,19 @@
         self._excluded = excluded
         request_class = request.request_class
         self._work_ms = request.typical_ms()
-        self._crowded_ms = CROWDED_RATIO * request_class.objective_ms
+        self._overload_ms = OVERLOAD_LATENCY_RATIO * request_class.objective_ms
         self._is_retry = bool(request.attempts)
         idle_ms = self._work_ms * selector.latency.level_slowdowns[0]
         self._is_long = request_class.mean_cost_hint and idle_ms > LONG_WORK_RATIO * request_class.objective_ms
         self._affine_endpoints = selector.affinity.affine_endpoints(request.affinity_key, selector.table.ready)
-        unreachable = selector.outliers.unreachable_rate
-        self._connect_odds = max(MIN_CONNECT_ODDS, 1 - unreachable) if unreachable > NOTABLE_UNREACHABLE_RATE else 1.0
-        self._passes_over_crowded: bool | None = None  # not decided yet
+        connect_failure_rate = selector.outliers.unreachable_rate
+        self._connect_probability = (
+            max(MIN_CONNECT_PROBABILITY, 1 - connect_failure_rate) if connect_failure_rate > HIGH_UNREACHABLE_RATE else 1.0
+        )
+        self._skips_overloaded: bool | None = None  # None until first needed
 
-    def groups(self) -> tuple[Sequence[Endpoint], Sequence[Endpoint]]:
-        """The endpoints to choose from, at home and elsewhere: candidates, and those that stand for the request's key."""
+    def endpoint_groups(self) -> tuple[Sequence[Endpoint], Sequence[Endpoint]]:
+        """Return the local and the remote endpoints to select from: the candidates and the endpoints affine to the key."""
         candidates = self._selector.candidates
         if not self._affine_endpoints or not candidates.all:
             return candidates.local, candidates.remote
@@ -159,41 +164,45 @@
             candidates.remote + [each for each in added if each.zone != local_zone],
         )
 
-    def leader(self, endpoints: Sequence[Endpoint]) -> _Leader | None:
-        """The endpoint with the lowest rank, ties at random; None where none may get the attempt."""
+    def group_best(self, endpoints: Sequence[Endpoint]) -> _RankedEndpoint | None:
+        """Return the endpoint with the lowest rank, ties broken at random; None where none may get the attempt."""
         selector, now, work_ms, affine_endpoints = self._selector, self._now, self._work_ms, self._affine_endpoints
         estimate_of, slowdown_of, rank_of = selector.load.estimate, selector.latency.slowdown, selector.load.rank
-        stretch, may_start = selector.latency.level_slowdowns, selector.slow_start.may_send
-        warm_since = now - selector.slow_start.duration_ms
+        level_slowdowns, is_within_budget = selector.latency.level_slowdowns, selector.slow_start.may_send
+        warm_if_started_by = now - selector.slow_start.duration_ms
         lowest, ties = inf, []
         for endpoint in endpoints:
-            if (endpoint.class_ejections or self._is_retry) and not self._may_get_it(endpoint):
+            if (endpoint.class_ejections or self._is_retry) and not self._is_eligible(endpoint):
                 continue
             estimate, slowdown = estimate_of(endpoint, now), slowdown_of(endpoint, now)
             key_ratio = selector.affinity.affine_ratio if endpoint in affine_endpoints else 1.0
-            expected_ms = work_ms * slowdown * key_ratio * stretch[bisect(LOAD_LEVEL_BOUNDS, estimate)]
-            is_crowded = (
-                expected_ms > self._crowded_ms and expected_ms > CROWDED_STRETCH * work_ms * slowdown * key_ratio * stretch[0]
+            expected_ms = work_ms * slowdown * key_ratio * level_slowdowns[bisect(LOAD_LEVEL_BOUNDS, estimate)]
+            is_overloaded = (
+                expected_ms > self._overload_ms
+                and expected_ms > OVERLOAD_SLOWDOWN * work_ms * slowdown * key_ratio * level_slowdowns[0]
             )
-            if is_crowded:
-                if self._passes_over_crowded is None:
-                    self._passes_over_crowded = selector.passes_over_crowded()
-                if self._passes_over_crowded:
+            if is_overloaded:
+                if self._skips_overloaded is None:
+                    self._skips_overloaded = selector.skips_overloaded()
+                if self._skips_overloaded:
                     continue
-            # Few endpoints are warming up: a call costs time.
-            if endpoint.started_at > warm_since and not may_start(endpoint, now, work_ms):
+            # The comparison of start times spares the call for the many endpoints that are warm.
+            if endpoint.started_at > warm_if_started_by and not is_within_budget(endpoint, now, work_ms):
                 continue
             has_connection = endpoint.own_in_flight < endpoint.open_connections
-            quality = endpoint.path_quality * (1.0 if has_connection else self._connect_odds)
+            quality = endpoint.path_quality * (1.0 if has_connection else self._connect_probability)
             rank = expected_ms / quality if self._is_long else rank_of(estimate, slowdown, key_ratio / quality)
             if rank < lowest:
-                lowest, ties = rank, [(endpoint, expected_ms, is_crowded)]
+                lowest, ties = rank, [(endpoint, expected_ms, is_overloaded)]
             elif rank == lowest:
-                ties.append((endpoint, expected_ms, is_crowded))
-        return _Leader(*selector.rng.choice(ties), lowest) if ties else None
+                ties.append((endpoint, expected_ms, is_overloaded))
+        return _RankedEndpoint(*selector.rng.choice(ties), lowest) if ties else None
 
-    def _may_get_it(self, endpoint: Endpoint) -> bool:
-        """Not an endpoint ejected for the request's class; of a retry, only one that was not excluded and is safe."""
+    def _is_eligible(self, endpoint: Endpoint) -> bool:
+        """Return whether the request's next attempt may go to the endpoint.
+
+        It may not if the endpoint is ejected for the request's class, nor, for a retry, if it is excluded or unsafe to retry at.
+        """
         if endpoint.is_ejected_for(self._request.request_class, self._now):
             return False
         if not self._is_retry:
--- a/sloeferry/policy/load_estimate.py
+++ b/sloeferry/policy/load_estimate.py
@@ -1,4 +1,4 @@
-"""How many requests an endpoint holds now: its latest report, and this proxy's own attempts since."""
+"""Estimates the requests in flight at each endpoint from its latest load report and this proxy's own attempts."""
 
 from collections.abc import Collection, Sequence
 from random import Random
@@ -13,17 +13,20 @@
 from sloeferry.policy.request_classes import RequestClasses
 from sloeferry.policy.slow_start import SlowStart
 
-# Of the mean weight of a request: where a cross-zone attempt costs more, the zones are loaded apart.
-ZONES_APART_COST = 0.01
-NOTABLE_SLOWDOWN = 1.6  # from there on reports mislead: an endpoint so slow is rated worse than its load says
-MIN_FADE_GAPS = 16  # gaps between requests: a few reports must not speak for all endpoints
-SENDS_PER_REPORT_AGE = 8
-RANK_DIGITS = 9  # rounded, or float noise would leave no ties
-SHARED_PART_RATIO = 1 / 3  # where a proxy's part is below one request, a third of them keep it informed
+# Ratio of the mean request weight: where a cross-zone attempt costs more than this, the mean load is kept per zone.
+SEPARATE_ZONES_COST = 0.01
+# Above this slowdown the reported load is misleading, so that the endpoint ranks worse than its load alone suggests.
+NOTABLE_SLOWDOWN = 1.6
+# Least half-life of a report's weight in the mean load, in gaps between requests: few reports don't represent all endpoints.
+MIN_HALF_LIFE_GAPS = 16
+OWN_LOAD_HALF_LIVES = 8  # half-lives of the mean of own requests in flight per `REPORT_MAX_AGE_MS`
+RANK_DIGITS = 9  # ranks are rounded, since floating-point noise would leave no ties
+# Ratio of requests sent without load reports where their age is unknown. It informs proxies whose share is below one request.
+UNREPORTED_SEND_RATIO = 1 / 3
 
 
 class LoadEstimator:
-    """The load estimate of each endpoint, and the mean load that stands for endpoints of which nothing is known."""
+    """The load estimate of each endpoint, and the mean load assumed for endpoints without a valid report."""
 
     def __init__(
         self,
@@ -45,22 +48,23 @@
         self._arrivals = arrivals
         self._rng = rng
         self._is_report_age_unknown = reporting.is_report_age_unknown
-        self._are_zones_apart = settings.costs.cross_zone > ZONES_APART_COST
-        # By whether the endpoint is in this proxy's own zone: [elsewhere, home].
+        self._has_mean_per_zone = settings.costs.cross_zone > SEPARATE_ZONES_COST
+        # Indexed by whether the endpoint is in this proxy's own zone: [remote, local].
         self.mean_load = [0.0, 0.0]
         self._mean_own_in_flight = [0.0, 0.0]
-        self.shortest_latency_ms = 1.0  # the typical latency of the quickest class: a full endpoint is less full by then
-        self.report_half_life_ms = 1.0  # half-life of a report that says an endpoint is loaded
+        # Typical latency of the fastest class, the time in which a loaded endpoint has finished some of its requests.
+        self.shortest_latency_ms = 1.0
+        self.report_half_life_ms = 1.0  # of a report of more load than the mean
         self._ready_count = 0
 
     def estimate(self, endpoint: Endpoint, now: float) -> float:
-        """Requests in flight at the endpoint.
+        """Return the estimated number of requests in flight at the endpoint.
 
-        The latest report of what others hold there, and this proxy's own attempts.  A report decays to the mean of fresh
-        ones, by half in the time an attempt takes, and is void past `REPORT_MAX_AGE_MS`: else all proxies would send to
-        the endpoint that looked empty last.
+        That is the latest report of the other proxies' requests plus this proxy's own attempts.  A report decays
+        exponentially towards the mean of fresh ones, with the latency of an attempt as its half-life, and is ignored
+        beyond `REPORT_MAX_AGE_MS`: otherwise all proxies would send to the endpoint that last reported itself idle.
         """
-        ended = endpoint.counted_in_flight_until  # roughly in order: one behind a later end is counted until that
+        ended = endpoint.counted_in_flight_until  # roughly in order: an entry behind a later time is counted until that time
         while ended and ended[0] <= now:
             ended.pop(0)
         own = endpoint.own_in_flight + len(ended)
@@ -68,43 +72,47 @@
         mean = self.mean_load[endpoint.zone == self._fleet.zone]
         if endpoint.started_at > now - self._slow_start.duration_ms:
             slowdown = self._latency.slowdown(endpoint, now)
-            if slowdown > NOTABLE_SLOWDOWN:  # of the load that all share, an endpoint that warms up holds less
+            if slowdown > NOTABLE_SLOWDOWN:  # an endpoint that warms up gets a smaller share of the load than warm ones
                 mean = max(0.0, (mean + 1) / slowdown - 1)
         if age_ms > REPORT_MAX_AGE_MS:
             return own + mean
-        # One that looked empty fills at once, by all who heard of it; one that was full stays so while reports hold.
+        # An endpoint reported as idle fills at once, since every proxy that got the report sends there. One reported as loaded
+        # stays loaded for as long as other proxies act on that report.
         half_life_ms = self.report_half_life_ms if endpoint.others_in_flight > mean else self.shortest_latency_ms
         return own + mean + (endpoint.others_in_flight - mean) * 0.5 ** (age_ms / half_life_ms)
 
     def rank(self, estimate: float, slowdown: float, factor: float = 1.0) -> float:
-        """What endpoints are compared by: the estimate; worse for slow ones, whose reports mislead, and by `factor`."""
+        """Return the rank by which endpoints are compared, lowest first.
+
+        It is the estimate, scaled by `factor` and by the slowdown of slow endpoints, whose reports are misleading.
+        """
         return round((estimate + 1) * (slowdown if slowdown > NOTABLE_SLOWDOWN else 1.0) * factor - 1, RANK_DIGITS)
 
     def current_rank(self, endpoint: Endpoint, now: float) -> float:
-        """The rank of an endpoint now."""
+        """Return the rank of an endpoint at the given time."""
         return self.rank(self.estimate(endpoint, now), self._latency.slowdown(endpoint, now))
 
     def refresh(self, now: float, elapsed_ms: float, candidates: Sequence[Endpoint], ready_count: int) -> None:
-        """Works out the mean load anew, `elapsed_ms` after the last time."""
+        """Recompute the mean load, `elapsed_ms` after the previous refresh."""
         self._ready_count = ready_count
         self.shortest_latency_ms = min([each.typical_ms() for each in self._classes.all])
         self.report_half_life_ms = REPORT_MAX_AGE_MS / 2 if self._is_report_age_unknown else self.shortest_latency_ms
         reports = self._weighted_reports(now, candidates)
-        for is_home in (False, True):
-            # Where crossing zones is dear they are loaded apart: a full home zone must not make the others look full.
-            these = [each for each in reports if each[2] == is_home or not self._are_zones_apart]
-            # Not heard of and never tried, a zone with room would stay so: it counts as empty until it reports.
-            these = these or (reports if is_home or not self._is_report_age_unknown else [])
+        for is_local in (False, True):
+            # Where crossing zones is costly, zones differ in load: a loaded local zone must not make the others look loaded.
+            zone_reports = [each for each in reports if each[2] == is_local or not self._has_mean_per_zone]
+            # A remote zone without reports counts as idle until it reports: otherwise it would never be tried.
+            zone_reports = zone_reports or (reports if is_local or not self._is_report_age_unknown else [])
             mean = 0.0
-            if these:
-                mean = sum(weight * load for weight, load, _ in these) / sum(each[0] for each in these)
-            self.mean_load[is_home] = mean
+            if zone_reports:
+                mean = sum(weight * load for weight, load, _ in zone_reports) / sum(each[0] for each in zone_reports)
+            self.mean_load[is_local] = mean
             if self._is_report_age_unknown:
-                self._raise_mean_by_own(is_home, elapsed_ms)
+                self._raise_mean_to_own_load(is_local, elapsed_ms)
 
     def _weighted_reports(self, now: float, candidates: Sequence[Endpoint]) -> list[tuple[float, float, bool]]:
-        """(weight by age, load, whether at home) of each report that is not too old; warm endpoints' if there are any."""
-        half_life_ms = max(self.report_half_life_ms, MIN_FADE_GAPS * self._arrivals.mean_gap_ms)
+        """Return the weight by age, the load and whether it is local of each valid report, of warm endpoints if there are any."""
+        half_life_ms = max(self.report_half_life_ms, MIN_HALF_LIFE_GAPS * self._arrivals.mean_gap_ms)
         reported = [each for each in candidates if now - each.reported_at <= REPORT_MAX_AGE_MS]
         warm = [each for each in reported if each.started_at <= now - self._slow_start.duration_ms]
         return [
@@ -116,29 +124,32 @@
             for each in warm or reported
         ]
 
-    def _raise_mean_by_own(self, is_home: bool, elapsed_ms: float) -> None:
-        """What takes long reports late: what this proxy has out tells before it, if all proxies do alike."""
-        out = sum(
+    def _raise_mean_to_own_load(self, is_local: bool, elapsed_ms: float) -> None:
+        """Raise the mean load to the one that this proxy's own requests in flight suggest.
+
+        Long requests report late.  If all proxies send alike, this proxy's own requests in flight show the load earlier.
+        """
+        total_in_flight = sum(
             each.own_in_flight + len(each.counted_in_flight_until)
             for each in self._table.active.values()
-            if (each.zone == self._fleet.zone) == is_home
+            if (each.zone == self._fleet.zone) == is_local
         )
-        weight = 1 - 0.5 ** (SENDS_PER_REPORT_AGE * elapsed_ms / REPORT_MAX_AGE_MS)
-        self._mean_own_in_flight[is_home] += (out - self._mean_own_in_flight[is_home]) * weight
+        weight = 1 - 0.5 ** (OWN_LOAD_HALF_LIVES * elapsed_ms / REPORT_MAX_AGE_MS)
+        self._mean_own_in_flight[is_local] += (total_in_flight - self._mean_own_in_flight[is_local]) * weight
         other_proxies_per_endpoint = (self._fleet.instance_count - 1) / max(self._ready_count, 1)
-        by_own = self._mean_own_in_flight[is_home] * other_proxies_per_endpoint
-        self.mean_load[is_home] = max(self.mean_load[is_home], by_own)
+        by_own_load = self._mean_own_in_flight[is_local] * other_proxies_per_endpoint
+        self.mean_load[is_local] = max(self.mean_load[is_local], by_own_load)
 
     def may_send_without_reports(self, candidates: Collection[Endpoint]) -> bool:
-        """Whether to send although nothing is known: less is out than this proxy's part of one request an endpoint.
+        """Return whether to send although no load is known, since only requests bring load reports then.
 
-        Only what is sent brings reports then.  Where their age is unknown it draws from `rng`, so that a part of the
-        requests is sent.
+        It is true while this proxy has fewer requests in flight than its share of one request per endpoint.  Where the age of
+        reports is unknown, only a random part of the requests is sent.
         """
         if not self._is_report_age_unknown:
-            out = sum(each.own_in_flight for each in candidates)
-            return out < max(1, self._ready_count / self._fleet.instance_count)
-        out = sum(each.own_in_flight + len(each.counted_in_flight_until) for each in self._table.active.values())
-        if out >= max(1, self._ready_count / self._fleet.instance_count):
+            total_in_flight = sum(each.own_in_flight for each in candidates)
+            return total_in_flight < max(1, self._ready_count / self._fleet.instance_count)
+        total_in_flight = sum(each.own_in_flight + len(each.counted_in_flight_until) for each in self._table.active.values())
+        if total_in_flight >= max(1, self._ready_count / self._fleet.instance_count):
             return False
-        return self._rng.random() < SHARED_PART_RATIO
+        return self._rng.random() < UNREPORTED_SEND_RATIO
