--- a/sloeferry/decision_log/decision_log.py
+++ b/sloeferry/decision_log/decision_log.py
@@ -123,11 +123,11 @@
         """Forbids nothing."""
         return True
 
-    def is_behind(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Never."""
         return False
 
-    def request_taken(self, now: float, request: Any) -> None:
+    def request_accepted(self, now: float, request: Any) -> None:
         """A request belongs to the newest settings."""
         entry = self._settings_by_request[request.request_id] = self.settings[-1]
         entry.act(now)
--- a/sloeferry/dispatch/command_host.py
+++ b/sloeferry/dispatch/command_host.py
@@ -93,12 +93,12 @@
         try:
             while self._timers and self._timers[0][0] <= now:
                 _, token = heappop(self._timers)
-                if timers.is_moot(token):
+                if timers.is_obsolete(token):
                     timers.discard(token)
                 else:
                     policy.timer_fired(now, token)
         finally:
             # What was set for requests that have been answered wakes nobody: it is most of all timers.
-            while self._timers and timers.is_moot(self._timers[0][1]):
+            while self._timers and timers.is_obsolete(self._timers[0][1]):
                 timers.discard(heappop(self._timers)[1])
             self.next_timer_at = self._timers[0][0] if self._timers else None
--- a/sloeferry/dispatch/dispatcher.py
+++ b/sloeferry/dispatch/dispatcher.py
@@ -193,12 +193,12 @@
 
     def _schedule_beat(self, now: float) -> None:
         self._is_beating = True
-        due = now + self.overload.beat_interval_ms
+        due = now + self.overload.lag_sample_interval_ms
         self.policy.timers.schedule(due, self._beat, due)
 
     def _beat(self, now: float, due: float) -> None:
         """How late this loop is, measured whatever else is due; it stops once nothing is left to measure."""
-        self.overload.beat(now, now - due)
+        self.overload.record_loop_lag(now, now - due)
         self._is_beating = bool(self.requests) or self.overload.is_shedding()
         if self._is_beating:
             self._schedule_beat(now)
--- a/sloeferry/network/admission_queue.py
+++ b/sloeferry/network/admission_queue.py
@@ -78,16 +78,16 @@
         if not overload.is_shedding():
             self._admit_all()
             return
-        places = overload.free_places()
+        places = overload.available_slots()
         while waiting and places > 0:  # counted down here: those admitted are taken on only once they are read
             places -= self._admit(waiting.pop()[1])
-        while waiting and waiting[0][0] < now - overload.queue_patience_ms / 1000:
+        while waiting and waiting[0][0] < now - overload.queue_timeout_ms / 1000:
             # Rule 1: whatever rejecting may cost, nobody is left without an answer until its deadline.
-            has_waited_longest = waiting[0][0] <= now - overload.max_wait_ms / 1000
-            if not overload.may_reject(now * 1000) and not has_waited_longest:
+            has_waited_longest = waiting[0][0] <= now - overload.max_queue_wait_ms / 1000
+            if not overload.take_rejection_token(now * 1000) and not has_waited_longest:
                 break
             self._reject(waiting.popleft()[1])
-        overload.note_queued(len(waiting))
+        overload.record_queue_length(len(waiting))
 
     def _admit_all(self) -> None:
         self.waiting.clear()
--- a/sloeferry/policy/admission.py
+++ b/sloeferry/policy/admission.py
@@ -60,7 +60,7 @@
         kept: list[Request] = []
         misses = searches = 0
         max_searches = MAX_SEARCHES_WHEN_LATE if self._is_host_late() else inf
-        self.held.sort(key=lambda request: (-request.weight / request.typical_ms(), request.objective_at))
+        self.held.sort(key=lambda request: (-request.weight / request.typical_latency_ms(), request.objective_at))
         mean_weight = self._classes.mean_weight or 1.0
         for request in self.held:
             objective_ms = request.request_class.objective_ms
@@ -91,7 +91,7 @@
         """Whether the request was sent or given up; otherwise it is held."""
         endpoint, odds, expected_ms = self._selector.choose(request, now) if may_search else (None, 0.0, 0.0)
         slowdown = self._latency.slowdown(endpoint, now) if endpoint else 1.0
-        idle_ms = request.typical_ms() * self._latency.stretch[0] * slowdown
+        idle_ms = request.typical_latency_ms() * self._latency.stretch[0] * slowdown
         spread = self._latency.spread
         good_odds = GOOD_ODDS_RATIO * spread.fraction_below(request.request_class.objective_ms / idle_ms)
         if endpoint is not None:
@@ -106,7 +106,7 @@
 
     def _is_blind(self, endpoint: Endpoint, now: float) -> bool:
         """Whether no endpoint is asked and nothing was heard of this one of late: only what is sent brings news."""
-        if self._arrivals.is_rush():
+        if self._arrivals.is_faster_than_health_checks():
             return True
         return not self._brings_news_by_asking and now - endpoint.reported_at > self._load.fade_ms
 
@@ -115,7 +115,7 @@
         out = sum(endpoint.own_in_flight for endpoint in self._table.active.values()) if kept else 0
         while len(kept) > 1:
             last = kept[-1].request_class
-            if len(kept) <= 1 + out * last.objective_ms / 4 / last.typical_ms():
+            if len(kept) <= 1 + out * last.objective_ms / 4 / last.typical_latency_ms():
                 return
             self._requests.give_up(kept.pop())
 
--- a/sloeferry/policy/attempt_feedback.py
+++ b/sloeferry/policy/attempt_feedback.py
@@ -6,7 +6,7 @@
 from sloeferry.policy.interface import AttemptOutcome
 from sloeferry.policy.load_reporting import REPORT_MAX_AGE_MS
 from sloeferry.policy.models import Models
-from sloeferry.policy.requests import TELLS_NOTHING, Attempt, Request
+from sloeferry.policy.requests import UNINFORMATIVE_OUTCOMES, Attempt, Request
 from sloeferry.policy.safety_rules import SafetyRules
 
 GIVEN_UP = (AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED)
@@ -50,7 +50,7 @@
             self._given_up(request, attempt, now, outcome, took_ms)
         elif outcome is AttemptOutcome.ERROR:
             self._outliers.record_error(request, endpoint, now)
-        elif outcome not in TELLS_NOTHING:
+        elif outcome not in UNINFORMATIVE_OUTCOMES:
             self._failed(request, attempt, now, outcome)
         if outcome is not AttemptOutcome.TIMED_OUT and not endpoint.own_in_flight:
             endpoint.unanswered_since = None
@@ -97,7 +97,7 @@
         """A health check has ended."""
         del endpoint.health_checks_out[:1]
         is_served = outcome is AttemptOutcome.SERVED
-        tells_something = outcome not in TELLS_NOTHING
+        tells_something = outcome not in UNINFORMATIVE_OUTCOMES
         if self._reporting.comes_with_health_checks and tells_something:
             # Apart from attempts: health checks may pass where attempts are lost.
             self._table.health_check_trackers[endpoint.zone].record(now, is_served)
--- a/sloeferry/policy/endpoint_selection.py
+++ b/sloeferry/policy/endpoint_selection.py
@@ -103,7 +103,7 @@
 
     def is_uninformed_in_rush(self) -> bool:
         """Whether requests come too fast to ask, and too little is out to learn from."""
-        return self._arrivals.is_rush() and self.load.may_send_uninformed(self.candidates.all)
+        return self._arrivals.is_faster_than_health_checks() and self.load.may_send_uninformed(self.candidates.all)
 
     def passes_over_crowded(self) -> bool:
         """Whether crowded endpoints are passed over: where endpoints were just asked, unless this proxy knows too little."""
@@ -133,7 +133,7 @@
         self._now = now
         self._excluded = excluded
         request_class = request.request_class
-        self._work_ms = request.typical_ms()
+        self._work_ms = request.typical_latency_ms()
         self._crowded_ms = CROWDED_RATIO * request_class.objective_ms
         self._is_retry = bool(request.attempts)
         idle_ms = self._work_ms * selector.latency.stretch[0]
--- a/sloeferry/policy/endpoints.py
+++ b/sloeferry/policy/endpoints.py
@@ -7,7 +7,7 @@
 from sloeferry.policy.histogram import Histogram
 from sloeferry.policy.interface import AttemptOutcome, EndpointId, EndpointState
 from sloeferry.policy.request_classes import RequestClass
-from sloeferry.policy.requests import ANSWERED_BY_ENDPOINT, LOST_CONNECTION
+from sloeferry.policy.requests import CONNECTION_FAILURE_OUTCOMES, ENDPOINT_RESPONSE_OUTCOMES
 from sloeferry.policy.success_rate import SuccessRateTracker
 
 # No machine is so much quicker than usual: what is usual is not known yet.
@@ -69,9 +69,9 @@
 
     def attempt_ended(self, outcome: AttemptOutcome) -> None:
         """Updates the connections and requests in flight after an attempt has ended."""
-        if outcome in ANSWERED_BY_ENDPOINT:
+        if outcome in ENDPOINT_RESPONSE_OUTCOMES:
             self.open_connections = max(self.open_connections, self.own_in_flight)
-        elif outcome in LOST_CONNECTION:
+        elif outcome in CONNECTION_FAILURE_OUTCOMES:
             self.open_connections = min(self.open_connections, self.own_in_flight - 1)
         self.own_in_flight = max(0, self.own_in_flight - 1)
 
--- a/sloeferry/policy/extension_points.py
+++ b/sloeferry/policy/extension_points.py
@@ -33,14 +33,14 @@
         """Whether all of them allow another attempt; those behind one that does not are not asked."""
         return all(extension.may_retry(now, request) for extension in self._installed)
 
-    def is_behind(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Whether any of them says so."""
-        return any(extension.is_behind() for extension in self._installed)
+        return any(extension.is_overloaded() for extension in self._installed)
 
-    def request_taken(self, now: float, request: Any) -> None:
+    def request_accepted(self, now: float, request: Any) -> None:
         """Tells all of them."""
         for extension in self._installed:
-            extension.request_taken(now, request)
+            extension.request_accepted(now, request)
 
     def request_ended(self, request: Any, is_served: bool) -> None:
         """Tells all of them."""
--- a/sloeferry/policy/fleet.py
+++ b/sloeferry/policy/fleet.py
@@ -13,8 +13,8 @@
         self.instance_index = settings.instance_index
         self.zone = settings.zone
         self.process_count = 1  # processes that are this one instance, while one takes over from another
-        self.turn = self.instance_index * GOLDEN_RATIO % 1  # 0 to 1, spread over the fleet
+        self.phase_ratio = self.instance_index * GOLDEN_RATIO % 1  # 0 to 1, spread over the fleet
 
-    def parts(self) -> float:
+    def budget_divisor(self) -> float:
         """Into how many parts a budget of the whole fleet is divided."""
         return max(1.0, self.instance_count * self.process_count)
--- a/sloeferry/policy/interface.py
+++ b/sloeferry/policy/interface.py
@@ -224,11 +224,11 @@
     def may_retry(self, now: float, request: "Request") -> bool:
         """Before each attempt after the first."""
 
-    def request_taken(self, now: float, request: "Request") -> None:
+    def request_accepted(self, now: float, request: "Request") -> None:
         """Told once of each request."""
 
     def request_ended(self, request: "Request", is_served: bool) -> None:
         """Told once of each request."""
 
-    def is_behind(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Whether how long things take tells of this proxy now, not of the endpoints."""
--- a/sloeferry/policy/latency_model.py
+++ b/sloeferry/policy/latency_model.py
@@ -53,10 +53,10 @@
 
     def refresh(self) -> None:
         """Works out anew what is usual and from when on an attempt is overdue."""
-        self.longest_ms = max([each.typical_ms() for each in self._classes.all]) * self.spread.quantile(LONGEST_QUANTILE)
+        self.longest_ms = max([each.typical_latency_ms() for each in self._classes.all]) * self.spread.quantile(LONGEST_QUANTILE)
         self.overdue_factor = max(MIN_OVERDUE_FACTOR, self.spread.quantile(OVERDUE_QUANTILE))
         # In a rush, what a late start taught would keep all requests from being sent, and so from better knowledge.
-        self._refresh_stretch(is_growth_bounded=self._can_ask and self._arrivals.is_rush())
+        self._refresh_stretch(is_growth_bounded=self._can_ask and self._arrivals.is_faster_than_health_checks())
 
     def _refresh_stretch(self, is_growth_bounded: bool) -> None:
         """A level that was not met yet grows from the one below as a full endpoint's would.
@@ -91,9 +91,18 @@
     ) -> None:
         """What an attempt that was served (or given up) tells of its class, its endpoint and all attempts."""
         self._sample = (self._sample + 1) % RUSH_SAMPLING
-        if self._sample and self._arrivals.is_rush() or self._extensions.is_behind() or request.is_at_fault():
+        if (
+            self._sample
+            and self._arrivals.is_faster_than_health_checks()
+            or self._extensions.is_overloaded()
+            or request.is_at_fault()
+        ):
             return
-        typical, level, endpoint = request.typical_ms(), bisect(LOAD_LEVEL_BOUNDS, attempt.estimate_when_sent), attempt.endpoint
+        typical, level, endpoint = (
+            request.typical_latency_ms(),
+            bisect(LOAD_LEVEL_BOUNDS, attempt.estimate_when_sent),
+            attempt.endpoint,
+        )
         unadjusted_ms = took_ms
         if request.affinity_key:  # against what it would take without a key
             is_affine = endpoint in self._affinity.affine_endpoints(request.affinity_key, ready)
--- a/sloeferry/policy/load_estimate.py
+++ b/sloeferry/policy/load_estimate.py
@@ -87,7 +87,7 @@
     def refresh(self, now: float, elapsed_ms: float, candidates: Sequence[Endpoint], ready_count: int) -> None:
         """Works out the mean load anew, `elapsed_ms` after the last time."""
         self._ready_count = ready_count
-        self.turnover_ms = min([each.typical_ms() for each in self._classes.all])
+        self.turnover_ms = min([each.typical_latency_ms() for each in self._classes.all])
         self.fade_ms = REPORT_MAX_AGE_MS / 2 if self._is_report_age_unknown else self.turnover_ms
         reports = self._weighted_reports(now, candidates)
         for is_home in (False, True):
--- a/sloeferry/policy/load_refresh_stage.py
+++ b/sloeferry/policy/load_refresh_stage.py
@@ -58,7 +58,7 @@
             return
         self._load_refresher.budget.earn()
         # Where requests come faster than an answer, asking only adds to the work that keeps this proxy from them.
-        self._ask(request, now, 0 if self._arrivals.is_rush() else MAX_WAVES)
+        self._ask(request, now, 0 if self._arrivals.is_faster_than_health_checks() else MAX_WAVES)
 
     def _sheds_for_lateness(self, request: Request) -> bool:
         """Whether the request is shed since this proxy is behind; where overload control is installed, that sees to it."""
--- a/sloeferry/policy/models.py
+++ b/sloeferry/policy/models.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from sloeferry.config.settings import Settings
-from sloeferry.policy.arrivals import QUESTION_TICKS, ArrivalRate
+from sloeferry.policy.arrivals import HEALTH_CHECK_TIMEOUT_TICKS, ArrivalRate
 from sloeferry.policy.candidates import CandidateSet
 from sloeferry.policy.endpoint_staleness import ListStaleness
 from sloeferry.policy.endpoint_table import EndpointTable
@@ -53,7 +53,7 @@
 ) -> Models:
     """The models of one policy."""
     reporting = LoadReporting.from_settings(settings)
-    check_timeout_ms = QUESTION_TICKS * settings.tick_ms
+    check_timeout_ms = HEALTH_CHECK_TIMEOUT_TICKS * settings.tick_ms
     arrivals, affinity, table = ArrivalRate(settings.tick_ms, now), KeyAffinity(), EndpointTable(settings)
     slow_start = SlowStart(settings, fleet, reporting)
     latency = LatencyModel(classes, arrivals, slow_start, affinity, extensions, reporting)
--- a/sloeferry/policy/outlier_detection.py
+++ b/sloeferry/policy/outlier_detection.py
@@ -113,4 +113,4 @@
 
     def count_for_longer(self, request: Request, endpoint: Endpoint, now: float) -> None:
         """Goes on counting an attempt that ended badly: a quick error must not make an endpoint look empty."""
-        endpoint.counted_until.append(now + ABANDONED_TYPICAL_TIMES * request.typical_ms())
+        endpoint.counted_until.append(now + ABANDONED_TYPICAL_TIMES * request.typical_latency_ms())
--- a/sloeferry/policy/policy.py
+++ b/sloeferry/policy/policy.py
@@ -127,7 +127,7 @@
         request_class = self.classes.all[class_index]
         delay = self.extensions.rejection_delay_ms(now, request_class, tenant_index, is_retry, has_waited)
         if delay is not None:
-            self.arrivals.note(now)
+            self.arrivals.record_arrival(now)
         return delay
 
     def request_arrived(
@@ -148,8 +148,8 @@
         request = Request(request_id, request_class, now, time_left_ms, tenant_index, key, size)
         request.trackers = self.classes.trackers_of(request_class, tenant_index)
         self.affinity.count(request.affinity_key)
-        self.classes.note_weight(request.weight)
-        self.arrivals.note(now)
+        self.classes.record_weight(request.weight)
+        self.arrivals.record_arrival(now)
         request_class.longest_time_left_ms = max(request_class.longest_time_left_ms, time_left_ms)
         if is_retry and time_left_ms < request_class.longest_time_left_ms - RETRY_SLACK_TICKS * self.tick_ms:
             # The client's first try began that much earlier.
@@ -191,7 +191,7 @@
         if request is None or attempt_number >= len(request.attempts):
             return
         attempt = request.attempts[attempt_number]
-        if attempt.state is not AttemptState.OUT:
+        if attempt.state is not AttemptState.IN_FLIGHT:
             return
         self.feedback.attempt_ended(request, attempt, now, outcome, took_ms, load_report)
         if is_answered or request.is_answered:
--- a/sloeferry/policy/request_classes.py
+++ b/sloeferry/policy/request_classes.py
@@ -43,7 +43,7 @@
         self.tracker = SuccessRateTracker()
         self.loss_rate = 0.0
         self.high_loss_since = inf
-        self.recent_ends: deque[float] = deque(maxlen=COMPARABLE_ENDS)
+        self.recent_end_times: deque[float] = deque(maxlen=COMPARABLE_ENDS)
         if former:
             self.idle_latency = former.idle_latency
             self.mean_cost_hint, self.cost_hint_count = former.mean_cost_hint, former.cost_hint_count
@@ -52,7 +52,7 @@
     def attempt_ended(self, now: float, is_served: bool) -> None:
         """An attempt was answered, or left unanswered."""
         self.loss_rate += ((not is_served) - self.loss_rate) / LOSS_SMOOTHING
-        self.recent_ends.append(now)
+        self.recent_end_times.append(now)
         if self.loss_rate > HIGH_LOSS_RATE:
             self.high_loss_since = min(self.high_loss_since, now)
         elif self.loss_rate < HIGH_LOSS_RATE / 4:  # it is over, not only paused while endpoints are ejected for it
@@ -60,15 +60,15 @@
 
     def can_be_compared_with(self, other: "RequestClass") -> bool:
         """Whether enough of its attempts ended since the other began to lose many: a rare class lags behind."""
-        return len(self.recent_ends) == COMPARABLE_ENDS and self.recent_ends[0] > other.high_loss_since
+        return len(self.recent_end_times) == COMPARABLE_ENDS and self.recent_end_times[0] > other.high_loss_since
 
-    def typical_ms(self) -> float:
+    def typical_latency_ms(self) -> float:
         """The median latency at an idle endpoint."""
         return self.idle_latency.quantile(0.5)
 
-    def weight_of(self, relative_size: float = 1.0) -> float:
+    def request_weight(self, relative_size: float = 1.0) -> float:
         """What a request of that size is worth."""
-        return self.priority_weight * (self.typical_ms() * relative_size if self._is_weight_per_work else 1.0)
+        return self.priority_weight * (self.typical_latency_ms() * relative_size if self._is_weight_per_work else 1.0)
 
     def relative_size(self, cost_hint: float | None) -> float:
         """A cost hint against the mean hint of the class; 1 without one."""
@@ -86,7 +86,7 @@
         self.all: list[RequestClass] = []
         self.tenant_trackers: list[SuccessRateTracker] = []
         self.update(settings)
-        self.mean_weight = sum(each.weight_of() for each in self.all) / len(self.all)  # of the requests of late
+        self.mean_weight = sum(each.request_weight() for each in self.all) / len(self.all)  # of the requests of late
 
     def update(self, settings: Settings) -> None:
         """Other settings: what was learned goes on; open requests keep the classes under which they were taken."""
@@ -101,6 +101,6 @@
         """The trackers that a request's attempts count for: its class's and, where there is one, its tenant's."""
         return (request_class.tracker, *self.tenant_trackers[tenant_index : tenant_index + 1])
 
-    def note_weight(self, weight: float) -> None:
+    def record_weight(self, weight: float) -> None:
         """A request of that weight has come."""
         self.mean_weight += (weight - self.mean_weight) / WEIGHT_SMOOTHING
--- a/sloeferry/policy/request_table.py
+++ b/sloeferry/policy/request_table.py
@@ -27,11 +27,11 @@
     def add(self, request: Request, now: float) -> None:
         """A request is taken on: from now on it is owed a final answer before its deadline."""
         self.by_id[request.request_id] = request
-        self._extensions.request_taken(now, request)
+        self._extensions.request_accepted(now, request)
         self._timers.schedule(request.deadline - self._answer_ms, self._deadline_nears, request)
 
     def _deadline_nears(self, now: float, request: Request) -> None:
-        if not request.is_answered and not request.has_attempt_out():
+        if not request.is_answered and not request.has_attempt_in_flight():
             self.give_up(request)
 
     def give_up(self, request: Request, retry_after_ms: float | None = None) -> None:
@@ -41,7 +41,7 @@
         """
         if retry_after_ms is None:
             is_at_fault = request.is_at_fault()
-            retry_after_ms = request.request_class.objective_ms if is_at_fault else request.typical_ms()
+            retry_after_ms = request.request_class.objective_ms if is_at_fault else request.typical_latency_ms()
         self._rules.answer_unserved(request, retry_after_ms * self._tells_retry_after)
         self.close(request)
 
@@ -53,5 +53,5 @@
         if not request.is_answered:
             self._extensions.request_ended(request, is_served)
         request.is_answered = True
-        if not request.has_attempt_out():
+        if not request.has_attempt_in_flight():
             self.by_id.pop(request.request_id, None)
--- a/sloeferry/policy/requests.py
+++ b/sloeferry/policy/requests.py
@@ -15,20 +15,20 @@
 if TYPE_CHECKING:
     from sloeferry.policy.endpoints import Endpoint
 
-NEVER_RAN = (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NEVER_SENT)
+NEVER_RAN_OUTCOMES = (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NEVER_SENT)
 # They tell nothing of the endpoint: the response of any may be corrupted on the way.
-TELLS_NOTHING = (AttemptOutcome.NEVER_SENT, AttemptOutcome.UNKNOWN)
+UNINFORMATIVE_OUTCOMES = (AttemptOutcome.NEVER_SENT, AttemptOutcome.UNKNOWN)
 # Of these how long they took tells of the request's kind, too.
-TELLS_OF_KIND = (AttemptOutcome.SERVED, AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED)
-ANSWERED_BY_ENDPOINT = (AttemptOutcome.SERVED, AttemptOutcome.ERROR, AttemptOutcome.REJECTED)
-LOST_CONNECTION = (AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST)
+REQUEST_KIND_OUTCOMES = (AttemptOutcome.SERVED, AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED)
+ENDPOINT_RESPONSE_OUTCOMES = (AttemptOutcome.SERVED, AttemptOutcome.ERROR, AttemptOutcome.REJECTED)
+CONNECTION_FAILURE_OUTCOMES = (AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST)
 GOOD_PATH_QUALITY = 0.3  # above it a late attempt tells of its request's kind, not of the path
 
 
 class AttemptState(enum.Enum):
     """Whether an attempt may have run."""
 
-    OUT = "out"  # no word yet
+    IN_FLIGHT = "out"  # no word yet
     MAY_HAVE_RUN = "may have run"
     NEVER_RAN = "never ran"
 
@@ -54,7 +54,7 @@
         self.sent_at = now
         self.estimate_when_sent = estimate  # of requests in flight at the endpoint
         self.expected_ms = expected_ms
-        self.state = AttemptState.OUT
+        self.state = AttemptState.IN_FLIGHT
         self.outcome: AttemptOutcome | None = None
         self.overdue_at = 0.0
         self.opens_connection = endpoint.own_in_flight >= endpoint.open_connections
@@ -79,12 +79,12 @@
 
     def end(self, now: float, outcome: AttemptOutcome) -> None:
         """It ended: what that tells of its connection, its request's kind and its path."""
-        self.state = AttemptState.NEVER_RAN if outcome in NEVER_RAN else AttemptState.MAY_HAVE_RUN
+        self.state = AttemptState.NEVER_RAN if outcome in NEVER_RAN_OUTCOMES else AttemptState.MAY_HAVE_RUN
         self.outcome = outcome
         self.endpoint.attempt_ended(outcome)
         is_served = outcome is AttemptOutcome.SERVED
-        in_time = None if outcome in TELLS_NOTHING else is_served and now <= self.overdue_at
-        tells_of_kind = outcome in TELLS_OF_KIND
+        in_time = None if outcome in UNINFORMATIVE_OUTCOMES else is_served and now <= self.overdue_at
+        tells_of_kind = outcome in REQUEST_KIND_OUTCOMES
         if tells_of_kind and not self.request.is_at_fault():
             self.request.request_class.attempt_ended(now, is_served)
         for tracker in self.request.trackers:
@@ -132,23 +132,23 @@
         self.max_attempts = request_class.max_attempts
         self.deadline = now + time_left_ms
         self.objective_at = now + request_class.objective_ms
-        self.weight = request_class.weight_of(relative_size)
+        self.weight = request_class.request_weight(relative_size)
         self.relative_size = relative_size  # its cost hint against the mean hint of its class
         self.attempts: list[Attempt] = []
         self.is_answered = False
         self.trackers: tuple[SuccessRateTracker, ...] = ()
 
-    def typical_ms(self) -> float:
+    def typical_latency_ms(self) -> float:
         """How long it takes at an idle endpoint."""
-        return self.request_class.typical_ms() * self.relative_size
+        return self.request_class.typical_latency_ms() * self.relative_size
 
     def is_at_fault(self) -> bool:
         """Whether its class or its tenant is late wherever it goes."""
         return any(tracker.is_at_fault for tracker in self.trackers)
 
-    def has_attempt_out(self) -> bool:
+    def has_attempt_in_flight(self) -> bool:
         """Whether an attempt is still out."""
-        return any(attempt.state is AttemptState.OUT for attempt in self.attempts)
+        return any(attempt.state is AttemptState.IN_FLIGHT for attempt in self.attempts)
 
     def attempts_that_may_have_run(self, before: int | None = None) -> list[Attempt]:
         """Its attempts (those before that number) that are out, or ended without proof that they did not run."""
--- a/sloeferry/policy/retry_policy.py
+++ b/sloeferry/policy/retry_policy.py
@@ -63,7 +63,7 @@
         """Begins an attempt, and has it reviewed later on; gives the request up where a rule forbids it."""
         attempt = self._rules.send(request, endpoint, now, expected_ms)
         if attempt is None:
-            if not request.has_attempt_out():
+            if not request.has_attempt_in_flight():
                 self._requests.give_up(request)
             return
         request_class = request.request_class
@@ -76,7 +76,7 @@
 
     def _review(self, now: float, request: Request, attempt: Attempt, was_checked: bool = False) -> None:
         """An attempt is out for long: its endpoint stalls or its connection died unseen, or it just takes long."""
-        if request.is_answered or attempt.state is not AttemptState.OUT or now >= request.objective_at:
+        if request.is_answered or attempt.state is not AttemptState.IN_FLIGHT or now >= request.objective_at:
             return
         endpoint, may_hedge = attempt.endpoint, self._rules.may_hedge
         is_lost = may_hedge and attempt.is_overtaken() or self._is_overdue_and_lost(request, attempt, now)
@@ -91,7 +91,7 @@
         is_lost = is_lost or self._outliers.is_silent(endpoint, now)
         if is_lost and self._replace(request, attempt, now):
             return
-        next_review = now + request.request_class.typical_ms() / REVIEWS_PER_TYPICAL_TIME
+        next_review = now + request.request_class.typical_latency_ms() / REVIEWS_PER_TYPICAL_TIME
         self._timers.schedule(next_review, self._review, request, attempt)
 
     def _is_overdue_and_lost(self, request: Request, attempt: Attempt, now: float) -> bool:
@@ -118,7 +118,7 @@
 
         True: the request has to be admitted anew, since nothing of it has run and no endpoint promises an answer in time.
         """
-        if request.is_answered or request.has_attempt_out():
+        if request.is_answered or request.has_attempt_in_flight():
             return False
         if self._is_retry_hopeless(request, now):
             self._requests.give_up(request)
--- a/sloeferry/policy/safety_rules.py
+++ b/sloeferry/policy/safety_rules.py
@@ -42,7 +42,7 @@
         """Rules 1 and 2, whichever endpoint it goes to; `instead_of` is an attempt that is about to be cancelled."""
         if request.is_answered or now >= request.deadline or len(request.attempts) >= request.max_attempts:
             return False
-        out = sum(each.state is AttemptState.OUT and each is not instead_of for each in request.attempts)
+        out = sum(each.state is AttemptState.IN_FLIGHT and each is not instead_of for each in request.attempts)
         return out <= self.may_hedge and self.may_repeat(request, now)
 
     def may_repeat(self, request: Request, now: float, before: int | None = None) -> bool:
@@ -75,7 +75,7 @@
 
     def send(self, request: Request, endpoint: Endpoint, now: float, expected_ms: float) -> Attempt | None:
         """Begins an attempt; None where a rule forbids it."""
-        work_ms = request.typical_ms()
+        work_ms = request.typical_latency_ms()
         if not (
             self.may_use(endpoint, now)
             and self.may_attempt(request, now)
--- a/sloeferry/policy/slow_start.py
+++ b/sloeferry/policy/slow_start.py
@@ -50,14 +50,14 @@
             if in_flight * work_ms <= budget * self._window_ms / 2:
                 return True
         # This proxy's part of one core: what a warm endpoint of more cores gets would push a cold one over.
-        share_ms = BUDGET_SHARE_USED * self._window_ms / self._fleet.parts()
+        share_ms = BUDGET_SHARE_USED * self._window_ms / self._fleet.budget_divisor()
         span_ms = self._window_ms * max(1.0, work_ms / budget / share_ms)  # work over the budget waits longer for its turn
         sends = endpoint.recent_sends
         while sends and sends[0][0] <= now - span_ms:
             sends.popleft()
         # First attempts take turns, too, or those of all proxies together push over an endpoint that has just started.
         initial_share = self._warm_up_overload_multiple * self._initial_ratio * share_ms
-        wait_ms = self._fleet.turn * self._window_ms * max(0.0, work_ms / initial_share - 1)
+        wait_ms = self._fleet.phase_ratio * self._window_ms * max(0.0, work_ms / initial_share - 1)
         if now < endpoint.started_at + wait_ms:
             return False
         return not sends or sum(work for _, work in sends) + work_ms <= budget * share_ms
--- a/sloeferry/policy/timers.py
+++ b/sloeferry/policy/timers.py
@@ -36,7 +36,7 @@
         if callback:
             callback(now, *arguments)
 
-    def is_moot(self, token: int) -> bool:
+    def is_obsolete(self, token: int) -> bool:
         """Whether a timer is for a request that has been answered: the host need not wake up for it."""
         pending = self._pending.get(token)
         if pending is None or not pending[2]:
--- a/sloeferry/rehearsal/baselines.py
+++ b/sloeferry/rehearsal/baselines.py
@@ -33,7 +33,7 @@
 
     def choose(self, request: Request, now: float, excluded: Collection[Endpoint] = ()) -> Choice:
         """As `EndpointSelector.choose`."""
-        policy, rules, work_ms = self._policy, self._policy.rules, request.request_class.typical_ms()
+        policy, rules, work_ms = self._policy, self._policy.rules, request.request_class.typical_latency_ms()
         policy.candidates.refresh(now)
         fit = [
             endpoint
--- a/tests/decision_log/test_decision_log.py
+++ b/tests/decision_log/test_decision_log.py
@@ -34,12 +34,12 @@
     log = DecisionLog(0.0, "program")
     log.settings_applied(0.0, "s-a", "start")
     log.list_applied(10.0, 41, "l-a", "known")
-    log.request_taken(20.0, request_of(1))
+    log.request_accepted(20.0, request_of(1))
     log.attempt_sent(20.0)
     lines += described(log, "one txn", 25.0)
     log.list_applied(30.0, 42, "l-b", "discovery")
     log.settings_applied(40.0, "s-b", "SIGHUP")
-    log.request_taken(50.0, request_of(2))
+    log.request_accepted(50.0, request_of(2))
     log.attempt_sent(50.0)
     log.request_ended(request_of(2), True)
     lines += described(log, "newer ones of both; the first txn keeps its settings", 60.0)
@@ -81,7 +81,7 @@
         elif event == "list":
             log.list_applied(now, number, str(number % 3), "x")
         elif event == "take" and now not in in_flight:
-            log.request_taken(now, request_of(now))
+            log.request_accepted(now, request_of(now))
             in_flight.add(now)
             taken += 1
         elif event == "end" and in_flight:
@@ -105,7 +105,7 @@
     """A thousand versions cost what MAX_ENTRIES cost; one with open requests is kept."""
     log = DecisionLog(0.0, "")
     log.settings_applied(0.0, "first", "start")
-    log.request_taken(0.0, request_of(1))
+    log.request_accepted(0.0, request_of(1))
     for number in range(1000):
         log.settings_applied(float(number), str(number), "SIGHUP")
         log.list_applied(float(number), number, str(number), "discovery")
--- a/tests/lifecycle/test_shutdown.py
+++ b/tests/lifecycle/test_shutdown.py
@@ -129,7 +129,7 @@
         config_file = tmp_path / "config.json"
         config_file.write_text(json.dumps(harness.config))
         monkeypatch.setenv("BALANCER_CONFIG", str(config_file))
-        harness.dispatcher.overload.limit = 0.0
+        harness.dispatcher.overload.concurrency_limit = 0.0
         client = await harness.send_raw(harness.request_head())
         await wait_until(lambda: harness.clients.admission_queue.waiting)
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
--- a/tests/lifecycle/test_snapshot.py
+++ b/tests/lifecycle/test_snapshot.py
@@ -52,7 +52,7 @@
 
 def figures(policy: Policy) -> list[float]:
     """Typical latency of each class (ms), slowdown of each endpoint."""
-    latencies = [round(each.typical_ms(), 3) for each in policy.classes.all]
+    latencies = [round(each.typical_latency_ms(), 3) for each in policy.classes.all]
     return latencies + [round(each.slowdown, 3) for each in policy.table.ready]
 
 
@@ -90,7 +90,7 @@
     endpoints = policy.table.by_id
     outliers, latency = policy.outliers, policy.latency
     return {
-        "typical_ms": {name: each.typical_ms() for name, each in classes.items()},
+        "typical_ms": {name: each.typical_latency_ms() for name, each in classes.items()},
         "lost": {name: each.loss_rate for name, each in classes.items()},
         "slowdown": {name: each.slowdown for name, each in endpoints.items()},
         "failures": {name: each.consecutive_failures for name, each in endpoints.items()},
--- a/tests/network/test_admission_queue.py
+++ b/tests/network/test_admission_queue.py
@@ -21,23 +21,23 @@
     def __init__(self) -> None:
         self.is_open = False
         self.places = 0
-        self.queue_patience_ms = 0.0
-        self.max_wait_ms = ENDLESS_MS
+        self.queue_timeout_ms = 0.0
+        self.max_queue_wait_ms = ENDLESS_MS
         self.has_budget = True
 
     def is_shedding(self) -> bool:
         """Whether load is shed."""
         return not self.is_open
 
-    def free_places(self) -> int:
+    def available_slots(self) -> int:
         """How many may go on."""
         return self.places
 
-    def may_reject(self, now: float) -> bool:
+    def take_rejection_token(self, now: float) -> bool:
         """Whether there is time left to reject one."""
         return self.has_budget
 
-    def note_queued(self, count: int) -> None:
+    def record_queue_length(self, count: int) -> None:
         """So many wait."""
 
 
@@ -122,14 +122,14 @@
         play = QueuePlay(lines)
         controller = play.controller
         by_name = {connection.name: connection for connection in play.connections}
-        controller.queue_patience_ms = ENDLESS_MS
+        controller.queue_timeout_ms = ENDLESS_MS
         for connection in play.connections[:3]:
             connection.client_end.send(b"plain")
             play.look(f"{connection.name} asks, no room")
         controller.places = 1
         play.look("room for one")
         controller.places = 0
-        controller.queue_patience_ms = -1.0
+        controller.queue_timeout_ms = -1.0
         play.look("the others have waited for too long")
         lines.append(f"b has {by_name['b'].client_end.recv(99)!r}")
         by_name["d"].client_end.send(b"odd")
@@ -140,7 +140,7 @@
         controller.has_budget = False
         by_name["a"].client_end.send(b"plain")
         play.look("a asks again, nothing left to turn it away with")
-        controller.max_wait_ms = -1.0
+        controller.max_queue_wait_ms = -1.0
         play.look("its time is nearly over")
         controller.is_open = True
         play.look("the door is open")
--- a/tests/network/test_client_disconnect.py
+++ b/tests/network/test_client_disconnect.py
@@ -105,11 +105,11 @@
     """The client leaves unread, while load is shed.  With what it sent comes its end."""
 
     async def story(harness: InstrumentedHarness) -> None:
-        harness.dispatcher.overload.limit = 0.0
+        harness.dispatcher.overload.concurrency_limit = 0.0
         client = await harness.send_raw(harness.request_head() + b"x")
         await wait_until(lambda: harness.clients.admission_queue.waiting)
         connection = await client.leave()
-        harness.dispatcher.overload.limit = inf
+        harness.dispatcher.overload.concurrency_limit = inf
         await wait_until(lambda: connection not in harness.clients.connections)
 
     play_leaving(story, "crossing_door")
--- a/tests/network/test_load_shedding.py
+++ b/tests/network/test_load_shedding.py
@@ -16,9 +16,9 @@
 
     async def story(harness: ProxyHarness) -> None:
         with (
-            mock.patch.object(OverloadController, "beat"),
+            mock.patch.object(OverloadController, "record_loop_lag"),
             mock.patch.object(OverloadController, "is_shedding", lambda self: True),
-            mock.patch.object(OverloadController, "free_places", lambda self: 1),
+            mock.patch.object(OverloadController, "available_slots", lambda self: 1),
         ):
             kept = await harness.connect()
             with mock.patch.object(OverloadController, "rejection_delay_ms", lambda *_: 250.0):
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -20,7 +20,7 @@
         for endpoint in endpoints:
             for _ in list(endpoint.health_checks_out):
                 recorder.report_load(endpoint.endpoint_id, 0)
-        if request.has_attempt_out():
+        if request.has_attempt_in_flight():
             recorder.advance_by(took_ms)
             recorder.end_attempt(request_id, len(request.attempts) - 1, AttemptOutcome.SERVED, 1, took_ms=took_ms)
 
@@ -99,7 +99,7 @@
         recorder.advance_by(20.0)
     recorder.lines = []
     first_class = policy.classes.all[0]
-    usual = f"usual {first_class.typical_ms():.0f}, mean hint {first_class.mean_cost_hint:.0f}"
+    usual = f"usual {first_class.typical_latency_ms():.0f}, mean hint {first_class.mean_cost_hint:.0f}"
     recorder.record(f"{usual}, pace {policy.table.by_id['a'].slowdown:.2f}")
     recorder.report_load("a", 40)
     for request_id, class_index, cost_ms in ((50, 2, 20.0), (51, 0, 500.0), (52, 2, 20.0)):
--- a/tests/policy/test_load_estimate.py
+++ b/tests/policy/test_load_estimate.py
@@ -96,5 +96,5 @@
         recorder.request(request_id)
         is_cold = recorder.last_word()[0] == "c" and recorder.now < 56000.0
         recorder.end_attempt(request_id, 0, AttemptOutcome.SERVED, 0, took_ms=600.0 if is_cold else 190.0)
-    recorder.record(f"stretch {policy.latency.stretch[0]:.1f}, usual {policy.classes.all[0].typical_ms():.0f}")
+    recorder.record(f"stretch {policy.latency.stretch[0]:.1f}, usual {policy.classes.all[0].typical_latency_ms():.0f}")
     golden.check(recorder.lines, "cold_part")
--- a/tests/policy/test_overload_control.py
+++ b/tests/policy/test_overload_control.py
@@ -35,10 +35,10 @@
 
 def play_late_window(controller: OverloadController, now: float, served: int = 60) -> float:
     """One window in which all beats are late and so many requests are served; the time of its end (ms)."""
-    controller.ended_in_window = served
+    controller.served_in_window = served
     for _ in range(BEATS_PER_WINDOW):
-        now += controller.beat_interval_ms
-        controller.beat(now, controller.beat_interval_ms * 2)
+        now += controller.lag_sample_interval_ms
+        controller.record_loop_lag(now, controller.lag_sample_interval_ms * 2)
     return now
 
 
@@ -49,28 +49,28 @@
     now = 0.0
 
     def record(event: str) -> None:
-        lines.append(f"{event}: bound {controller.limit:.1f}, {controller.rate_per_ms * 1000:.0f} a second")
+        lines.append(f"{event}: bound {controller.concurrency_limit:.1f}, {controller.served_per_ms * 1000:.0f} a second")
 
-    controller.ended_in_window = 60
+    controller.served_in_window = 60
     for beat in range(BEATS_PER_WINDOW):
-        now += controller.beat_interval_ms
-        controller.beat(now, controller.beat_interval_ms * (2 if beat else 0))
+        now += controller.lag_sample_interval_ms
+        controller.record_loop_lag(now, controller.lag_sample_interval_ms * (2 if beat else 0))
     record("one beat in time")
     now = play_late_window(controller, now)
     record("all late")
     now = play_late_window(controller, now, served=20)
     record("less served")
     for _ in range(12):
-        controller.note_queued(0)
+        controller.record_queue_length(0)
         for _ in range(17):
-            now += controller.beat_interval_ms
-            controller.beat(now, 0.0)
+            now += controller.lag_sample_interval_ms
+            controller.record_loop_lag(now, 0.0)
         record("beats in time")
-    controller.beat(now + 400, 400.0)
+    controller.record_loop_lag(now + 400, 400.0)
     lines.append(f"after a stall: shut {controller.is_shedding()}")
-    controller.beat(now + 450, 1.0)
+    controller.record_loop_lag(now + 450, 1.0)
     lines.append(f"a beat later: shut {controller.is_shedding()}")
-    golden.check(lines, "door_bound")
+    golden.check(lines, "overload_limit")
 
 
 def test_tenants_keep_to_their_quota(golden: GoldenFiles):
@@ -87,12 +87,14 @@
         while controller.rejection_delay_ms(now, classes[0], tenant_index, False, False) is None:
             request_id += 1
             taken += 1
-            controller.request_taken(now, Request(request_id, classes[0], now, 900.0, tenant_index))
-        lines.append(f"bound {controller.limit:.0f}: customer {tenant_index} gets {taken}, open {controller.open_requests}")
+            controller.request_accepted(now, Request(request_id, classes[0], now, 900.0, tenant_index))
+        lines.append(
+            f"bound {controller.concurrency_limit:.0f}: customer {tenant_index} gets {taken}, open {controller.open_requests}"
+        )
     for name, class_index, is_retry in (("usual", 0, False), ("best gain", 2, False), ("best gain again", 2, True)):
         delay_ms = controller.rejection_delay_ms(now, classes[class_index], 0, is_retry, False)
         lines.append(f"{name}: {'outside' if delay_ms else 'in'}")
-    golden.check(lines, "door_outside")
+    golden.check(lines, "overload_tenant_quota")
 
 
 def test_retry_budget():
@@ -111,12 +113,12 @@
     controller, recorder = build_controller()
     spread = recorder.policy.latency.spread
     recorder.list_endpoints("a")
-    for is_behind in (False, True):
-        controller.limit = 50.0 if is_behind else inf
+    for is_overloaded in (False, True):
+        controller.concurrency_limit = 50.0 if is_overloaded else inf
         before = spread.count
-        recorder.request(int(is_behind))
-        recorder.end_attempt(int(is_behind), 0, AttemptOutcome.SERVED, 0, took_ms=600.0)
-        assert (spread.count > before) == (not is_behind)
+        recorder.request(int(is_overloaded))
+        recorder.end_attempt(int(is_overloaded), 0, AttemptOutcome.SERVED, 0, took_ms=600.0)
+        assert (spread.count > before) == (not is_overloaded)
 
 
 EVENTS = st.sampled_from(["beat", "take", "over", "ask", "stall"])
@@ -132,19 +134,19 @@
     now = 0.0
     in_flight: list[Request] = []
     for event, class_index, tenant_index, late_ms in steps:
-        now += controller.beat_interval_ms / 2
+        now += controller.lag_sample_interval_ms / 2
         if event == "beat":
-            controller.beat(now, late_ms)
+            controller.record_loop_lag(now, late_ms)
         elif event == "stall":
-            controller.beat(now, 10 * late_ms)
+            controller.record_loop_lag(now, 10 * late_ms)
         elif event == "over" and in_flight:
             controller.request_ended(in_flight.pop(), bool(class_index))
         elif event == "take":
             in_flight.append(Request(len(in_flight), classes[class_index], now, 900.0, tenant_index))
-            controller.request_taken(now, in_flight[-1])
+            controller.request_accepted(now, in_flight[-1])
         check_delays(controller, now, classes, tenant_index)
-        assert (controller.open_requests, sum(controller.open_by_tenant)) == (len(in_flight), len(in_flight))
-        assert controller.limit >= overload_control.MIN_LIMIT
+        assert (controller.open_requests, sum(controller.open_requests_by_tenant)) == (len(in_flight), len(in_flight))
+        assert controller.concurrency_limit >= overload_control.MIN_CONCURRENCY_LIMIT
 
 
 def check_delays(controller: OverloadController, now: float, classes: list[RequestClass], tenant_index: int) -> None:
@@ -155,6 +157,9 @@
     assert all(delay_ms is None or delay_ms >= 0 for delay_ms in delays_ms)
     if delays_ms[2] is not None:
         assert delays_ms[0] is not None
-    is_nearly_free = controller.open_requests < overload_control.MIN_LIMIT and controller.open_by_tenant[tenant_index] == 0
+    is_nearly_free = (
+        controller.open_requests < overload_control.MIN_CONCURRENCY_LIMIT
+        and controller.open_requests_by_tenant[tenant_index] == 0
+    )
     if is_nearly_free and not controller.is_stalled:
         assert delays_ms[2] is None
