--- a/sloeferry/policy/retry_policy.py
+++ b/sloeferry/policy/retry_policy.py
@@ -1,4 +1,4 @@
-"""When a request gets another attempt: after one that failed, or beside or instead of one that is silent."""
+"""Retries and hedged requests: further attempts after one that failed, and beside or instead of one that is silent."""
 
 from random import Random
 
@@ -15,16 +15,16 @@
 from sloeferry.policy.safety_rules import SafetyRules
 from sloeferry.policy.timers import Timers
 
-# The least odds of an answer within the latency objective: for a retry, and for one beside an attempt that is out.
-MIN_RETRY_ODDS, MIN_HEDGE_ODDS = 0.1, 0.3
-# Where errors are mostly the requests' fault, so many of them are retried, to see whether that has ended.
+# Smallest probability of an answer within the latency objective with which a retry or a hedged attempt is sent.
+MIN_RETRY_PROBABILITY, MIN_HEDGE_PROBABILITY = 0.1, 0.3
+# Where most errors are caused by the requests, this part of them is still retried, to detect when that has ended.
 ERROR_RETRY_RATIO = 0.2
-REVIEWS_PER_TYPICAL_TIME = 4
+REVIEWS_PER_TYPICAL_LATENCY = 4
 LAST_RETRY_TICKS = 2  # before the deadline: a later retry could not be answered in time
 
 
 class RetryPolicy:
-    """Sends every attempt, also the first; reviews those that are out; decides what follows one that failed."""
+    """Sends every attempt, including the first, reviews attempts in flight, and retries failed ones."""
 
     def __init__(
         self,
@@ -56,11 +56,11 @@
         self.update(settings)
 
     def update(self, settings: Settings) -> None:
-        """Takes over whether attempts may be cancelled."""
+        """Apply the setting that allows cancelling attempts."""
         self._may_cancel = settings.limits.may_cancel
 
     def send(self, request: Request, endpoint: Endpoint, now: float, expected_ms: float) -> None:
-        """Begins an attempt, and has it reviewed later on; gives the request up where a rule forbids it."""
+        """Send an attempt and schedule its review; give the request up if a safety rule forbids the attempt."""
         attempt = self._rules.send(request, endpoint, now, expected_ms)
         if attempt is None:
             if not request.has_attempt_in_flight():
@@ -75,14 +75,17 @@
         self._timers.schedule(review_at, self._review, request, attempt)
 
     def _review(self, now: float, request: Request, attempt: Attempt, was_checked: bool = False) -> None:
-        """An attempt is out for long: its endpoint stalls or its connection died unseen, or it just takes long."""
+        """Check an attempt that takes long, and replace it if it is lost.
+
+        Its endpoint may have stalled, its connection may be dead without notice, or the work may just be long.
+        """
         if request.is_answered or attempt.state is not AttemptState.IN_FLIGHT or now >= request.objective_at:
             return
         endpoint, may_hedge = attempt.endpoint, self._rules.may_hedge
         is_lost = may_hedge and attempt.is_overtaken() or self._is_overdue_and_lost(request, attempt, now)
-        patience_ends = attempt.sent_at + self._latency.longest_ms
-        if not is_lost and may_hedge and now < patience_ends:
-            self._timers.schedule(patience_ends, self._review, request, attempt)
+        wait_ends = attempt.sent_at + self._latency.longest_ms
+        if not is_lost and may_hedge and now < wait_ends:
+            self._timers.schedule(wait_ends, self._review, request, attempt)
             return
         if not (is_lost or self._reporting.comes_with_health_checks or was_checked):
             self._health_checks.send(endpoint, now)
@@ -91,7 +94,7 @@
         is_lost = is_lost or self._outliers.is_silent(endpoint, now)
         if is_lost and self._replace(request, attempt, now):
             return
-        next_review = now + request.request_class.typical_latency_ms() / REVIEWS_PER_TYPICAL_TIME
+        next_review = now + request.request_class.typical_latency_ms() / REVIEWS_PER_TYPICAL_LATENCY
         self._timers.schedule(next_review, self._review, request, attempt)
 
     def _is_overdue_and_lost(self, request: Request, attempt: Attempt, now: float) -> bool:
@@ -99,11 +102,11 @@
         return is_overdue and self._attribution.is_loss_likely(request.request_class, attempt.endpoint)
 
     def _replace(self, request: Request, attempt: Attempt, now: float) -> bool:
-        """Hedges an attempt that is lost, or cancels it so that a retry can follow; whether that was done."""
+        """Hedge a lost attempt, or cancel it so that a retry can follow; return whether either was done."""
         if not (self._rules.may_attempt(request, now, instead_of=attempt) and self._extensions.may_retry(now, request)):
             return False
         choice = self._selector.choose(request, now, [each.endpoint for each in request.attempts])
-        if choice.endpoint is None or choice.odds <= MIN_HEDGE_ODDS:
+        if choice.endpoint is None or choice.odds <= MIN_HEDGE_PROBABILITY:
             return False
         if self._rules.may_hedge:
             self.send(request, choice.endpoint, now, choice.expected_ms)
@@ -114,19 +117,20 @@
         return False
 
     def retry_or_give_up(self, request: Request, now: float) -> bool:
-        """An attempt ended without the request's answer: a retry, or the end.
+        """Retry the request after an attempt that ended without its answer, or give it up.
 
-        True: the request has to be admitted anew, since nothing of it has run and no endpoint promises an answer in time.
+        Return True if the request has to pass admission again: its attempts provably never ran, and no endpoint is likely
+        to answer in time.
         """
         if request.is_answered or request.has_attempt_in_flight():
             return False
-        if self._is_retry_hopeless(request, now):
+        if self._is_retry_excluded(request, now):
             self._requests.give_up(request)
             return False
         choice = self._selector.choose(request, now, [each.endpoint for each in request.attempts])
         if (
             choice.endpoint is not None
-            and choice.odds > MIN_RETRY_ODDS
+            and choice.odds > MIN_RETRY_PROBABILITY
             and self._rules.may_attempt(request, now)
             and self._extensions.may_retry(now, request)
         ):
@@ -137,8 +141,12 @@
         self._requests.give_up(request)
         return False
 
-    def _is_retry_hopeless(self, request: Request, now: float) -> bool:
-        """No time is left, its kind is at fault, or errors are mostly the requests' fault."""
+    def _is_retry_excluded(self, request: Request, now: float) -> bool:
+        """Return whether a retry would fail or do harm.
+
+        That is so where no time is left, where the request's class or tenant is at fault, and, but for a random sample, where
+        errors are mostly caused by the requests.
+        """
         if now >= request.deadline - LAST_RETRY_TICKS * self._tick_ms or request.is_at_fault():
             return True
         has_erred = request.attempts[-1].outcome is AttemptOutcome.ERROR
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,18 +1,18 @@
-"""Which requests are admitted, held or rejected, and in which order they go."""
+"""Admission control: which requests are sent, held or rejected, and in which order held requests are sent."""
 
 from sloeferry.policy.interface import AttemptOutcome
 from tests.support.golden import GoldenFiles
 from tests.support.policy_recorder import PolicyRecorder
 
 REQUESTS_TO_FAST_ENDPOINTS = 500
-EXPECTED_FAR_TOO_LOW = 0.001  # learned slowdown: a thousandth of what is usual
+UNDERESTIMATED_SLOWDOWN = 0.001  # a learned slowdown far below the actual one
 
 
-def play_request_to_fast_endpoints(recorder: PolicyRecorder, request_id: int, took_ms: float) -> None:
-    """One request, with all health checks answered, from its coming to its answer."""
+def run_request_on_fast_endpoints(recorder: PolicyRecorder, request_id: int, took_ms: float) -> None:
+    """Run one request from its arrival to its answer; every health check is answered."""
     endpoints = recorder.policy.table.ready
     for endpoint in endpoints:
-        endpoint.slowdown = EXPECTED_FAR_TOO_LOW
+        endpoint.slowdown = UNDERESTIMATED_SLOWDOWN
         endpoint.learned_at = recorder.now
     recorder.request(request_id, time_left_ms=800.0)
     while (request := recorder.policy.requests.by_id.get(request_id)) and not request.is_answered:
@@ -25,8 +25,9 @@
             recorder.end_attempt(request_id, len(request.attempts) - 1, AttemptOutcome.SERVED, 1, took_ms=took_ms)
 
 
-def test_others_load_starves_nobody(golden: GoldenFiles):
-    """The other proxies fill all endpoints, so this one sends nothing and learns nothing.  It tries a few all the same."""
+def test_requests_are_sent_although_other_proxies_fill_all_endpoints(golden: GoldenFiles):
+    """Other proxies fill all endpoints, so a proxy that sends only to free ones would neither send nor learn anything.  It sends
+    a few requests regardless."""
     recorder = PolicyRecorder(limits__probing=True, instances=4)
     recorder.list_endpoints(*"abcdefgh")
     recorder.policy.arrivals.mean_gap_ms = 2.0
@@ -35,12 +36,12 @@
     for request_id in range(4):
         recorder.request(request_id)
     recorder.advance_to(400.0)
-    golden.check(recorder.lines, "starved")
+    golden.check(recorder.lines, "all_endpoints_full")
 
 
-def test_event_loop_that_lags(golden: GoldenFiles):
-    """All timers run late by half the latency objective.  The proxy rejects most requests at once and says when to come back;
-    where requests come faster than a health check is answered none is sent."""
+def test_most_requests_are_rejected_while_the_event_loop_lags(golden: GoldenFiles):
+    """All timers fire late by half the latency objective.  The proxy rejects most requests at once with a Retry-After, and sends
+    no health check, since requests arrive faster than health checks are answered."""
     recorder = PolicyRecorder(limits__probing=True, limits__retry_after=True, load_info__via="answers")
     recorder.list_endpoints("a", "b")
     recorder.policy.arrivals.mean_gap_ms = 2.0
@@ -52,11 +53,11 @@
         recorder.policy.timer_fired(at + 400.0, token)
     for request_id in range(2, 7):
         recorder.request(request_id)
-    golden.check(recorder.lines, "no_time")
+    golden.check(recorder.lines, "event_loop_lag")
 
 
-def test_most_weight_goes_first(golden: GoldenFiles):
-    """Everything is busy.  When a place comes free, the held request with the highest priority weight goes first."""
+def test_highest_priority_weight_is_sent_first(golden: GoldenFiles):
+    """All endpoints are busy.  Once one becomes idle, the held request with the highest priority weight is sent first."""
     recorder = PolicyRecorder(schemes__2__gain=5.0)
     recorder.list_endpoints("a")
     recorder.report_load("a", 2)
@@ -65,12 +66,12 @@
     recorder.advance_to(30.0)
     recorder.report_load("a", 0)
     recorder.advance_to(400.0)
-    golden.check(recorder.lines, "overload")
+    golden.check(recorder.lines, "highest_weight_first")
 
 
-def test_fast_endpoints_are_not_rejected(golden: GoldenFiles):
-    """Twelve idle endpoints answer in a thousandth of the latency objective, or a hundredth, or a thirtieth, and what is expected
-    of them has sunk far below that.  Not one request is rejected, and no class or tenant is at fault."""
+def test_fast_endpoints_cause_no_rejections(golden: GoldenFiles):
+    """Twelve idle endpoints answer far below the latency objective, down to a thousandth of it, and the learned slowdown is too
+    low.  Answers slower than expected must cause no rejection, and no request class or tenant may count as at fault."""
     lines: list[str] = []
     for took_ms in (0.1, 0.4, 1.0, 10.0):
         recorder = PolicyRecorder(
@@ -78,17 +79,17 @@
         )
         recorder.list_endpoints(*(f"b{index}" for index in range(12)))
         for request_id in range(REQUESTS_TO_FAST_ENDPOINTS):
-            play_request_to_fast_endpoints(recorder, request_id, took_ms)
+            run_request_on_fast_endpoints(recorder, request_id, took_ms)
         rejected = sum("decline" in line for line in recorder.lines)
         classes = recorder.policy.classes
         at_fault = [tracker.is_at_fault for tracker in classes.class_trackers + classes.tenant_trackers]
         lines.append(f"{took_ms} ms: {rejected} of {REQUESTS_TO_FAST_ENDPOINTS} refused, dragging {at_fault}")
-    golden.check(lines, "blame_quick")
+    golden.check(lines, "fast_endpoints")
 
 
-def test_cost_hint(golden: GoldenFiles):
-    """A request five times as heavy as usual takes five times as long: that is no slowdown of its endpoint.  Where weight goes by
-    work it counts five times as much, so that of two classes the denser goes first whatever its size."""
+def test_cost_hint_scales_expected_latency_and_weight(golden: GoldenFiles):
+    """A request with five times the usual cost takes five times as long, which must not count as a slowdown of its endpoint.
+    Where weight is per work, it weighs five times as much, so held requests are ordered by weight per work, not by size."""
     recorder = PolicyRecorder(gain_per="work", schemes__0__gain=2.0, schemes__2__gain=1.0)
     policy = recorder.policy
     recorder.list_endpoints("a")
@@ -105,4 +106,4 @@
     for request_id, class_index, cost_ms in ((50, 2, 20.0), (51, 0, 500.0), (52, 2, 20.0)):
         policy.request_arrived(recorder.now, request_id, class_index, 0, 0, 1000.0, cost_ms, False)
     recorder.record(f"held in this order: {[request.request_id for request in policy.admission.held]}")
-    golden.check(recorder.lines, "blame_hint")
+    golden.check(recorder.lines, "cost_hint")
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -6,8 +6,8 @@
 
 
 def test_overtaken_attempt_is_hedged(golden: GoldenFiles):
-    """A connection fell silent, its endpoint did not: three requests sent there later are served.  The first one is hedged at
-    another endpoint; that it times out in the end says nothing of how fast its endpoint is."""
+    """A connection is silent while its endpoint works: three requests sent there later are served.  The first request is hedged
+    at another endpoint, and its timeout does not change the learned slowdown of its own endpoint."""
     recorder = PolicyRecorder(limits__second_copies=True, limits__probing=True, tariffs__probe=1.0)
     recorder.list_endpoints("a")
     recorder.request(0)
