--- a/sloeferry/config/instance.py
+++ b/sloeferry/config/instance.py
@@ -16,7 +16,7 @@
 DEFAULT_MEMORY_MB, MIN_MEMORY_MB, MAX_MEMORY_MB = 192, 16, 1 << 20
 BYTES_PER_MB = 1 << 20
 # Keys of a request class that only some kinds of classes have.
-KEYS_OF_ONE_IDEMPOTENCY = {"group", "dedup_window"}
+IDEMPOTENCY_SPECIFIC_KEYS = {"group", "dedup_window"}
 
 
 @dataclass(frozen=True, slots=True)
@@ -184,6 +184,6 @@
     parents = {key.rpartition(".")[0] for key in keys}
     for key in sorted(former - keys):
         parent, _, name = key.rpartition(".")
-        if "*" not in parent or parent in parents and not (parent.endswith("*") and name in KEYS_OF_ONE_IDEMPOTENCY):
+        if "*" not in parent or parent in parents and not (parent.endswith("*") and name in IDEMPOTENCY_SPECIFIC_KEYS):
             return key
     return None
--- a/sloeferry/config/settings.py
+++ b/sloeferry/config/settings.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 # The platform's words that a setting keeps.
-RESPONSES, HEALTH_CHECKS = "answers", "probe"  # where load reports come from
-# How discovery tells the endpoint list.  POLLED: the proxy itself asks for a watch, a poll that stays open; with any other
-# word an agent of the platform pushes it.
-POLLED = "subscribe"
+REPORTS_IN_RESPONSES, REPORTS_IN_HEALTH_CHECKS = "answers", "probe"  # where load reports come from
+# How discovery delivers the endpoint list.  With POLLED_DISCOVERY the proxy itself opens a watch, a poll that stays open; with
+# any other value an agent of the platform pushes the list.
+POLLED_DISCOVERY = "subscribe"
 
 
 class Idempotency(enum.Enum):
@@ -60,7 +60,7 @@
     may_hedge: bool  # whether a second attempt may be out beside the first
     may_cancel: bool  # whether an attempt may be called off
     may_health_check: bool
-    tells_retry_after: bool  # whether a rejection says when to come back
+    sends_retry_after: bool  # whether a rejection says when to come back
     idle_connection_ms: float  # after which an endpoint closes a connection that rests
     connect_timeout_ms: float
 
@@ -75,7 +75,7 @@
     warm_up_overload_multiple: float  # of its capacity over that window, which pushes it over
     drain_grace_ms: float  # after being notified of a drain, in which attempts may still begin
     poll_within_ms: float  # of the last poll the next one is due, where the list is polled
-    is_only_draining_binding: bool  # an endpoint that is merely gone from the list may be used until it fails
+    may_use_unlisted_endpoints: bool  # an endpoint that is merely gone from the list may be used until it fails
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,17 +83,17 @@
     """Whether and how endpoints report their load."""
 
     fields: tuple[str, ...]  # of a report, in their order
-    source: str  # by the platform's word: `RESPONSES`, `HEALTH_CHECKS`; any other: there are none
+    source: str  # by the platform's word: `REPORTS_IN_RESPONSES`, `REPORTS_IN_HEALTH_CHECKS`; any other: there are none
 
     @property
-    def come_with_responses(self) -> bool:
+    def has_response_reports(self) -> bool:
         """Whether each response carries a report."""
-        return self.source == RESPONSES
+        return self.source == REPORTS_IN_RESPONSES
 
     @property
-    def come_with_health_checks(self) -> bool:
+    def has_health_check_reports(self) -> bool:
         """Whether only health checks bring reports."""
-        return self.source == HEALTH_CHECKS
+        return self.source == REPORTS_IN_HEALTH_CHECKS
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,7 +114,7 @@
     obligations: ObligationSettings
     load_reports: LoadReportSettings
     costs: CostSettings
-    discovery_mode: str  # by the platform's word: `POLLED`; any other: the list is pushed
+    discovery_mode: str  # by the platform's word: `POLLED_DISCOVERY`; any other: the list is pushed
     is_weight_per_work: bool  # whether a priority weight is earned for each unit of work instead of each request
     has_affinity_keys: bool  # whether endpoints answer sooner that know a request's key
     instance_count: int  # proxies of the fleet
@@ -128,7 +128,7 @@
     @property
     def is_endpoint_list_polled(self) -> bool:
         """Whether this proxy has to poll discovery for the list; otherwise changes are pushed to it."""
-        return self.discovery_mode == POLLED
+        return self.discovery_mode == POLLED_DISCOVERY
 
     def class_indexes(self) -> dict[str, int]:
         """The index of each request class by its name, without removed ones."""
--- a/sloeferry/dispatch/attempt_end.py
+++ b/sloeferry/dispatch/attempt_end.py
@@ -25,7 +25,7 @@
     CANCELLED = "cancelled"
     # Not sent by this proxy's own doing: refused by the send guard, no descriptor, no address, a dial that this machine could
     # not make, a client that broke off its body.  Never with COMPLETELY_WRITTEN.
-    NOT_WANTED = "not wanted"
+    ABORTED_LOCALLY = "not wanted"
     MALFORMED = "malformed response"  # one that cannot be read or does not end, on a connection that stands
 
 
@@ -47,7 +47,7 @@
     nothing of it.
     """
     is_written = progress >= AttemptProgress.COMPLETELY_WRITTEN
-    if end is AttemptEnd.NOT_WANTED or end is AttemptEnd.CANCELLED and not is_written:
+    if end is AttemptEnd.ABORTED_LOCALLY or end is AttemptEnd.CANCELLED and not is_written:
         return AttemptOutcome.NEVER_SENT
     if not is_written:
         return AttemptOutcome.UNREACHABLE
--- a/sloeferry/dispatch/command_host.py
+++ b/sloeferry/dispatch/command_host.py
@@ -38,11 +38,11 @@
         """The request has its final answer."""
         context.is_answered = True
         context.push(command)
-        self.forget_if_over(context)
+        self.remove_if_complete(context)
 
-    def forget_if_over(self, context: RequestContext) -> None:
+    def remove_if_complete(self, context: RequestContext) -> None:
         """Forgets a request that is answered and has no attempt out."""
-        if context.is_answered and not context.attempts_out:
+        if context.is_answered and not context.attempts_in_flight:
             self.requests.pop(context.request_id, None)
 
     # PolicyHost
@@ -54,7 +54,7 @@
             self.on_send_attempt(context)
         context.push(SendAttempt(context.attempts_sent, endpoint_id))
         context.attempts_sent += 1
-        context.attempts_out += 1
+        context.attempts_in_flight += 1
 
     def cancel_attempt(self, request_id: int, attempt_number: int) -> None:
         """`PolicyHost`."""
--- a/sloeferry/dispatch/dispatcher.py
+++ b/sloeferry/dispatch/dispatcher.py
@@ -110,7 +110,7 @@
         for command in commands:
             if isinstance(command, SendAttempt):
                 number = command.attempt_number
-                self.attempt_ended(context, number, AttemptProgress.NOTHING_WRITTEN, AttemptEnd.NOT_WANTED, 0.0)
+                self.attempt_ended(context, number, AttemptProgress.NOTHING_WRITTEN, AttemptEnd.ABORTED_LOCALLY, 0.0)
             elif isinstance(command, Complete):
                 responses.append(command.response)
         return responses
@@ -149,13 +149,13 @@
         response: Any = None,
     ) -> bool:
         """An attempt has ended; whether its response is the request's."""
-        context.attempts_out -= 1
+        context.attempts_in_flight -= 1
         took_ms = max(took_ms / 2, took_ms - self.policy.timers.lateness_ms)  # so much was this loop's doing
         is_served = end is AttemptEnd.SERVED and not context.is_answered
         if is_served:
             self.host.finish(context, Complete(response))
         else:
-            self.host.forget_if_over(context)
+            self.host.remove_if_complete(context)
         self.policy.attempt_ended(
             environment.monotonic_ms(),
             context.request_id,
@@ -181,10 +181,10 @@
 
     # The loop
 
-    def loop_turned(self) -> asyncio.Task[None] | None:
+    def record_loop_iteration(self) -> asyncio.Task[None] | None:
         """Notes a turn of the loop; the task that catches up after a stall, until whose end nothing may be sent."""
-        catching_up = self.loop_monitor.note_turn()
-        self.endpoint_events.log_staleness(self.loop_monitor.last_turn)
+        catching_up = self.loop_monitor.record_iteration()
+        self.endpoint_events.log_staleness(self.loop_monitor.last_iteration_at)
         return catching_up
 
     def run_due_timers(self) -> None:
--- a/sloeferry/dispatch/endpoint_events.py
+++ b/sloeferry/dispatch/endpoint_events.py
@@ -43,7 +43,7 @@
 
     # Lists
 
-    def listed(
+    def list_received(
         self,
         is_complete: bool,
         endpoints: Sequence[ListedEndpoint],
@@ -86,7 +86,7 @@
 
     def watch_confirmed(self) -> None:
         """The watch that stands said something, a list or a sign of life."""
-        self.staleness.confirmed(self._monitor.earliest_time_of_writing())
+        self.staleness.confirmed(self._monitor.earliest_write_time())
 
     def poll_failed(self, end: PollEnd, began: float, tried: float) -> None:
         """A poll that brought no list has ended; `tried`: when its last dial began, or its request was written."""
@@ -104,16 +104,16 @@
         """A watch is given up that has said nothing since then."""
         self.staleness.watch_silent(since)
 
-    def watch_still_stands(self) -> None:
+    def watch_still_open(self) -> None:
         """Answers a poll for a watch that stands: all it said has been passed on."""
-        self.listed(False, ())
+        self.list_received(False, ())
 
-    def watch_is_missing(self, has_watch_ended: bool) -> None:
+    def watch_unavailable(self, has_watch_ended: bool) -> None:
         """There is no watch any more: the one that stood has ended, or the poll for one brought no list."""
         scope = ListScope.WATCH_ENDED if has_watch_ended else ListScope.POLL_FAILED
         self._policy.endpoints_listed(environment.monotonic_ms(), scope, ())
 
-    def discovery_time(self, unix_ms: float) -> None:
+    def discovery_time_received(self, unix_ms: float) -> None:
         """Discovery's own word of what time it is."""
         self._start_times.discovery_time(environment.monotonic_ms(), unix_ms)
 
--- a/sloeferry/dispatch/loop_monitor.py
+++ b/sloeferry/dispatch/loop_monitor.py
@@ -25,9 +25,9 @@
     """When the loop last turned, and the catching up after a stall."""
 
     def __init__(self, settings: Settings):
-        self.last_turn = environment.monotonic_ms()
-        self.turn_before_stall = self.last_turn
-        self.catching_up: asyncio.Task | None = None
+        self.last_iteration_at = environment.monotonic_ms()
+        self.iteration_before_stall_at = self.last_iteration_at
+        self.catch_up_task: asyncio.Task | None = None
         # Set by the network: returns once what discovery wrote meanwhile is read and taken in.
         self.catch_up: Callable[[], Coroutine[Any, Any, None]] | None = None
         self.update(settings)
@@ -36,22 +36,22 @@
         """Takes over for how long the loop may stand still."""
         self._threshold_ms = stall_threshold_ms(settings)
 
-    def note_turn(self) -> asyncio.Task | None:
+    def record_iteration(self) -> asyncio.Task | None:
         """The loop turns, which is said again and again; the task that catches up after a stall, while it runs."""
         now = environment.monotonic_ms()
-        if self.catch_up and not self.catching_up and now - self.last_turn > self._threshold_ms:
-            self.turn_before_stall = self.last_turn
-            self.catching_up = asyncio.get_running_loop().create_task(self.catch_up())
-            self.catching_up.add_done_callback(self._caught_up)
-        self.last_turn = now
-        return self.catching_up
+        if self.catch_up and not self.catch_up_task and now - self.last_iteration_at > self._threshold_ms:
+            self.iteration_before_stall_at = self.last_iteration_at
+            self.catch_up_task = asyncio.get_running_loop().create_task(self.catch_up())
+            self.catch_up_task.add_done_callback(self._caught_up)
+        self.last_iteration_at = now
+        return self.catch_up_task
 
     def _caught_up(self, task: asyncio.Task) -> None:
-        self.catching_up = None
+        self.catch_up_task = None
 
-    def earliest_time_of_writing(self) -> float:
+    def earliest_write_time(self) -> float:
         """Since when what is read now may have been written: after a stall, any time since the loop last turned."""
-        if self.catching_up:
-            return self.turn_before_stall
+        if self.catch_up_task:
+            return self.iteration_before_stall_at
         now = environment.monotonic_ms()
-        return self.last_turn if now - self.last_turn > self._threshold_ms else now
+        return self.last_iteration_at if now - self.last_iteration_at > self._threshold_ms else now
--- a/sloeferry/dispatch/request_context.py
+++ b/sloeferry/dispatch/request_context.py
@@ -41,7 +41,7 @@
         self.deadline = deadline
         self.arrived_at = arrived_at
         self.is_answered = False
-        self.attempts_out = 0
+        self.attempts_in_flight = 0
         self.attempts_sent = 0
         self.version_headers: dict[int, bytes] | None = None  # header lines by attempt number, where attempts carry them
         self.is_abandoned = False  # its client's connection has ended
--- a/sloeferry/dispatch/send_guard.py
+++ b/sloeferry/dispatch/send_guard.py
@@ -16,7 +16,7 @@
 from sloeferry.policy.interface import EndpointId, EndpointState
 from sloeferry.policy.policy import Policy
 
-MAX_REMEMBERED_LEAVERS = 4096  # endpoints remembered as draining or gone, the newest
+MAX_LEAVING_ENDPOINTS = 4096  # endpoints remembered as draining or gone, the newest
 
 
 class Refusal(enum.Enum):
@@ -50,18 +50,18 @@
         self.refusals: Counter[Refusal] = Counter()
         self.stale_refusals: Counter[str] = Counter()  # by what made the list stale
         self.violations: Counter[Violation] = Counter()
-        self._left_at: dict[EndpointId, float] = {}  # when an endpoint was listed as draining, or gone
+        self._leaving_since: dict[EndpointId, float] = {}  # when an endpoint was listed as draining, or gone
 
     # Facts
 
     def endpoint_listed(self, now: float, endpoint_id: EndpointId, is_ready: bool) -> None:
         """What a list says of an endpoint."""
         if is_ready:
-            self._left_at.pop(endpoint_id, None)
+            self._leaving_since.pop(endpoint_id, None)
             return
-        self._left_at.setdefault(endpoint_id, now)
-        if len(self._left_at) > MAX_REMEMBERED_LEAVERS:
-            del self._left_at[next(iter(self._left_at))]
+        self._leaving_since.setdefault(endpoint_id, now)
+        if len(self._leaving_since) > MAX_LEAVING_ENDPOINTS:
+            del self._leaving_since[next(iter(self._leaving_since))]
 
     # Before the first byte
 
@@ -111,7 +111,7 @@
             violation = Violation.ANSWERED
         elif at > context.deadline + self._slack_ms:
             violation = Violation.DEADLINE
-        elif at > self._left_at.get(endpoint_id, at) + grace_ms:
+        elif at > self._leaving_since.get(endpoint_id, at) + grace_ms:
             violation = Violation.DRAIN
         elif at > self._policy.polling.staleness.usable_until + grace_ms:
             violation = Violation.LIST_STALE
@@ -128,7 +128,7 @@
             )
         return violation
 
-    def closed_unanswered(self, context: RequestContext) -> None:
+    def record_unanswered_close(self, context: RequestContext) -> None:
         """A client's connection ends from this side, its client there, its request complete and without an answer."""
         self.violations[Violation.CLOSED_UNANSWERED] += 1
         logger.error("send guard violation: cause={!r} request={}", Violation.CLOSED_UNANSWERED.value, context.request_id)
--- a/sloeferry/fault_testing/planted_faults.py
+++ b/sloeferry/fault_testing/planted_faults.py
@@ -48,8 +48,8 @@
         (
             Edit(
                 "network/discovery_client.py",
-                "        self.events.listed(listed.is_complete, ",
-                "        listed.is_complete and self.events.listed(listed.is_complete, ",
+                "        self.events.list_received(listed.is_complete, ",
+                "        listed.is_complete and self.events.list_received(listed.is_complete, ",
             ),
         ),
     ),
--- a/sloeferry/lifecycle/proxy_process.py
+++ b/sloeferry/lifecycle/proxy_process.py
@@ -30,8 +30,8 @@
 from sloeferry.network.task_set import TaskSet
 
 RESERVED_DESCRIPTORS = 32  # that are no connection to a client or backend
-BIND_SECONDS = 2.0  # that an earlier process may take to let go of an address
-BIND_TRIES = 40
+BIND_TIMEOUT_SECONDS = 2.0  # that an earlier process may take to let go of an address
+BIND_ATTEMPTS = 40
 
 
 class PolicyTimer:
@@ -85,7 +85,7 @@
         self.pool = ConnectionPool(loop, config.settings, backend_budget, buffers)
         self.attempts = AttemptRunner(self.dispatcher, self.pool, timers, load_reports)
         self.health_checker = HealthChecker(self.dispatcher, self.pool, timers, load_reports, tasks)
-        is_another_serving = bool(self._takeover and self._takeover.store.neighbours().ready)
+        is_another_serving = bool(self._takeover and self._takeover.store.find_peers().ready)
         self.discovery = DiscoveryClient(
             loop,
             self.dispatcher,
@@ -148,7 +148,7 @@
         if features and features.versions.tell:
             self._install_recorder(features)
         if self._takeover:
-            self._takeover.join(self.dispatcher, self.lifecycle, self.discovery, self.clients, self.pool)
+            self._takeover.attach(self.dispatcher, self.lifecycle, self.discovery, self.clients, self.pool)
             self._tasks.append(self._loop.create_task(self._takeover.run()))
         for task in self._tasks:  # none of them ends by itself
             task.add_done_callback(lambda task: self._stopping.set())
@@ -204,12 +204,12 @@
 async def _bind(bind: Callable[[Address], OSError | None], key: str, address: Address) -> None:
     """Takes an address; an earlier process may take some time to let go of it.  Raises ConfigError."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + BIND_SECONDS
+    until = loop.time() + BIND_TIMEOUT_SECONDS
     while error := bind(address):
         if loop.time() > until:
             host, port = address
             raise ConfigError(key, f"{host}:{port} can't be had: {error.strerror}")
-        await asyncio.sleep(BIND_SECONDS / BIND_TRIES)
+        await asyncio.sleep(BIND_TIMEOUT_SECONDS / BIND_ATTEMPTS)
 
 
 async def serve(
--- a/sloeferry/lifecycle/snapshot.py
+++ b/sloeferry/lifecycle/snapshot.py
@@ -15,7 +15,7 @@
 from sloeferry.policy.policy import Policy
 from sloeferry.policy.request_classes import LATENCY_SAMPLES, RequestClass
 
-SAME_START_MS = 500.0  # starts so near are one start, read off two processes' clocks
+START_TOLERANCE_MS = 500.0  # starts so near are one start, read off two processes' clocks
 NEVER = -inf
 
 # The key of each figure in a snapshot, and the attribute that holds it.
@@ -88,7 +88,7 @@
     sends: list[tuple[Endpoint, list[tuple[float, float]]]] = []
     for endpoint_id, recorded in snapshot["backends"].items():
         endpoint = policy.table.by_id.get(endpoint_id)
-        if endpoint is None or abs(endpoint.started_at - _number(recorded["launched"])) > SAME_START_MS:
+        if endpoint is None or abs(endpoint.started_at - _number(recorded["launched"])) > START_TOLERANCE_MS:
             continue  # gone, or started anew: nothing of it holds
         ratios = Histogram(1.0, ENDPOINT_SAMPLES).restore(recorded["slow"])
         sends.append((endpoint, [(_number(at), _number(work)) for at, work in recorded["sent"]]))
--- a/sloeferry/lifecycle/snapshot_store.py
+++ b/sloeferry/lifecycle/snapshot_store.py
@@ -34,7 +34,7 @@
     """Why a snapshot cannot be used."""
 
 
-class Neighbours(NamedTuple):
+class PeerProcesses(NamedTuple):
     """The other processes of this proxy."""
 
     alive: int
@@ -80,13 +80,13 @@
 
     # Who is there
 
-    def show(self, is_ready: bool) -> None:
+    def publish_ready(self, is_ready: bool) -> None:
         """Tells the others whether this process serves."""
         if is_ready != self._is_shown_ready:
             os.pwrite(self._lock_fd, READY if is_ready else NOT_READY, 0)
             self._is_shown_ready = is_ready
 
-    def neighbours(self) -> Neighbours:
+    def find_peers(self) -> PeerProcesses:
         """The other processes of this proxy that live."""
         alive = ready = 0
         for entry in os.listdir(self.path):
@@ -107,7 +107,7 @@
                 pass
             finally:
                 os.close(fd)
-        return Neighbours(alive, ready)
+        return PeerProcesses(alive, ready)
 
     # Snapshots
 
--- a/sloeferry/lifecycle/startup.py
+++ b/sloeferry/lifecycle/startup.py
@@ -19,7 +19,7 @@
 UNUSABLE_CONFIG_STATUS = 2
 
 
-def freeze_start(dispatcher: Dispatcher) -> None:
+def freeze_startup_objects(dispatcher: Dispatcher) -> None:
     """What the start made stays; looking through it again takes a stall's time."""
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
@@ -36,7 +36,7 @@
         logger.add(sys.stderr, level=level, diagnose=False, serialize=is_json, format=LOG_FORMAT)
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             config = read_instance_config(os.environ)
-            runner.run(serve(config, on_built=freeze_start, has_pending_reload=lambda: bool(early_reloads)))
+            runner.run(serve(config, on_built=freeze_startup_objects, has_pending_reload=lambda: bool(early_reloads)))
     except ConfigError as error:
         print(f"sloeferry: {error}", file=sys.stderr)
         sys.exit(UNUSABLE_CONFIG_STATUS)
--- a/sloeferry/lifecycle/state.py
+++ b/sloeferry/lifecycle/state.py
@@ -43,7 +43,7 @@
         self.is_stopping = False  # SIGTERM came
         self._draining_since: float | None = None
         self.other_ready_processes = 0  # of this proxy, on the same listening socket
-        self.listeners: list[Callable[[], None]] = []  # called at once when any of the first three facts changes
+        self.change_callbacks: list[Callable[[], None]] = []  # called at once when any of the first three facts changes
 
     # Events
 
@@ -76,7 +76,7 @@
         return True
 
     def _changed(self) -> None:
-        for listener in self.listeners:
+        for listener in self.change_callbacks:
             listener()
 
     # What follows
@@ -93,7 +93,7 @@
         """Whether this process is ready to serve: what operators are told."""
         return self.is_discovery_settled and not self.closes_connections()
 
-    def answers_ready(self) -> bool:
+    def reports_ready(self) -> bool:
         """What the platform is told.
 
         It sees one proxy where there are two processes: as long as another serves, one that leaves says yes, and closes the
--- a/sloeferry/lifecycle/takeover.py
+++ b/sloeferry/lifecycle/takeover.py
@@ -24,12 +24,12 @@
     from sloeferry.network.connection_pool import ConnectionPool
     from sloeferry.network.discovery_client import DiscoveryClient
 
-LOOK_SECONDS = 0.2  # between two looks
-SNAPSHOT_SECONDS = 1.0  # between two snapshots
-LIST_PATIENCE_SECONDS = 3.0  # that a new process waits for the list, where it has an older one
+PEER_CHECK_SECONDS = 0.2  # between two looks
+SNAPSHOT_INTERVAL_SECONDS = 1.0  # between two snapshots
+LIST_TIMEOUT_SECONDS = 3.0  # that a new process waits for the list, where it has an older one
 
 
-def site_digest(settings: Settings) -> str:
+def indexed_names_digest(settings: Settings) -> str:
     """Of what the settings call by index, in the form of earlier releases: their snapshots are to be found."""
     lists = settings.zones, settings.machine_kinds, settings.load_reports.fields
     zones, kinds, fields = (",".join(names) for names in lists)
@@ -41,7 +41,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: InstanceConfig, folder: str):
         self._loop = loop
-        self.store = SnapshotStore(folder, config.name, site_digest(config.settings))
+        self.store = SnapshotStore(folder, config.name, indexed_names_digest(config.settings))
         self._budget_window_seconds = config.settings.obligations.warm_up_window_ms / 1000
         self._alive = 0  # other processes
         self.snapshot: Snapshot | None = None
@@ -50,7 +50,7 @@
         except SnapshotError as error:
             logger.info("no snapshot of an earlier process: reason={!r}", str(error))
 
-    def join(
+    def attach(
         self,
         dispatcher: Dispatcher,
         lifecycle: Lifecycle,
@@ -64,7 +64,7 @@
         self._discovery = discovery
         self._clients = clients
         self._budgets = (clients.budget, pool.budget)
-        lifecycle.listeners.append(self.look)
+        lifecycle.change_callbacks.append(self.update_peers)
         if self.snapshot:
             try:
                 restore_snapshot(dispatcher.policy, self.snapshot.learned)
@@ -72,15 +72,15 @@
             except Exception as error:  # it is a help, and no more
                 logger.warning("snapshot not restored: error={!r}", error)
         self.snapshot = None
-        self.look()
+        self.update_peers()
         if lifecycle.other_ready_processes:
-            self._loop.call_later(LIST_PATIENCE_SECONDS, discovery.list_is_late)
+            self._loop.call_later(LIST_TIMEOUT_SECONDS, discovery.list_is_late)
 
-    def look(self) -> None:
+    def update_peers(self) -> None:
         """Who is there now, and what that changes."""
         try:
-            self.store.show(self._lifecycle.is_ready())
-            alive, ready = self.store.neighbours()
+            self.store.publish_ready(self._lifecycle.is_ready())
+            alive, ready = self.store.find_peers()
         except OSError as error:
             warn("takeover folder failed", "error={!r}", error)
             return
@@ -103,11 +103,11 @@
         """Looks, and writes snapshots, for as long as the process runs."""
         written_at = 0.0
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            self.look()
+            await asyncio.sleep(PEER_CHECK_SECONDS)
+            self.update_peers()
             now = environment.monotonic()
             is_serving = self._lifecycle.is_discovery_settled and not self._lifecycle.is_stopping
-            if now - written_at >= SNAPSHOT_SECONDS and is_serving:
+            if now - written_at >= SNAPSHOT_INTERVAL_SECONDS and is_serving:
                 written_at = now
                 self._write_snapshot(now * 1000)
 
--- a/sloeferry/network/client_connection.py
+++ b/sloeferry/network/client_connection.py
@@ -143,7 +143,7 @@
         if self.is_closed:
             return
         if self._leaves_client_unanswered():
-            self.server.dispatcher.guard.closed_unanswered(self.carrier.context)
+            self.server.dispatcher.guard.record_unanswered_close(self.carrier.context)
         self.is_closed = True
         self._end_tasks()
         self.server.forget(self)
--- a/sloeferry/network/connection_pool.py
+++ b/sloeferry/network/connection_pool.py
@@ -96,8 +96,8 @@
         address = self.addresses.get(endpoint_id)
         # No place, no socket: this proxy's own want, no word against the backend.
         if address is None or not self.budget.take():
-            return AttemptEnd.NOT_WANTED
-        sock: socket.socket | AttemptEnd = AttemptEnd.NOT_WANTED
+            return AttemptEnd.ABORTED_LOCALLY
+        sock: socket.socket | AttemptEnd = AttemptEnd.ABORTED_LOCALLY
         try:
             sock = await self._dial_with_retries(endpoint_id, address, dial_until)
         finally:
@@ -116,7 +116,7 @@
             except OSError as error:
                 warn("dial failed", "backend={} address={}:{} error={!r}", endpoint_id, *address, error)
                 if environment.monotonic_ms() + pause_ms > dial_until:
-                    return AttemptEnd.NOT_WANTED
+                    return AttemptEnd.ABORTED_LOCALLY
                 await asyncio.sleep(pause_ms / 1000)
                 pause_ms = min(2 * pause_ms, MAX_REDIAL_MS)
 
--- a/sloeferry/network/connection_sweeper.py
+++ b/sloeferry/network/connection_sweeper.py
@@ -79,7 +79,7 @@
         """
         while True:
             await asyncio.sleep(stall_accounting.LOOP_TICK_SECONDS)
-            self._server.dispatcher.loop_turned()
+            self._server.dispatcher.record_loop_iteration()
             self._server.stalls.note_turn()
             now = environment.monotonic_ms()
             for connection in list(self._server.connections):
--- a/sloeferry/network/discovery_client.py
+++ b/sloeferry/network/discovery_client.py
@@ -115,7 +115,7 @@
             if not self._watch_task or self._watch_task.done():
                 self._start_watch()
             elif self.is_watching:  # it stands already, and all it said has been passed on
-                self.events.watch_still_stands()
+                self.events.watch_still_open()
 
     def _start_watch(self) -> None:
         self._watch_task = self.loop.create_task(self._watch())
@@ -141,7 +141,7 @@
         self.list_is_late()
         self._lifecycle.discovery_settled()
         has_watch_ended = watch.phase is PollPhase.WATCHING and watch.silent_since is None
-        self.events.watch_is_missing(has_watch_ended)
+        self.events.watch_unavailable(has_watch_ended)
         if self._is_pushed:  # the newest: a former one may stand on, and tells nothing of the new place
             self.loop.call_later(self.redial_pause_ms / 1000, self._host.poll_endpoints)
 
@@ -229,7 +229,7 @@
         if self.recorder:
             source = None if is_cached else "discovery at {}:{}".format(*self.address)
             self.recorder.list_applied(listed.revision, self.known, source)
-        self.events.listed(listed.is_complete, list(endpoints.values()), is_cached, newly_started, is_current)
+        self.events.list_received(listed.is_complete, list(endpoints.values()), is_cached, newly_started, is_current)
         if is_current and not is_cached:
             self.events.watch_confirmed()
         return True
--- a/sloeferry/network/discovery_watch.py
+++ b/sloeferry/network/discovery_watch.py
@@ -199,4 +199,4 @@
         """What time discovery says it is, where it says so (RFC 9110, 6.6.1)."""
         if date := message.header(b"date"):
             with contextlib.suppress(ValueError, OverflowError):
-                self._client.events.discovery_time(parsedate_to_datetime(date.decode("latin-1")).timestamp() * 1000)
+                self._client.events.discovery_time_received(parsedate_to_datetime(date.decode("latin-1")).timestamp() * 1000)
--- a/sloeferry/network/exchange.py
+++ b/sloeferry/network/exchange.py
@@ -69,7 +69,7 @@
         try:
             if await self._begin():
                 await self._write()
-                if self._end is not AttemptEnd.NOT_WANTED:
+                if self._end is not AttemptEnd.ABORTED_LOCALLY:
                     await self._read()
         except OSError:
             pass
@@ -93,12 +93,12 @@
             self._end = connection
             return False
         self._connection = connection
-        while catching_up := self._dispatcher.loop_turned():
+        while catching_up := self._dispatcher.record_loop_iteration():
             await asyncio.wait([catching_up])
         # A dial takes time: the address may be another endpoint's by now.
         is_late = environment.monotonic_ms() >= plan.deadline
         if is_late or not connection.leads_to_endpoint() or not plan.may_begin():
-            self._end = AttemptEnd.NOT_WANTED
+            self._end = AttemptEnd.ABORTED_LOCALLY
             return False
         return True
 
@@ -117,7 +117,7 @@
         is_answered_early = await self._write_body(plan.body)
         self._read_by = self._loop.time() + plan.body.time_left_ms / 1000
         self._timer = self._timers.set(self._read_by, self._task)
-        if not is_answered_early and self._end is not AttemptEnd.NOT_WANTED:
+        if not is_answered_early and self._end is not AttemptEnd.ABORTED_LOCALLY:
             self._progress = AttemptProgress.COMPLETELY_WRITTEN
 
     async def _write_body(self, body: RequestBodyStream) -> bool:
@@ -136,7 +136,7 @@
                     timer.cancel()
         except BodyInterruptedError:
             self._dispatcher.client_left(body.context)
-            self._end = AttemptEnd.NOT_WANTED
+            self._end = AttemptEnd.ABORTED_LOCALLY
         return False
 
     async def _read(self) -> None:
@@ -196,7 +196,7 @@
             return
         elif response:
             connection.finish(response.keep_alive)
-        elif self._end is not AttemptEnd.NOT_WANTED:
+        elif self._end is not AttemptEnd.ABORTED_LOCALLY:
             connection.abort()
         elif self._progress is AttemptProgress.NOTHING_WRITTEN:
             connection.finish(keep_alive=True)
--- a/sloeferry/network/request_carrier.py
+++ b/sloeferry/network/request_carrier.py
@@ -47,7 +47,7 @@
         `unread_ms`: for how long it lay unread while this program stood still.
         """
         if message.target is None:
-            is_ready = self._server.lifecycle.answers_ready()
+            is_ready = self._server.lifecycle.reports_ready()
             return Reply(client_replies.OK if is_ready else client_replies.SERVICE_UNAVAILABLE)
         request_id = message.header(protocol.REQUEST_ID) or b""
         open_requests = self._server.open_requests
--- a/sloeferry/network/request_intake.py
+++ b/sloeferry/network/request_intake.py
@@ -60,7 +60,7 @@
         self._keyed = {at for at in self._classes.values() if classes[at].idempotency is Idempotency.DEDUPLICATED}
         self._has_affinity_keys = settings.has_affinity_keys
         self._deadline_ms = {at: classes[at].deadline_ms for at in self._classes.values()}
-        self._tells_retry_after = settings.limits.tells_retry_after
+        self._tells_retry_after = settings.limits.sends_retry_after
 
     def longest_deadline_ms(self) -> float:
         """Of all request classes."""
--- a/sloeferry/policy/endpoint_table.py
+++ b/sloeferry/policy/endpoint_table.py
@@ -18,7 +18,7 @@
     """All endpoints that the list named, but for those that are gone and have nothing out."""
 
     def __init__(self, settings: Settings):
-        self._is_only_draining_binding = settings.obligations.is_only_draining_binding
+        self._is_only_draining_binding = settings.obligations.may_use_unlisted_endpoints
         self.by_id: dict[EndpointId, Endpoint] = {}
         self.ready: list[Endpoint] = []
         self.active: dict[EndpointId, Endpoint] = {}  # those of which something was heard, or that have something out
--- a/sloeferry/policy/load_reporting.py
+++ b/sloeferry/policy/load_reporting.py
@@ -33,7 +33,7 @@
         return cls(
             in_flight_index=fields.index(IN_FLIGHT_FIELD) if IN_FLIGHT_FIELD in fields else None,
             may_health_check=may_health_check,
-            comes_with_health_checks=reports.come_with_health_checks,
-            is_report_age_unknown=reports.come_with_responses and not may_health_check,
-            health_checks_per_request=allowance if reports.come_with_responses and may_health_check else 0,
+            comes_with_health_checks=reports.has_health_check_reports,
+            is_report_age_unknown=reports.has_response_reports and not may_health_check,
+            health_checks_per_request=allowance if reports.has_response_reports and may_health_check else 0,
         )
--- a/sloeferry/policy/overload_control.py
+++ b/sloeferry/policy/overload_control.py
@@ -71,7 +71,7 @@
         self.queue_patience_ms = QUEUE_PATIENCE_RATIO * self._objective_ms
         self.max_wait_ms = MAX_WAIT_RATIO * min(each.deadline_ms for each in classes.all if not each.is_removed)
         self._max_weight = max(each.priority_weight for each in classes.all) or 1.0
-        self._tells_retry_after = settings.limits.tells_retry_after
+        self._tells_retry_after = settings.limits.sends_retry_after
         self._quota_weights = [tenant.quota_weight for tenant in settings.tenants] or [1.0]
         new_tenants = len(self._quota_weights) - len(self.open_by_tenant)
         self.open_by_tenant += [0] * new_tenants
--- a/sloeferry/policy/request_table.py
+++ b/sloeferry/policy/request_table.py
@@ -22,7 +22,7 @@
 
     def update(self, settings: Settings) -> None:
         """Takes over whether clients are told when to come back."""
-        self._tells_retry_after = settings.limits.tells_retry_after
+        self._tells_retry_after = settings.limits.sends_retry_after
 
     def add(self, request: Request, now: float) -> None:
         """A request is taken on: from now on it is owed a final answer before its deadline."""
--- a/tests/dispatch/test_endpoint_events.py
+++ b/tests/dispatch/test_endpoint_events.py
@@ -20,17 +20,17 @@
         dispatcher = Dispatcher(1, settings, lambda at: None)
         events, monitor = dispatcher.endpoint_events, dispatcher.loop_monitor
         clock_seconds[0] += 2.0
-        monitor.last_turn = clock_seconds[0] * 1000
+        monitor.last_iteration_at = clock_seconds[0] * 1000
         events.watch_confirmed()
         assert events.staleness.trusted_until == 1_002_000.0 - WATCH_DELAY_MS
         clock_seconds[0] += 5.0
         if is_timer_first:
-            monitor.turn_before_stall = monitor.last_turn
-            monitor.last_turn = clock_seconds[0] * 1000
-            monitor.catching_up = object()
+            monitor.iteration_before_stall_at = monitor.last_iteration_at
+            monitor.last_iteration_at = clock_seconds[0] * 1000
+            monitor.catch_up_task = object()
         events.watch_confirmed()
         assert events.staleness.trusted_until == 1_002_000.0 - WATCH_DELAY_MS
-        monitor.last_turn = clock_seconds[0] * 1000
-        monitor.catching_up = None
+        monitor.last_iteration_at = clock_seconds[0] * 1000
+        monitor.catch_up_task = None
         events.watch_confirmed()
         assert events.staleness.trusted_until == 1_007_000.0 - WATCH_DELAY_MS
--- a/tests/dispatch/test_send_guard.py
+++ b/tests/dispatch/test_send_guard.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sloeferry.dispatch.send_guard import MAX_REMEMBERED_LEAVERS, Refusal, SendGuard, Violation
+from sloeferry.dispatch.send_guard import MAX_LEAVING_ENDPOINTS, Refusal, SendGuard, Violation
 from sloeferry.policy.endpoint_staleness import ON_SOCKETS
 from sloeferry.policy.interface import AttemptOutcome, EndpointState, ListScope
 from tests.support.policy_recorder import PolicyRecorder
@@ -79,6 +79,6 @@
 
 def test_old_leavers_are_forgotten(guard: SendGuard):
     """Endpoints that left long ago are forgotten, the oldest first."""
-    for at in range(MAX_REMEMBERED_LEAVERS + 5):
+    for at in range(MAX_LEAVING_ENDPOINTS + 5):
         guard.endpoint_listed(float(at), at, False)
-    assert (len(guard._left_at), min(guard._left_at)) == (MAX_REMEMBERED_LEAVERS, 5)
+    assert (len(guard._leaving_since), min(guard._leaving_since)) == (MAX_LEAVING_ENDPOINTS, 5)
--- a/tests/lifecycle/test_snapshot.py
+++ b/tests/lifecycle/test_snapshot.py
@@ -13,7 +13,7 @@
 from sloeferry.config.settings_reader import build_settings
 from sloeferry.lifecycle.snapshot import restore_snapshot, take_snapshot
 from sloeferry.lifecycle.snapshot_store import SnapshotStore
-from sloeferry.lifecycle.takeover import site_digest
+from sloeferry.lifecycle.takeover import indexed_names_digest
 from sloeferry.policy.interface import AttemptOutcome, EndpointState
 from sloeferry.policy.policy import Policy
 from tests.support.golden import GoldenFiles
@@ -113,7 +113,7 @@
     expected = json.loads((STORED / "figures-87206be.json").read_text())
     settings = build_settings(expected["settings"])
     with mock.patch("sloeferry.lifecycle.snapshot_store.boot_id", lambda: expected["boot"]):
-        store = SnapshotStore(str(tmp_path), expected["name"], site_digest(settings))
+        store = SnapshotStore(str(tmp_path), expected["name"], indexed_names_digest(settings))
     assert Path(store.path).name == expected["folder"]
     shutil.copy(STORED / "snapshot-87206be", Path(store.path) / "snapshot")
     snapshot = store.read(expected["now_ms"] + 100.0)
--- a/tests/lifecycle/test_snapshot_store.py
+++ b/tests/lifecycle/test_snapshot_store.py
@@ -24,10 +24,10 @@
     lines: list[str] = []
     folder = str(tmp_path)
     first, second, other = (SnapshotStore(folder, name, "s") for name in ("n", "n", "m"))
-    second.show(True)
-    lines.append(f"others: {tuple(first.neighbours())}, {tuple(second.neighbours())}, {tuple(other.neighbours())}")
+    second.publish_ready(True)
+    lines.append(f"others: {tuple(first.find_peers())}, {tuple(second.find_peers())}, {tuple(other.find_peers())}")
     os.close(second._lock_fd)  # it was killed: nothing is tidied up
-    lines.append(f"after one was killed: {tuple(first.neighbours())}")
+    lines.append(f"after one was killed: {tuple(first.find_peers())}")
     lines.append(f"nothing yet: {read(first, 0.0)}")
     first.write(100.0, {"revision": 1}, {"x": [1.5]})
     third = SnapshotStore(folder, "n", "s")
--- a/tests/lifecycle/test_state.py
+++ b/tests/lifecycle/test_state.py
@@ -52,7 +52,7 @@
         for event in events:
             result = EVENTS[event](lifecycle)
             reply = "" if result is None else "yes " if result else "no "
-            ready = f"front {lifecycle.answers_ready()}, operators {lifecycle.is_ready()}"
+            ready = f"front {lifecycle.reports_ready()}, operators {lifecycle.is_ready()}"
             state = f"{lifecycle.state(3)}, {lifecycle.state(0)}"
             lines.append(f"{event}: {reply}{state}; {ready}, takes in {lifecycle.accepts_connections()}")
     golden.check(lines, "duty_states")
--- a/tests/network/test_discovery_client.py
+++ b/tests/network/test_discovery_client.py
@@ -94,7 +94,7 @@
         client = DiscoveryClient(loop, dispatcher, config, budget, Buffers(), pool, lifecycle)
         client.known = {"b": ()}
         connecting = loop.create_task(DiscoveryWatch(client, 1)._dial())
-        await wait_until(lifecycle.answers_ready)
+        await wait_until(lifecycle.reports_ready)
         harness.record(f"ready, connected: {connecting.done()}")
         server = await asyncio.start_server(lambda *_: None, "127.0.0.1", port)
         (await connecting).close()
--- a/tests/network/test_discovery_watch.py
+++ b/tests/network/test_discovery_watch.py
@@ -139,21 +139,21 @@
     async def story(harness: InstrumentedHarness) -> None:
         client, events = harness.discovery_client, harness.dispatcher.endpoint_events
         client.patience_ms = 50.0
-        connect, watch_is_missing = sockets.connect, events.watch_is_missing
+        connect, watch_unavailable = sockets.connect, events.watch_unavailable
         tries: list[tuple[str, int]] = []
         failed_polls: list[int] = []  # the tries before each
 
         def count_failed_poll(has_watch_ended: bool) -> None:
             if not has_watch_ended:
                 failed_polls.append(len(tries))
-            watch_is_missing(has_watch_ended)
+            watch_unavailable(has_watch_ended)
 
         async def connect_at_last(loop: Any, address: tuple[str, int], patience: float) -> socket.socket | None:
             tries.append(address)
             return None if len(tries) < 60 else await connect(loop, address, patience)
 
         with (
-            mock.patch.object(events, "watch_is_missing", count_failed_poll),
+            mock.patch.object(events, "watch_unavailable", count_failed_poll),
             mock.patch("sloeferry.network.sockets.connect", connect_at_last),
             mock.patch("sloeferry.network.discovery_watch.SILENT_SECONDS", 0.05),
         ):
@@ -201,8 +201,8 @@
         others = [dict(document, id=f"x{index}", phase="leaving") for index in range(900)]
         discovery.push(list_document(9, others + discovery.documents(("b", "leaving"))))
         await asyncio.sleep(0)  # it is written; of its 150 KB a turn reads 16
-        monitor.last_turn -= 1e6
-        await harness.dispatcher.loop_turned()
+        monitor.last_iteration_at -= 1e6
+        await harness.dispatcher.record_loop_iteration()
         harness.record(f"known of b: {harness.discovery_client.known['b'].state.value}")
 
     play_story(story, "crossing_former", InstrumentedHarness({"b": response()}))
--- a/tests/network/test_exchange.py
+++ b/tests/network/test_exchange.py
@@ -31,7 +31,7 @@
 
     def __init__(self, harness: ProxyHarness):
         self._loop = asyncio.get_running_loop()
-        self._dispatcher = types.SimpleNamespace(loop_turned=lambda: None)
+        self._dispatcher = types.SimpleNamespace(record_loop_iteration=lambda: None)
         self.pool = ConnectionPool(self._loop, build_settings({"schemes.count": 1}), DescriptorBudget(9), Buffers())
         self.pool.set_address("b", ("127.0.0.1", harness.backends.ports["b"]))
 
--- a/tests/network/test_load_shedding.py
+++ b/tests/network/test_load_shedding.py
@@ -41,7 +41,7 @@
     play_story(story, "door_shut", ProxyHarness({"b": response()}, retry_after=True))
 
 
-def attempts_out() -> int:
+def attempts_in_flight() -> int:
     """How many attempts the proxy in this loop carries out."""
     return sum("Exchange.run" in repr(task.get_coro()) for task in asyncio.all_tasks())
 
@@ -65,7 +65,7 @@
         harness.record("-- the next is met by silence")
         is_next_silent = True
         await harness.request("safe")
-        harness.record(f"answered, {attempts_out()} postings left out")
+        harness.record(f"answered, {attempts_in_flight()} postings left out")
 
     harness = ProxyHarness({"b": script, "c": script}, second_copies=True, probing=True)
     run_story(story, harness)
--- a/tests/support/instrumented_harness.py
+++ b/tests/support/instrumented_harness.py
@@ -124,11 +124,11 @@
         """A gate right before each first byte, where the proxy catches up with the list after a stall."""
         gate = Gate()
 
-        def loop_turned() -> asyncio.Future[Any] | None:
+        def record_loop_iteration() -> asyncio.Future[Any] | None:
             gate.held.set()
             return None if gate.opened.is_set() else asyncio.ensure_future(gate.opened.wait())
 
-        with mock.patch.object(self.dispatcher, "loop_turned", loop_turned):
+        with mock.patch.object(self.dispatcher, "record_loop_iteration", record_loop_iteration):
             yield gate
 
     def remaining(self) -> str:
