--- a/sloeferry/policy/overload_control.py
+++ b/sloeferry/policy/overload_control.py
@@ -73,7 +73,7 @@
         self.queue_timeout_ms = QUEUE_TIMEOUT_RATIO * self._objective_ms
         self.max_queue_wait_ms = MAX_QUEUE_WAIT_RATIO * min(each.deadline_ms for each in classes.all if not each.is_removed)
         self._max_priority_weight = max(each.priority_weight for each in classes.all) or 1.0
-        self._tells_retry_after = settings.limits.tells_retry_after
+        self._tells_retry_after = settings.limits.sends_retry_after
         self._quota_weights = [tenant.quota_weight for tenant in settings.tenants] or [1.0]
         new_tenants = len(self._quota_weights) - len(self.open_requests_by_tenant)
         self.open_requests_by_tenant += [0] * new_tenants
