--- a/sloeferry/fault_testing/planted_faults.py
+++ b/sloeferry/fault_testing/planted_faults.py
@@ -57,7 +57,7 @@
         "zombies",
         "3",
         "after it stood still, what discovery wrote is dropped with the watch",
-        (Edit("network/discovery_watch.py", "                if is_quiet(sock):\n", "                if True:\n"),),
+        (Edit("network/discovery_watch.py", "                if is_open_and_idle(sock):\n", "                if True:\n"),),
     ),
     "late-taken-for-new": PlantedFault(
         "zombies",
--- a/sloeferry/lifecycle/proxy_process.py
+++ b/sloeferry/lifecycle/proxy_process.py
@@ -103,7 +103,7 @@
             config,
             environ,
             (self.dispatcher, self.clients, self.pool, self.discovery),
-            self.discovery.move,
+            self.discovery.update_address,
         )
 
     async def run(
@@ -159,10 +159,10 @@
         recorder = DecisionRecorder(self.dispatcher, self._config, features.versions.carry)
         self.reload.recorder = self.discovery.recorder = recorder
         if features.versions.bring_up:
-            recorder.allow_bring_up(self.discovery.poll_anew, self.reload)
-        self.admin.calls.update(recorder.admin_calls())
-        if self.discovery.known and self.discovery.revision is not None:
-            recorder.list_applied(self.discovery.revision, self.discovery.known)
+            recorder.allow_bring_up(self.discovery.poll_complete_list, self.reload)
+        self.admin.routes.update(recorder.admin_calls())
+        if self.discovery.known_endpoints and self.discovery.revision is not None:
+            recorder.list_applied(self.discovery.revision, self.discovery.known_endpoints)
 
     async def _shutdown(self) -> None:
         for task in self._tasks:
--- a/sloeferry/lifecycle/takeover.py
+++ b/sloeferry/lifecycle/takeover.py
@@ -74,7 +74,7 @@
         self.snapshot = None
         self.look()
         if lifecycle.other_ready_processes:
-            self._loop.call_later(LIST_PATIENCE_SECONDS, discovery.list_is_late)
+            self._loop.call_later(LIST_PATIENCE_SECONDS, discovery.use_cached_list)
 
     def look(self) -> None:
         """Who is there now, and what that changes."""
@@ -115,7 +115,7 @@
         """A line when that fails, and one when it no longer does, none for each try between."""
         has_failed = self.store.last_error is not None
         learned = take_snapshot(self._dispatcher.policy)
-        is_written = self.store.write(now, self._discovery.document(), learned)
+        is_written = self.store.write(now, self._discovery.list_document(), learned)
         if not is_written and not has_failed:
             logger.warning("snapshot not written: error={!r}", self.store.last_error)
         elif is_written and has_failed:
--- a/sloeferry/network/admin_server.py
+++ b/sloeferry/network/admin_server.py
@@ -20,7 +20,7 @@
 from sloeferry.network.http1.message import Message
 from sloeferry.network.http1.stream import HttpStream
 from sloeferry.network.limited_log import warn
-from sloeferry.network.sockets import is_quiet, prepare_accepted
+from sloeferry.network.sockets import is_open_and_idle, prepare_accepted
 
 MAX_CALLERS = 12  # at a time, a descriptor each
 BEGIN_SECONDS = 0.02  # a caller's own to begin, before others push it out
@@ -30,8 +30,8 @@
 JSON_HEADERS = [(b"Content-Type", b"application/json")]
 NOT_FOUND, METHOD_NOT_ALLOWED, CONFLICT, UNAVAILABLE = 404, 405, 409, 503
 
-Answer = tuple[int, dict[str, Any]]  # status, JSON
-AdminCall = tuple[bytes, Callable[[bytes], Answer]]  # method, what answers a query
+AdminReply = tuple[int, dict[str, Any]]  # status, JSON
+AdminRoute = tuple[bytes, Callable[[bytes], AdminReply]]  # method, what answers a query
 
 
 class AdminServer:
@@ -54,7 +54,7 @@
         self._callers: dict[asyncio.Task, tuple[float, socket.socket]] = {}  # since when, in the order they came
         self._sock: socket.socket | None = None
         self._reopening: asyncio.TimerHandle | None = None
-        self.calls: dict[bytes, AdminCall] = {  # by path
+        self.routes: dict[bytes, AdminRoute] = {  # by path
             b"/admin/health": (b"GET", self._health),
             b"/admin/quiesce": (b"POST", self._drain),
             b"/admin/resume": (b"POST", self._resume),
@@ -63,26 +63,26 @@
 
     # Calls
 
-    def _health(self, query: bytes) -> Answer:
+    def _health(self, query: bytes) -> AdminReply:
         return self._state(self._lifecycle.is_ready())
 
-    def _drain(self, query: bytes) -> Answer:
+    def _drain(self, query: bytes) -> AdminReply:
         return self._state(self._lifecycle.drain(environment.monotonic_ms()))
 
-    def _resume(self, query: bytes) -> Answer:
+    def _resume(self, query: bytes) -> AdminReply:
         return self._state(self._lifecycle.resume(), status_if_not=CONFLICT)
 
-    def _guard(self, query: bytes) -> Answer:
+    def _guard(self, query: bytes) -> AdminReply:
         return 200, self._guard_figures()
 
-    def _state(self, is_so: bool, status_if_not: int = UNAVAILABLE) -> Answer:
+    def _state(self, is_so: bool, status_if_not: int = UNAVAILABLE) -> AdminReply:
         figures = self._client_figures()
         return 200 if is_so else status_if_not, {"state": self._lifecycle.state(figures["connections"]), **figures}
 
     def _respond(self, message: Message) -> bytes:
         target, _, query = message.url.partition(b"?")
         path = target[target.find(b"/", 8) :] if target.startswith(b"http://") else target
-        method, answer = self.calls.get(path, (None, None))
+        method, answer = self.routes.get(path, (None, None))
         if answer is None:
             return writer.response(NOT_FOUND, b'{"error":"no such call"}\n', JSON_HEADERS, keep_alive=False)
         if message.method != method:
@@ -135,7 +135,7 @@
         for task, (since, sock) in self._callers.items():
             if now - since < BEGIN_SECONDS:
                 return False
-            if is_quiet(sock):
+            if is_open_and_idle(sock):
                 del self._callers[task]
                 task.cancel()
                 return True
--- a/sloeferry/network/attempt.py
+++ b/sloeferry/network/attempt.py
@@ -14,7 +14,7 @@
 from sloeferry.network.body_stream import RequestBodyStream
 from sloeferry.network.connection_pool import ConnectionPool
 from sloeferry.network.deadline_timers import DeadlineTimers
-from sloeferry.network.exchange import Exchange, ExchangeEnd, ExchangePlan
+from sloeferry.network.exchange import Exchange, ExchangePlan, ExchangeResult
 from sloeferry.network.http1.message import Message
 from sloeferry.network.load_reports import NO_REPORT, LoadReportReader
 from sloeferry.policy.interface import SendAttempt
@@ -95,12 +95,12 @@
             on_first_byte=lambda: self._dispatcher.attempt_begins(context, number, endpoint_id),
             body=body,
             attempt_number=number,
-            waits_for_rested=True,
-            dial_until=min((context.arrived_at + context.deadline) / 2, began_at + max_dial_ms),
+            needs_settled=True,
+            dial_deadline=min((context.arrived_at + context.deadline) / 2, began_at + max_dial_ms),
         )
 
     def _report(
-        self, context: RequestContext, number: int, ended: ExchangeEnd, took_ms: float, load_report: Sequence[float]
+        self, context: RequestContext, number: int, ended: ExchangeResult, took_ms: float, load_report: Sequence[float]
     ) -> bool:
         """Whether the attempt's response is the request's."""
         try:
--- a/sloeferry/network/backend_connection.py
+++ b/sloeferry/network/backend_connection.py
@@ -6,7 +6,7 @@
 from sloeferry import environment
 from sloeferry.config.instance import Address
 from sloeferry.network.http1.stream import HttpStream
-from sloeferry.network.sockets import is_quiet, reset_on_close
+from sloeferry.network.sockets import is_open_and_idle, reset_on_close
 
 if TYPE_CHECKING:
     from sloeferry.network.connection_pool import ConnectionPool
@@ -27,19 +27,19 @@
         """Whether it still stands, and its backend will not close it for idleness any moment."""
         if environment.monotonic() - self.idle_since > self._pool.max_idle_seconds:
             return False
-        return is_quiet(self.sock)  # else an end, or bytes that nobody asked for
+        return is_open_and_idle(self.sock)  # else an end, or bytes that nobody asked for
 
-    def leads_to_endpoint(self) -> bool:
+    def has_current_address(self) -> bool:
         """Whether its endpoint still listens where this leads: it may have moved meanwhile."""
         return self._pool.addresses.get(self.endpoint_id) == self.address
 
-    def rest(self) -> None:
+    def mark_idle(self) -> None:
         """It is kept until it is needed again."""
         self.idle_since = environment.monotonic()
         self._pool.idle.setdefault(self.endpoint_id, []).append(self)
         self._pool.budget.mark_waiting(self, self.close)
 
-    def wake(self) -> None:
+    def mark_in_use(self) -> None:
         """It is needed again."""
         self._pool.idle[self.endpoint_id].remove(self)
         self._pool.budget.mark_active(self)
@@ -47,8 +47,8 @@
     def finish(self, keep_alive: bool) -> None:
         """A response has ended.  What more there is belongs to no attempt: the next would take it for its response."""
         has_more = self.stream.completed or self.stream.has_begun
-        if keep_alive and not has_more and self.leads_to_endpoint():
-            self.rest()
+        if keep_alive and not has_more and self.has_current_address():
+            self.mark_idle()
         else:
             self.close()
 
@@ -64,7 +64,7 @@
     def close(self) -> None:
         """It is gone, and its place in the budget free."""
         if self in self._pool.idle.get(self.endpoint_id, ()):
-            self.wake()
+            self.mark_in_use()
         self.stream.close()
         self.sock.close()
         self._pool.budget.give()
--- a/sloeferry/network/client_connection.py
+++ b/sloeferry/network/client_connection.py
@@ -17,7 +17,7 @@
 from sloeferry.network.request_carrier import RequestCarrier
 from sloeferry.network.request_intake import METHODS
 from sloeferry.network.request_reader import ReadEnd, RequestReader
-from sloeferry.network.sockets import is_quiet
+from sloeferry.network.sockets import is_open_and_idle
 
 if TYPE_CHECKING:
     from sloeferry.network.client_server import ClientServer
@@ -55,7 +55,7 @@
                 keep_alive = await self._reply(message, await self.carrier.carry(request, message))
             while keep_alive:
                 keep_alive = await self._serve_next()
-            if keep_alive is False and self.stream.fault is not StreamEnd.CLOSED and not is_quiet(self.sock):
+            if keep_alive is False and self.stream.fault is not StreamEnd.CLOSED and not is_open_and_idle(self.sock):
                 await self.replies.linger()  # it has sent more than was answered
         except OSError:  # the client has gone, or takes nothing more
             keep_alive = False
--- a/sloeferry/network/client_shutdown.py
+++ b/sloeferry/network/client_shutdown.py
@@ -9,7 +9,7 @@
 from sloeferry.dispatch.limits import SOCKET_SLACK_MS
 from sloeferry.network.client_connection import ClientConnection
 from sloeferry.network.listener import BACKLOG
-from sloeferry.network.sockets import is_quiet
+from sloeferry.network.sockets import is_open_and_idle
 
 if TYPE_CHECKING:
     from sloeferry.network.client_server import ClientServer
@@ -72,7 +72,7 @@
             return False
         if not self.is_grace_over and not self._may_close(connection):
             return False
-        return is_quiet(connection.sock)  # else a request, or an end, is there to be read
+        return is_open_and_idle(connection.sock)  # else a request, or an end, is there to be read
 
     def _may_close(self, connection: ClientConnection) -> bool:
         is_new, lifecycle = connection.is_new, self._server.lifecycle
--- a/sloeferry/network/connection_pool.py
+++ b/sloeferry/network/connection_pool.py
@@ -12,10 +12,10 @@
 from sloeferry.network.buffers import Buffers
 from sloeferry.network.descriptor_budget import DescriptorBudget
 from sloeferry.network.limited_log import warn
-from sloeferry.network.sockets import is_quiet
+from sloeferry.network.sockets import is_open_and_idle
 
 # A second response to one request may come so much later (some ms, by the protocol).
-SECOND_RESPONSE_SECONDS = 0.006
+DUPLICATE_RESPONSE_SECONDS = 0.006
 IDLE_LIMIT_RATIO = 0.8  # of the time after which a backend closes a connection at rest
 SWEEPS_PER_IDLE_LIMIT = 8
 # What has begun goes on within so much of the shortest latency objective, or it is given up.
@@ -56,15 +56,15 @@
         else:
             self.addresses[endpoint_id] = address
 
-    async def get(self, endpoint_id: str, waits_for_rested: bool, dial_until: float) -> BackendConnection | AttemptEnd:
+    async def acquire(self, endpoint_id: str, needs_settled: bool, dial_deadline: float) -> BackendConnection | AttemptEnd:
         """A connection to write on; else why there is none.
 
-        `waits_for_rested`: the caller cannot do with one that may still have a second response to come; `dial_until`: until
+        `needs_settled`: the caller cannot do with one that may still have a second response to come; `dial_deadline`: until
         when (ms) this machine's failing to dial is waited out.
         """
-        return await self._kept(endpoint_id, waits_for_rested) or await self._dial(endpoint_id, dial_until)
+        return await self._kept(endpoint_id, needs_settled) or await self._dial(endpoint_id, dial_deadline)
 
-    async def _kept(self, endpoint_id: str, waits_for_rested: bool) -> BackendConnection | None:
+    async def _kept(self, endpoint_id: str, needs_settled: bool) -> BackendConnection | None:
         """A kept connection found alive.
 
         The newest, which its backend will close last, of those that have rested: a second response, on its way still, would
@@ -73,25 +73,25 @@
         """
         while kept := self.idle.get(endpoint_id):
             now = environment.monotonic()
-            rested = now - SECOND_RESPONSE_SECONDS
+            rested = now - DUPLICATE_RESPONSE_SECONDS
             connection = next((each for each in reversed(kept) if each.idle_since <= rested), kept[0])
             if not connection.is_usable():
                 connection.close()
                 continue
-            connection.wake()
-            if waits_for_rested and (seconds_left := connection.idle_since + SECOND_RESPONSE_SECONDS - now) > 0:
+            connection.mark_in_use()
+            if needs_settled and (seconds_left := connection.idle_since + DUPLICATE_RESPONSE_SECONDS - now) > 0:
                 try:
                     await asyncio.sleep(seconds_left)
                 except asyncio.CancelledError:
                     connection.finish(keep_alive=True)
                     raise
-                if not is_quiet(connection.sock):
+                if not is_open_and_idle(connection.sock):
                     connection.close()
                     continue
             return connection
         return None
 
-    async def _dial(self, endpoint_id: str, dial_until: float) -> BackendConnection | AttemptEnd:
+    async def _dial(self, endpoint_id: str, dial_deadline: float) -> BackendConnection | AttemptEnd:
         """A new connection; where this machine cannot dial just now, it is tried again until then at the most."""
         address = self.addresses.get(endpoint_id)
         # No place, no socket: this proxy's own want, no word against the backend.
@@ -99,13 +99,13 @@
             return AttemptEnd.NOT_WANTED
         sock: socket.socket | AttemptEnd = AttemptEnd.NOT_WANTED
         try:
-            sock = await self._dial_with_retries(endpoint_id, address, dial_until)
+            sock = await self._dial_with_retries(endpoint_id, address, dial_deadline)
         finally:
             if isinstance(sock, AttemptEnd):
                 self.budget.give()
         return sock if isinstance(sock, AttemptEnd) else BackendConnection(self, endpoint_id, address, sock)
 
-    async def _dial_with_retries(self, endpoint_id: str, address: Address, dial_until: float) -> socket.socket | AttemptEnd:
+    async def _dial_with_retries(self, endpoint_id: str, address: Address, dial_deadline: float) -> socket.socket | AttemptEnd:
         """A connected socket, or why there is none."""
         pause_ms = FIRST_REDIAL_MS
         while True:
@@ -115,7 +115,7 @@
                 return await sockets.connect(self.loop, address, timeout_ms) or AttemptEnd.CONNECTION_LOST
             except OSError as error:
                 warn("dial failed", "backend={} address={}:{} error={!r}", endpoint_id, *address, error)
-                if environment.monotonic_ms() + pause_ms > dial_until:
+                if environment.monotonic_ms() + pause_ms > dial_deadline:
                     return AttemptEnd.NOT_WANTED
                 await asyncio.sleep(pause_ms / 1000)
                 pause_ms = min(2 * pause_ms, MAX_REDIAL_MS)
--- a/sloeferry/network/connection_sweeper.py
+++ b/sloeferry/network/connection_sweeper.py
@@ -7,7 +7,7 @@
 from sloeferry.network import stall_accounting
 from sloeferry.network.client_connection import ClientConnection
 from sloeferry.network.limited_log import warn
-from sloeferry.network.sockets import is_quiet
+from sloeferry.network.sockets import is_open_and_idle
 
 if TYPE_CHECKING:
     from sloeferry.network.client_server import ClientServer
@@ -68,7 +68,7 @@
         budget = self._server.budget
         idle = list(budget.idle.items())
         for connection, (since, close) in idle[: max(0, len(idle) - int(budget.limit * MAX_IDLE_FRACTION))]:
-            if environment.monotonic() - since > SPARE_IDLE_SECONDS and is_quiet(connection.sock):
+            if environment.monotonic() - since > SPARE_IDLE_SECONDS and is_open_and_idle(connection.sock):
                 close()
 
     async def look_at_loop_and_requests(self) -> None:
--- a/sloeferry/network/descriptor_budget.py
+++ b/sloeferry/network/descriptor_budget.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from sloeferry import environment
-from sloeferry.network.sockets import is_quiet
+from sloeferry.network.sockets import is_open_and_idle
 
 
 class Connection(Protocol):
@@ -59,7 +59,7 @@
             if environment.monotonic() - since < min_seconds:
                 return False
             del waiting[connection]
-            if is_quiet(connection.sock):
+            if is_open_and_idle(connection.sock):
                 close()
                 return True
             waiting[connection] = environment.monotonic(), close  # a request is there, only not read yet; or the end is
--- a/sloeferry/network/discovery_client.py
+++ b/sloeferry/network/discovery_client.py
@@ -16,9 +16,9 @@
 from sloeferry.network.buffers import Buffers
 from sloeferry.network.connection_pool import ConnectionPool
 from sloeferry.network.descriptor_budget import DescriptorBudget
-from sloeferry.network.discovery_documents import DocumentReader
+from sloeferry.network.discovery_documents import DocumentCodec
 from sloeferry.network.discovery_watch import DiscoveryWatch, PollPhase
-from sloeferry.network.sockets import is_quiet
+from sloeferry.network.sockets import is_open_and_idle
 from sloeferry.policy.interface import EndpointState
 
 if TYPE_CHECKING:
@@ -46,9 +46,9 @@
         buffers: Buffers,
         pool: ConnectionPool,
         lifecycle: Lifecycle,
-        is_another_serving: bool = False,
+        is_other_process_serving: bool = False,
     ):
-        """`is_another_serving`: another process of this proxy serves meanwhile."""
+        """`is_other_process_serving`: another process of this proxy serves meanwhile."""
         self.loop = loop
         self.events = dispatcher.endpoint_events
         self.budget = budget
@@ -58,10 +58,10 @@
         self._lifecycle = lifecycle  # told once a list is at hand
         self.address = config.discovery
         # Of the start, for as long as the process runs: what is known counts by these indexes.
-        self._documents = DocumentReader(config.settings)
+        self._documents = DocumentCodec(config.settings)
         self._is_pushed = not config.settings.is_endpoint_list_polled
         self.update_config(config)
-        self.known: dict[str, ListedEndpoint] = {}
+        self.known_endpoints: dict[str, ListedEndpoint] = {}
         self.revision: int | None = None  # None: the whole list is to be asked for
         self.is_watching = False  # the current watch has told its list
         self._watch_task: asyncio.Task | None = None
@@ -73,18 +73,18 @@
         # cached list is no list until it is known that there is none to be had.
         self._held = config.cached_endpoints if self._is_pushed else None
         if config.cached_endpoints and not self._is_pushed:
-            self._take_in_cached(config.cached_endpoints, is_another_serving)
+            self._take_in_cached(config.cached_endpoints, is_other_process_serving)
 
-    def _take_in_cached(self, cached: Mapping[str, Any], is_another_serving: bool) -> None:
+    def _take_in_cached(self, cached: Mapping[str, Any], is_other_process_serving: bool) -> None:
         """Takes in the list as an earlier process last held it.
 
         A fleet that restarts as one polls a discovery that has no time for all: who knows whom to send to serves on that,
         under rule 3 as ever, and polls when its turn comes.  A process that takes over has another that serves meanwhile,
         and hears the list itself first.
         """
-        self.take_in(cached, is_cached=True)
-        is_any_ready = any(each.state is EndpointState.READY for each in self.known.values())
-        if is_any_ready and not is_another_serving:
+        self.apply_list(cached, is_cached=True)
+        is_any_ready = any(each.state is EndpointState.READY for each in self.known_endpoints.values())
+        if is_any_ready and not is_other_process_serving:
             self._lifecycle.discovery_settled()
 
     def update_config(self, config: InstanceConfig) -> None:
@@ -93,7 +93,7 @@
         A poll may never take longer than a watch may be silent: before its first list it is none yet.
         """
         obligations, limits = config.settings.obligations, config.settings.limits
-        self.patience_ms = min(obligations.poll_within_ms * POLL_PATIENCE_RATIO, discovery_watch.SILENT_SECONDS * 1000)
+        self.poll_timeout_ms = min(obligations.poll_within_ms * POLL_PATIENCE_RATIO, discovery_watch.MAX_SILENCE_SECONDS * 1000)
         self.connect_timeout_ms = self.redial_pause_ms = limits.connect_timeout_ms
         if self._is_pushed:
             # What the platform's agent has counts as notified, watch or no watch.
@@ -138,7 +138,7 @@
         if not self.is_current_task():
             return  # its successor is on its way, and will say how that went
         self.is_watching = False
-        self.list_is_late()
+        self.use_cached_list()
         self._lifecycle.discovery_settled()
         has_watch_ended = watch.phase is PollPhase.WATCHING and watch.silent_since is None
         self.events.watch_is_missing(has_watch_ended)
@@ -155,7 +155,7 @@
             if is_current or not self.is_watching:  # else its successor has told the list meanwhile
                 self.events.watch_ended()
         elif is_current:
-            self.events.poll_failed(watch.poll_end(now, self.patience_ms), watch.began_at, watch.tried_at)
+            self.events.poll_failed(watch.poll_end(now, self.poll_timeout_ms), watch.began_at, watch.tried_at)
 
     def watch_confirmed(self) -> None:
         """A watch said something, a list or a sign of life."""
@@ -164,22 +164,22 @@
         if self.recorder:
             self.recorder.list_confirmed()
 
-    def list_is_late(self) -> None:
+    def use_cached_list(self) -> None:
         """The list has not come in the time there is: the cached one has to do, under rule 3 as ever."""
         if self._held:
-            self.take_in(self._held, is_cached=True)
-        if self.known:
+            self.apply_list(self._held, is_cached=True)
+        if self.known_endpoints:
             self._lifecycle.discovery_settled()
 
-    def move(self, address: Address) -> None:
+    def update_address(self, address: Address) -> None:
         """Discovery is somewhere else: the whole list is asked for there, since its revisions are its own."""
         if address == self.address:
             return
         logger.info("discovery moves: discovery={}:{}", *address)
         self.address = address
-        self.poll_anew()
+        self.poll_complete_list()
 
-    def poll_anew(self) -> None:
+    def poll_complete_list(self) -> None:
         """The whole list is asked for on another watch; the one that stands goes on telling until that has come.
 
         After several moves it is the one that still stands.
@@ -198,37 +198,37 @@
         quiet_turns = 0  # in a row: what was read last is yet to be taken in
         for _ in range(MAX_TURNS):
             await asyncio.sleep(0)
-            quiet_turns = quiet_turns + 1 if all(is_quiet(sock) for sock in self.open_sockets) else 0
+            quiet_turns = quiet_turns + 1 if all(is_open_and_idle(sock) for sock in self.open_sockets) else 0
             if quiet_turns > TURNS_UNTIL_TAKEN_IN:
                 return
 
     # Lists
 
-    def document(self) -> dict[str, Any]:
+    def list_document(self) -> dict[str, Any]:
         """The list as it is known, in discovery's form."""
-        return self._documents.write_list(self.revision or 0, self.known, self._pool.addresses)
+        return self._documents.write_list(self.revision or 0, self.known_endpoints, self._pool.addresses)
 
-    def take_in(self, document: Any, poll: int = 0, is_cached: bool = False) -> bool:
+    def apply_list(self, document: Any, poll: int = 0, is_cached: bool = False) -> bool:
         """A list or what changed in it, as poll number `poll` brought it; whether it was one."""
         listed = self._documents.read_list(document)
         if listed is None:
             return False
         endpoints = self._read_entries(listed.entries)
-        known = endpoints if listed.is_complete else self.known | endpoints
+        known = endpoints if listed.is_complete else self.known_endpoints | endpoints
         newly_started = set() if listed.is_complete else self._newly_started(endpoints)
         is_current = is_cached or self.is_current_task()
         if is_current:
             self.revision = listed.revision
-        self.known = {id_: each for id_, each in known.items() if each.state is not EndpointState.GONE}
+        self.known_endpoints = {id_: each for id_, each in known.items() if each.state is not EndpointState.GONE}
         self._held = None
-        for endpoint_id in [each for each in self._pool.addresses if each not in self.known]:
+        for endpoint_id in [each for each in self._pool.addresses if each not in self.known_endpoints]:
             self._pool.set_address(endpoint_id, None)
         _log_list(poll, listed.revision, listed.is_complete, endpoints)
         if is_current and not is_cached:
             self._watch_told_list()
         if self.recorder:
             source = None if is_cached else "discovery at {}:{}".format(*self.address)
-            self.recorder.list_applied(listed.revision, self.known, source)
+            self.recorder.list_applied(listed.revision, self.known_endpoints, source)
         self.events.listed(listed.is_complete, list(endpoints.values()), is_cached, newly_started, is_current)
         if is_current and not is_cached:
             self.events.watch_confirmed()
@@ -237,7 +237,7 @@
     def _read_entries(self, entries: list[Any]) -> dict[str, ListedEndpoint]:
         endpoints = {}
         for entry in entries:
-            read = self._documents.read_entry(entry, self.known)
+            read = self._documents.read_entry(entry, self.known_endpoints)
             if read is None:
                 continue
             endpoint = endpoints[read.endpoint.endpoint_id] = read.endpoint
@@ -254,7 +254,8 @@
         return {
             endpoint_id
             for endpoint_id, endpoint in endpoints.items()
-            if endpoint_id not in self.known or self.known[endpoint_id].started_at_unix_ms != endpoint.started_at_unix_ms
+            if endpoint_id not in self.known_endpoints
+            or self.known_endpoints[endpoint_id].started_at_unix_ms != endpoint.started_at_unix_ms
         }
 
     def _watch_told_list(self) -> None:
--- a/sloeferry/network/discovery_documents.py
+++ b/sloeferry/network/discovery_documents.py
@@ -15,7 +15,7 @@
 MAX_QUOTED = 120  # characters of what was not understood
 
 
-class EndpointDocument(NamedTuple):
+class EndpointEntry(NamedTuple):
     """One entry of a list document."""
 
     endpoint: ListedEndpoint
@@ -30,7 +30,7 @@
     entries: list[Any]  # as they came
 
 
-class DocumentReader:
+class DocumentCodec:
     """Reads documents, with zones and kinds of machines as indexes into the settings of the start."""
 
     def __init__(self, settings: Settings):
@@ -46,7 +46,7 @@
             return None
         return ListDocument(revision, document.get(protocol.IS_COMPLETE) is True, entries)
 
-    def read_entry(self, entry: Any, known: Mapping[str, ListedEndpoint]) -> EndpointDocument | None:
+    def read_entry(self, entry: Any, known: Mapping[str, ListedEndpoint]) -> EndpointEntry | None:
         """One entry; one that cannot be read stays as it was known, None if it was not."""
         endpoint_id = entry.get(protocol.ENDPOINT_ID) if isinstance(entry, dict) else None
         if not isinstance(endpoint_id, str):
@@ -60,11 +60,11 @@
         if before is None:
             return None
         # What it says for certain holds: a drain must not go unheard for the sake of a broken address (rule 3).
-        if state in (protocol.STATE_WORDS[EndpointState.DRAINING], protocol.STATE_WORDS[EndpointState.GONE]):
+        if state in (protocol.STATE_NAMES[EndpointState.DRAINING], protocol.STATE_NAMES[EndpointState.GONE]):
             before = before._replace(state=protocol.ENDPOINT_STATES[state])
-        return EndpointDocument(before, None)
+        return EndpointEntry(before, None)
 
-    def _read_entry(self, endpoint_id: str, entry: Mapping[str, Any]) -> EndpointDocument:
+    def _read_entry(self, endpoint_id: str, entry: Mapping[str, Any]) -> EndpointEntry:
         state = protocol.ENDPOINT_STATES[entry[protocol.ENDPOINT_STATE]]
         host, _, port = entry[protocol.ENDPOINT_ADDRESS].rpartition(":")
         address = host, int(port)
@@ -85,7 +85,7 @@
             capacity_share,
             started_at,
         )
-        return EndpointDocument(endpoint, address)
+        return EndpointEntry(endpoint, address)
 
     def write_list(self, revision: int, known: Mapping[str, ListedEndpoint], addresses: Mapping[str, Address]) -> dict[str, Any]:
         """The list as it is known, in discovery's form, for a snapshot."""
@@ -101,7 +101,7 @@
                     protocol.ENDPOINT_ZONE: zones.get(endpoint.zone, endpoint.zone),
                     protocol.MACHINE_KIND: kinds.get(endpoint.machine_kind, endpoint.machine_kind),
                     protocol.ENDPOINT_CELL: endpoint.cell,
-                    protocol.ENDPOINT_STATE: protocol.STATE_WORDS[endpoint.state],
+                    protocol.ENDPOINT_STATE: protocol.STATE_NAMES[endpoint.state],
                     protocol.CAPACITY_SHARE: endpoint.capacity_share,
                     protocol.STARTED_AT_UNIX_MS: endpoint.started_at_unix_ms,
                 }
--- a/sloeferry/network/discovery_watch.py
+++ b/sloeferry/network/discovery_watch.py
@@ -14,13 +14,13 @@
 from sloeferry.network.http1.stream import HttpStream
 from sloeferry.network.json_stream import JsonStream
 from sloeferry.network.limited_log import warn
-from sloeferry.network.sockets import is_quiet
+from sloeferry.network.sockets import is_open_and_idle
 from sloeferry.policy.endpoint_staleness import PollEnd
 
 if TYPE_CHECKING:
     from sloeferry.network.discovery_client import DiscoveryClient
 
-SILENT_SECONDS = 2.5  # a watch says something every 2 s
+MAX_SILENCE_SECONDS = 2.5  # a watch says something every 2 s
 # Of a poll's patience: discovery that ends it sooner is there, and has no time.
 QUICK_END_RATIO = 0.25
 # Of it: a poll that waits on with no byte of a response is taken for an outage's.
@@ -56,13 +56,13 @@
         self._documents: list[Any] = []  # received and not taken in yet
         self._is_alive = False  # an empty line came, a sign of life
 
-    def poll_end(self, now: float, patience_ms: float) -> PollEnd:
-        """How it failed, if it brought no list; `patience_ms` is for how long a poll may take."""
+    def poll_end(self, now: float, poll_timeout_ms: float) -> PollEnd:
+        """How it failed, if it brought no list; `poll_timeout_ms` is for how long a poll may take."""
         if self.phase is PollPhase.NOT_DIALED:
             return PollEnd.NOT_MADE
         if self.phase is PollPhase.DIALED:
             return PollEnd.UNREACHABLE
-        if self.phase is PollPhase.ANSWERED or now - self.tried_at < QUICK_END_RATIO * patience_ms:
+        if self.phase is PollPhase.ANSWERED or now - self.tried_at < QUICK_END_RATIO * poll_timeout_ms:
             return PollEnd.REFUSED
         return PollEnd.UNANSWERED
 
@@ -92,10 +92,10 @@
         client = self._client
         if not client.budget.take():
             return None
-        until, sock = self._loop.time() + client.patience_ms / 1000, None
+        until, sock = self._loop.time() + client.poll_timeout_ms / 1000, None
         try:
             while not (sock := await self._dial_once()):
-                client.list_is_late()
+                client.use_cached_list()
                 if self.phase is PollPhase.DIALED and client.is_current_task():
                     client.events.poll_waiting(self.began_at, self.tried_at)
                 if self._loop.time() >= until and not client.events.is_watch_overdue():
@@ -123,7 +123,7 @@
 
     def _request(self) -> bytes:
         client = self._client
-        after = "" if client.revision is None else f"{protocol.AFTER_REVISION}{client.revision}"
+        after = "" if client.revision is None else f"{protocol.REVISION_PARAMETER}{client.revision}"
         host = "{}:{}".format(*client.address).encode()
         return writer.request(b"GET", (protocol.ENDPOINTS_PATH + after).encode(), [(b"Host", host)])
 
@@ -133,7 +133,7 @@
         stream = HttpStream(self._loop, sock, client.buffers, is_response=True, on_body=self._body_came)
         try:
             # A poll waits its turn at discovery; a watch that stands says something now and then.
-            due = self._loop.time() + client.patience_ms / 1000
+            due = self._loop.time() + client.poll_timeout_ms / 1000
             async with asyncio.timeout_at(due):
                 await self._loop.sock_sendall(sock, self._request())
             if not await self._take_in_until_end(stream, sock, due):
@@ -159,18 +159,18 @@
             if not await self._receive(stream, sock, due):
                 # After this program stood still the time is over before anything is read: what lies there are changes,
                 # and dropped with the watch they would be heard only when the next one stands (rule 3).
-                if is_quiet(sock):
+                if is_open_and_idle(sock):
                     self.silent_since = heard_at
                     return False
-                due = self._loop.time() + SILENT_SECONDS
+                due = self._loop.time() + MAX_SILENCE_SECONDS
             is_alive = self._is_alive or bool(self._documents)
             while self._documents:
-                if self._client.take_in(self._documents.pop(0), self.number):
+                if self._client.apply_list(self._documents.pop(0), self.number):
                     self.phase = PollPhase.WATCHING
             # A sign of life, an empty line or what cannot be read, is one of a watch that has told its list and is not
             # half way through another.
             if is_alive and self.phase is PollPhase.WATCHING:
-                due, heard_at = self._loop.time() + SILENT_SECONDS, environment.monotonic_ms()
+                due, heard_at = self._loop.time() + MAX_SILENCE_SECONDS, environment.monotonic_ms()
                 self._client.watch_confirmed()
             self._is_alive = False
         return True
@@ -179,10 +179,10 @@
         """Receives once, until `due`; whether anything came."""
         if self.phase < PollPhase.ANSWERED and not self._is_outage_considered:
             self._is_outage_considered = True
-            outage_at = self.tried_at + OUTAGE_RATIO * self._client.patience_ms
+            outage_at = self.tried_at + OUTAGE_RATIO * self._client.poll_timeout_ms
             if await stream.receive_within(max(0.0, (outage_at - environment.monotonic_ms()) / 1000)):
                 return True
-            if self._client.is_current_task() and is_quiet(sock):
+            if self._client.is_current_task() and is_open_and_idle(sock):
                 self._client.events.poll_waiting(self.began_at, self.tried_at)
         return await stream.receive_within(max(0.0, due - self._loop.time()))
 
--- a/sloeferry/network/exchange.py
+++ b/sloeferry/network/exchange.py
@@ -20,10 +20,10 @@
 from sloeferry.network.http1.framing import StreamEnd
 from sloeferry.network.http1.message import Message
 from sloeferry.network.limited_log import warn
-from sloeferry.network.sockets import is_quiet
+from sloeferry.network.sockets import is_open_and_idle
 
 
-class ExchangeEnd(NamedTuple):
+class ExchangeResult(NamedTuple):
     """How far an exchange came, and why it ended there; where a response came, its reader says how that counts."""
 
     progress: AttemptProgress
@@ -42,8 +42,8 @@
     on_first_byte: Callable[[], None] | None = None  # told as it goes out
     body: RequestBodyStream | None = None  # longer than what is written at first
     attempt_number: int = 0
-    waits_for_rested: bool = False  # `ConnectionPool.get`
-    dial_until: float = 0.0  # until when this machine's failing to dial is waited out
+    needs_settled: bool = False  # `ConnectionPool.acquire`
+    dial_deadline: float = 0.0  # until when this machine's failing to dial is waited out
 
 
 class Exchange:
@@ -60,7 +60,7 @@
         self._end = AttemptEnd.CONNECTION_LOST
         self._response: Message | None = None
 
-    async def run(self) -> ExchangeEnd:
+    async def run(self) -> ExchangeResult:
         """Runs it to its end; what goes wrong is part of the result, never an exception."""
         plan = self._plan
         self._task = asyncio.current_task()
@@ -81,14 +81,14 @@
             self._progress = AttemptProgress.COMPLETELY_WRITTEN
         self._timer.cancel()
         self._release_connection()
-        return ExchangeEnd(self._progress_in_doubt(), self._end, self._response)
+        return ExchangeResult(self._progress_in_doubt(), self._end, self._response)
 
     # Phases
 
     async def _begin(self) -> bool:
         """Connects; whether the request may be written."""
         plan = self._plan
-        connection = await self._pool.get(plan.endpoint_id, plan.waits_for_rested, plan.dial_until)
+        connection = await self._pool.acquire(plan.endpoint_id, plan.needs_settled, plan.dial_deadline)
         if isinstance(connection, AttemptEnd):
             self._end = connection
             return False
@@ -97,7 +97,7 @@
             await asyncio.wait([catching_up])
         # A dial takes time: the address may be another endpoint's by now.
         is_late = environment.monotonic_ms() >= plan.deadline
-        if is_late or not connection.leads_to_endpoint() or not plan.may_begin():
+        if is_late or not connection.has_current_address() or not plan.may_begin():
             self._end = AttemptEnd.NOT_WANTED
             return False
         return True
@@ -127,7 +127,7 @@
         try:
             while not body.is_complete:
                 part = await body.next_part()
-                if not is_quiet(sock):
+                if not is_open_and_idle(sock):
                     return True
                 timer = self._timers.set(self._loop.time() + MAX_BACKEND_PAUSE_SECONDS, self._task)
                 try:
--- a/sloeferry/network/load_reports.py
+++ b/sloeferry/network/load_reports.py
@@ -7,7 +7,7 @@
 from sloeferry.config.settings import Settings
 from sloeferry.network.limited_log import warn
 
-MAX_REMEMBERED = 512  # reports that were read: they say few different things
+MAX_CACHED_REPORTS = 512  # reports that were read: they say few different things
 NO_REPORT: Sequence[float] = ()
 
 
@@ -28,7 +28,7 @@
             report = json.loads(text)
             figures = [float(report[name]) for name in self.fields]
             if all(math.isfinite(figure) for figure in figures):
-                if len(self._remembered) >= MAX_REMEMBERED:
+                if len(self._remembered) >= MAX_CACHED_REPORTS:
                     self._remembered.clear()
                 self._remembered[text] = figures
                 return figures
--- a/sloeferry/network/protocol.py
+++ b/sloeferry/network/protocol.py
@@ -31,7 +31,7 @@
 
 # Discovery
 ENDPOINTS_PATH = "/v1/endpoints?stream=1"
-AFTER_REVISION = "&index="
+REVISION_PARAMETER = "&index="
 
 REVISION = "revision"
 IS_COMPLETE = "complete"
@@ -50,4 +50,4 @@
     "leaving": EndpointState.DRAINING,
     "left": EndpointState.GONE,
 }
-STATE_WORDS = {state: word for word, state in ENDPOINT_STATES.items()}
+STATE_NAMES = {state: word for word, state in ENDPOINT_STATES.items()}
--- a/sloeferry/network/sockets.py
+++ b/sloeferry/network/sockets.py
@@ -27,7 +27,7 @@
 )
 
 
-def is_quiet(sock: socket.socket) -> bool:
+def is_open_and_idle(sock: socket.socket) -> bool:
     """Whether a socket stands and there is nothing to be read from it: no bytes and no end."""
     try:
         sock.recv(1, socket.MSG_PEEK)
--- a/sloeferry/network/stall_accounting.py
+++ b/sloeferry/network/stall_accounting.py
@@ -10,7 +10,7 @@
 
 from sloeferry import environment
 from sloeferry.network.listener import BACKLOG
-from sloeferry.network.sockets import is_quiet
+from sloeferry.network.sockets import is_open_and_idle
 
 if TYPE_CHECKING:
     from sloeferry.network.client_server import ClientServer
@@ -48,7 +48,7 @@
         """What lies unread has waited for most of the stall, and its client's time runs from when it was sent."""
         server, listener = self._server, self._server.listener
         for connection in server.connections:
-            has_nothing_unread = connection.is_busy or is_quiet(connection.sock)
+            has_nothing_unread = connection.is_busy or is_open_and_idle(connection.sock)
             connection.reader.unread_ms = 0.0 if has_nothing_unread else stalled_ms
         if server.lifecycle.is_stopping:
             return
--- a/tests/network/test_discovery_client.py
+++ b/tests/network/test_discovery_client.py
@@ -77,7 +77,7 @@
         b"\x00nonsense\r\n\r\n",
         STREAM_HEAD + b'30\r\n{"revision":7,"complete":false,"members":[]}   \n\r\n',
     ]
-    with mock.patch("sloeferry.network.discovery_watch.SILENT_SECONDS", 0.1):
+    with mock.patch("sloeferry.network.discovery_watch.MAX_SILENCE_SECONDS", 0.1):
         play_story(story, "sockets_rough_discovery", harness)
 
 
@@ -92,7 +92,7 @@
         dispatcher = types.SimpleNamespace(endpoint_events=None, host=None)
         pool = ConnectionPool(loop, settings, budget, Buffers())
         client = DiscoveryClient(loop, dispatcher, config, budget, Buffers(), pool, lifecycle)
-        client.known = {"b": ()}
+        client.known_endpoints = {"b": ()}
         connecting = loop.create_task(DiscoveryWatch(client, 1)._dial())
         await wait_until(lifecycle.answers_ready)
         harness.record(f"ready, connected: {connecting.done()}")
--- a/tests/network/test_discovery_push.py
+++ b/tests/network/test_discovery_push.py
@@ -94,11 +94,11 @@
     async def story(harness: InstrumentedHarness) -> None:
         polls, client = harness.discovery.polls, harness.discovery_client
         harness.discovery.scripted_responses = [b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"]
-        client.poll_anew()
+        client.poll_complete_list()
         await wait_until(lambda: len(polls) == 3 and client.is_watching)
         await wait_until(lambda: len(client.open_sockets) == 1)  # the former one ends a turn of the loop later
         harness.record(f"{len(polls)} calls, {len(client.open_sockets)} watches")
 
     # The former one is not to end by itself.
-    with mock.patch("sloeferry.network.discovery_watch.SILENT_SECONDS", 60.0):
+    with mock.patch("sloeferry.network.discovery_watch.MAX_SILENCE_SECONDS", 60.0):
         play_story(story, "crossing_pushed_former", InstrumentedHarness({"b": response()}, settings=PUSHED))
--- a/tests/network/test_discovery_watch.py
+++ b/tests/network/test_discovery_watch.py
@@ -25,7 +25,7 @@
 def impatient(silent_seconds: float) -> Iterator[None]:
     """A watch is silent after that time, and polls back off shortly."""
     with (
-        mock.patch("sloeferry.network.discovery_watch.SILENT_SECONDS", silent_seconds),
+        mock.patch("sloeferry.network.discovery_watch.MAX_SILENCE_SECONDS", silent_seconds),
         mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0),
     ):
         yield
@@ -48,10 +48,10 @@
             piece = text[at : at + 40].encode()
             discovery.watches[0].write(b"%x\r\n%b\r\n" % (len(piece), piece))
         discovery.push("")
-        await wait_until(lambda: client.known["b"].state is EndpointState.DRAINING or client.revision == 99)
+        await wait_until(lambda: client.known_endpoints["b"].state is EndpointState.DRAINING or client.revision == 99)
         await harness.request("safe")
         discovery.list_endpoints("b", is_complete=False)
-        await wait_until(lambda: client.known["b"].state is EndpointState.READY)
+        await wait_until(lambda: client.known_endpoints["b"].state is EndpointState.READY)
         [entry] = discovery.documents(("b", "leaving"))
         discovery.push(list_document(7, [dict(entry, host_port="nowhere")]))
         await wait_until(lambda: client.revision == 7)
@@ -124,7 +124,7 @@
             harness.record(f"the watch: {watch_silent.call_count} silent")
             await wait_until(lambda: len(discovery.polls) > 1 and client.is_watching)
             discovery.scripted_responses = [b""] * 99
-            client.poll_anew()  # as after a move
+            client.poll_complete_list()  # as after a move
             discovery.watches[-1].write(BLANK_LINE)
             await wait_until(lambda: watch_silent.call_count > 1)
             harness.record(f"the former one: {watch_silent.call_count} silent")
@@ -138,7 +138,7 @@
 
     async def story(harness: InstrumentedHarness) -> None:
         client, events = harness.discovery_client, harness.dispatcher.endpoint_events
-        client.patience_ms = 50.0
+        client.poll_timeout_ms = 50.0
         connect, watch_is_missing = sockets.connect, events.watch_is_missing
         tries: list[tuple[str, int]] = []
         failed_polls: list[int] = []  # the tries before each
@@ -155,7 +155,7 @@
         with (
             mock.patch.object(events, "watch_is_missing", count_failed_poll),
             mock.patch("sloeferry.network.sockets.connect", connect_at_last),
-            mock.patch("sloeferry.network.discovery_watch.SILENT_SECONDS", 0.05),
+            mock.patch("sloeferry.network.discovery_watch.MAX_SILENCE_SECONDS", 0.05),
         ):
             harness.discovery.list_endpoints("b", is_complete=False)
             await wait_until(lambda: len(harness.discovery.polls) == 2 and client.is_watching)
@@ -195,7 +195,7 @@
     async def story(harness: InstrumentedHarness) -> None:
         discovery, monitor = harness.discovery, harness.dispatcher.loop_monitor
         discovery.scripted_responses = [b""] * 9
-        harness.discovery_client.poll_anew()
+        harness.discovery_client.poll_complete_list()
         await wait_until(lambda: len(discovery.polls) == 2)
         [document] = discovery.documents("b")
         others = [dict(document, id=f"x{index}", phase="leaving") for index in range(900)]
@@ -203,7 +203,7 @@
         await asyncio.sleep(0)  # it is written; of its 150 KB a turn reads 16
         monitor.last_turn -= 1e6
         await harness.dispatcher.loop_turned()
-        harness.record(f"known of b: {harness.discovery_client.known['b'].state.value}")
+        harness.record(f"known of b: {harness.discovery_client.known_endpoints['b'].state.value}")
 
     play_story(story, "crossing_former", InstrumentedHarness({"b": response()}))
 
@@ -216,8 +216,8 @@
         members = [dict(document, locality=zone) for document, zone in zip(documents, "pqp", strict=True)]
         members[2]["id"] = "d"
         harness.discovery.push(list_document(5, members, is_complete=True))
-        await wait_until(lambda: "d" in harness.discovery_client.known)
-        known = harness.discovery_client.known
+        await wait_until(lambda: "d" in harness.discovery_client.known_endpoints)
+        known = harness.discovery_client.known_endpoints
         zones = {endpoint_id: entry[1] for endpoint_id, entry in known.items()}
         harness.record(f"b and c are of one zone: {zones['b'] == zones['c']}, b and d: {zones['b'] == zones['d']}")
         # decision_log/versions.py digests these entries.
--- a/tests/network/test_exchange.py
+++ b/tests/network/test_exchange.py
@@ -165,11 +165,11 @@
         client = harness.discovery_client
         await harness.request("safe")
         harness.discovery.list_endpoints(("b", "leaving"))
-        await wait_until(lambda: client.known["b"].state is EndpointState.DRAINING)
+        await wait_until(lambda: client.known_endpoints["b"].state is EndpointState.DRAINING)
         await harness.request("safe")
         harness.backends.ports["new"] = harness.backends.ports["b"]
         harness.discovery.list_endpoints("new")
-        await wait_until(lambda: "new" in client.known)
+        await wait_until(lambda: "new" in client.known_endpoints)
         await harness.request("safe")
         harness.record(f"kept connections of {list(harness.pool.idle)}; known {list(harness.dispatcher.policy.table.by_id)}")
 
@@ -201,7 +201,7 @@
             listener.setblocking(False)
             harness.backends.ports["cut"] = listener.getsockname()[1]
             harness.discovery.list_endpoints("cut")
-            await wait_until(lambda: set(harness.discovery_client.known) == {"cut"})
+            await wait_until(lambda: set(harness.discovery_client.known_endpoints) == {"cut"})
             data = harness.request_head(class_name="once", body_bytes=CUT_BODY_BYTES) + b"x" * CUT_BODY_BYTES
             request = asyncio.ensure_future(harness.send(data, is_recorded=False))
             byte_count = await received_behind_cut(listener, request, harness)
@@ -231,7 +231,7 @@
             request = asyncio.ensure_future(harness.request("safe", X_Call_Id="c2"))
             await wait_until(lambda: gate.held.is_set() or backends.requests_received == 2)  # it rests, or it went out
             writer.write(response("again"))
-            await wait_until(lambda: connection.sock.fileno() < 0 or not sockets.is_quiet(connection.sock))
+            await wait_until(lambda: connection.sock.fileno() < 0 or not sockets.is_open_and_idle(connection.sock))
             gate.opened.set()
             await request
             gate = Gate()
--- a/tests/support/proxy_harness.py
+++ b/tests/support/proxy_harness.py
@@ -16,7 +16,7 @@
 from tests.support.fake_backends import FakeBackends, Script, content_length
 from tests.support.fake_discovery import FakeDiscovery
 
-SECOND_RESPONSE_SECONDS = connection_pool.SECOND_RESPONSE_SECONDS  # as it is outside the tests
+SECOND_RESPONSE_SECONDS = connection_pool.DUPLICATE_RESPONSE_SECONDS  # as it is outside the tests
 STORY_SECONDS = 60  # the longest that a story may take
 BODY_SHOWN = 40  # characters of a body that are recorded
 READY_REQUEST = "GET /ready HTTP/1.1\r\n\r\n"
@@ -96,7 +96,7 @@
         await self.backends.start(self.listen, self.record)
         discovery_port = await self.listen(self.discovery.serve)
         self.port = await self.free_port()
-        connection_pool.SECOND_RESPONSE_SECONDS = self.SECOND_RESPONSE_SECONDS
+        connection_pool.DUPLICATE_RESPONSE_SECONDS = self.SECOND_RESPONSE_SECONDS
         self.config = {
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
@@ -121,7 +121,7 @@
     async def __aexit__(self, *_: object) -> None:
         self.proxy_task.cancel()
         await asyncio.wait([self.proxy_task])
-        connection_pool.SECOND_RESPONSE_SECONDS = SECOND_RESPONSE_SECONDS
+        connection_pool.DUPLICATE_RESPONSE_SECONDS = SECOND_RESPONSE_SECONDS
         for server in self._servers:
             server.close()
         for writer in self.backends.writers:
