--- a/sloeferry/dispatch/request_context.py
+++ b/sloeferry/dispatch/request_context.py
@@ -12,7 +12,7 @@
     def __init__(self):
         self.commands: deque[Any] = deque()
         self._waiter: asyncio.Future | None = None
-        # Called once when a command comes while the task that carries the request runs an attempt (`network/request_carrier.py`).
+        # Called once when a command comes while the task that carries the request runs an attempt (`network/request_runner.py`).
         self.on_command: Callable[[], None] | None = None
 
     def push(self, command: Any) -> None:
--- a/sloeferry/fault_testing/planted_faults.py
+++ b/sloeferry/fault_testing/planted_faults.py
@@ -164,7 +164,7 @@
         "one in forty responses is never given",
         (
             Edit(
-                "network/request_carrier.py",
+                "network/request_runner.py",
                 "            elif isinstance(command, Complete):\n",
                 "            elif isinstance(command, Complete):\n"
                 "                await asyncio.sleep(3 * (context.request_id % 40 == 7))\n",
--- a/sloeferry/lifecycle/proxy_process.py
+++ b/sloeferry/lifecycle/proxy_process.py
@@ -19,7 +19,7 @@
 from sloeferry.lifecycle.takeover import Takeover
 from sloeferry.network.admin_server import AdminServer
 from sloeferry.network.attempt import AttemptRunner
-from sloeferry.network.buffers import Buffers
+from sloeferry.network.buffers import BufferPool
 from sloeferry.network.client_server import ClientServer
 from sloeferry.network.connection_pool import ConnectionPool
 from sloeferry.network.deadline_timers import DeadlineTimers
@@ -72,7 +72,7 @@
         # Half for either side, each with a budget of its own: a request needs a place on both, and strangers that crowd in
         # at the listener must not cost a connection to a backend, nor those keep a client out.
         limit = (config.max_descriptors - RESERVED_DESCRIPTORS) // 2
-        client_budget, backend_budget, buffers = DescriptorBudget(limit), DescriptorBudget(limit), Buffers()
+        client_budget, backend_budget, buffers = DescriptorBudget(limit), DescriptorBudget(limit), BufferPool()
         self.lifecycle = Lifecycle()
         self._takeover = _find_takeover(loop, config, environ)
         if self._takeover and self._takeover.snapshot:
@@ -98,7 +98,7 @@
         )
         self.dispatcher.loop_monitor.catch_up = self.discovery.catch_up
         self.clients = ClientServer(loop, self.dispatcher, config, client_budget, buffers, self.attempts, tasks, self.lifecycle)
-        self.admin = AdminServer(loop, self.lifecycle, buffers, self.clients.figures, self.dispatcher.guard_figures)
+        self.admin = AdminServer(loop, self.lifecycle, buffers, self.clients.connection_counts, self.dispatcher.guard_figures)
         self.reload = ConfigReload(
             config,
             environ,
@@ -142,7 +142,7 @@
             self.pool.sweep(),
             self.discovery.run(),
             self.clients.sweeper.sweep(),
-            self.clients.sweeper.look_at_loop_and_requests(),
+            self.clients.sweeper.check_loop_and_requests(),
         ]
         self._tasks = [self._loop.create_task(each) for each in work]
         if features and features.versions.tell:
--- a/sloeferry/lifecycle/takeover.py
+++ b/sloeferry/lifecycle/takeover.py
@@ -97,7 +97,7 @@
             self._loop.call_later(self._budget_window_seconds, lambda: self._dispatcher.set_process_count(self._alive + 1))
         self._alive = alive
         for budget in self._budgets:
-            budget.divide(alive + 1)
+            budget.divide_among(alive + 1)
 
     async def run(self) -> None:
         """Looks, and writes snapshots, for as long as the process runs."""
--- a/sloeferry/network/admin_server.py
+++ b/sloeferry/network/admin_server.py
@@ -14,7 +14,7 @@
 from sloeferry.config.instance import Address
 from sloeferry.lifecycle.state import Lifecycle
 from sloeferry.network import client_replies
-from sloeferry.network.buffers import Buffers
+from sloeferry.network.buffers import BufferPool
 from sloeferry.network.http1 import writer
 from sloeferry.network.http1.framing import MAX_HEAD_BYTES
 from sloeferry.network.http1.message import Message
@@ -41,7 +41,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         lifecycle: Lifecycle,
-        buffers: Buffers,
+        buffers: BufferPool,
         client_figures: Callable[[], dict[str, Any]],
         guard_figures: Callable[[], dict[str, Any]] = dict,
     ):
--- a/sloeferry/network/admission_queue.py
+++ b/sloeferry/network/admission_queue.py
@@ -14,7 +14,7 @@
 
 from sloeferry import environment
 from sloeferry.network import client_replies
-from sloeferry.network.buffers import Buffers
+from sloeferry.network.buffers import BufferPool
 from sloeferry.network.http1 import writer
 from sloeferry.network.http1.framing import StreamEnd
 from sloeferry.policy.overload_control import OverloadController
@@ -22,15 +22,15 @@
 if TYPE_CHECKING:
     from sloeferry.network.client_connection import ClientConnection
 
-LOOK_SECONDS = 0.003  # between two looks
-EVENTS_PER_LOOK = 512
-ONE_READ = select.EPOLLIN | select.EPOLLONESHOT
+POLL_INTERVAL_SECONDS = 0.003  # between two looks
+MAX_EVENTS_PER_POLL = 512
+ONE_SHOT_READ = select.EPOLLIN | select.EPOLLONESHOT
 
 
 class AdmissionQueue:
     """Parked connections by descriptor; `waiting` holds those with a request, the newest last."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, overload: OverloadController, buffers: Buffers):
+    def __init__(self, loop: asyncio.AbstractEventLoop, overload: OverloadController, buffers: BufferPool):
         self._loop = loop
         self._overload = overload
         self._buffers = buffers
@@ -44,34 +44,34 @@
         if self._epoll is None:
             self._epoll = environment.epoll()
         fd, admitted = connection.sock.fileno(), self._loop.create_future()
-        if connection.is_known_to_queue:
-            self._epoll.modify(fd, ONE_READ)
+        if connection.is_in_queue_epoll:
+            self._epoll.modify(fd, ONE_SHOT_READ)
         else:
-            self._epoll.register(fd, ONE_READ)
-            connection.is_known_to_queue = True
+            self._epoll.register(fd, ONE_SHOT_READ)
+            connection.is_in_queue_epoll = True
         self._parked[fd] = connection, admitted
         if self._timer is None:
-            self._timer = self._loop.call_later(LOOK_SECONDS, self._look)
+            self._timer = self._loop.call_later(POLL_INTERVAL_SECONDS, self._poll)
         return admitted
 
-    def leave(self, connection: "ClientConnection") -> None:
+    def remove(self, connection: "ClientConnection") -> None:
         """A connection ends: closing its socket takes it out of the epoll."""
         found = self._parked.get(connection.sock.fileno())
         if found and found[0] is connection:
             del self._parked[connection.sock.fileno()]
             found[1].cancel()
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         self._timer = None
         try:
-            self.review(environment.monotonic())
+            self.process_ready(environment.monotonic())
         finally:  # whatever fails, nobody waits here for ever
             if self._parked and self._timer is None:
-                self._timer = self._loop.call_later(LOOK_SECONDS, self._look)
+                self._timer = self._loop.call_later(POLL_INTERVAL_SECONDS, self._poll)
 
-    def review(self, now: float) -> None:
+    def process_ready(self, now: float) -> None:
         """Who has a request, who may go on, who is rejected; `now` in seconds."""
-        for fd, _ in self._epoll.poll(0, EVENTS_PER_LOOK):
+        for fd, _ in self._epoll.poll(0, MAX_EVENTS_PER_POLL):
             if fd in self._parked:
                 self.waiting.append((now, fd))
         overload, waiting = self._overload, self.waiting
@@ -107,15 +107,15 @@
         connection, _ = self._parked.get(fd, (None, None))
         if connection is None:
             return
-        buffer = self._buffers.take()
+        buffer = self._buffers.acquire()
         try:
             length = connection.sock.recv_into(buffer)
             if length and connection.reader.reject_unparsed(buffer, length, has_waited=True):
-                reply = client_replies.rejected(connection.reader.rejection_delay_ms)
+                reply = client_replies.rejection_reply(connection.reader.rejection_delay_ms)
                 data = writer.response(reply.status, headers=reply.headers)
                 if connection.sock.send(data) == len(data):
                     connection.waiting_since, connection.is_new = environment.monotonic(), False
-                    self._epoll.modify(fd, ONE_READ)
+                    self._epoll.modify(fd, ONE_SHOT_READ)
                     return
                 length = 0  # it takes nothing more: it ends as one that has closed
             connection.stream.feed(buffer, length)
@@ -124,5 +124,5 @@
         except OSError:
             connection.stream.fault = StreamEnd.CLOSED
         finally:
-            self._buffers.give(buffer)
+            self._buffers.release(buffer)
         self._admit(fd)
--- a/sloeferry/network/attempt.py
+++ b/sloeferry/network/attempt.py
@@ -56,8 +56,8 @@
         body = request.body if isinstance(request.body, RequestBodyStream) else None
         if body and not body.is_bound:
             body.release(number)  # it is all there still: another attempt may have it
-        elif body and body.last_byte_at:
-            began_at = body.last_byte_at  # until then the client took the time
+        elif body and body.last_byte_at_ms:
+            began_at = body.last_byte_at_ms  # until then the client took the time
         end, load_report, response = ended.end, NO_REPORT, ended.response
         if response:
             load_report = self._load_reports.read(response.header(protocol.LOAD_REPORT))
@@ -76,7 +76,7 @@
         body = request.body if isinstance(request.body, RequestBodyStream) else None
 
         def make_request() -> bytes:
-            first_part = body.held() if body else request.body
+            first_part = body.buffered_part() if body else request.body
             versions = context.version_headers[number] if context.version_headers else b""
             left_ms = max(1, context.deadline - environment.monotonic_ms())
             left = b"%b: %d\r\n" % (protocol.ATTEMPT_TIME_LEFT_MS, left_ms)
--- a/sloeferry/network/backend_connection.py
+++ b/sloeferry/network/backend_connection.py
@@ -67,4 +67,4 @@
             self.wake()
         self.stream.close()
         self.sock.close()
-        self._pool.budget.give()
+        self._pool.budget.release()
--- a/sloeferry/network/body_stream.py
+++ b/sloeferry/network/body_stream.py
@@ -39,10 +39,10 @@
         self._dispatcher = dispatcher
         self.context = context
         self.time_left_ms = context.deadline - environment.monotonic_ms()  # from the last byte on
-        self._held = message.take_body()
+        self._buffered = message.take_body()
         self._claimed_by: int | None = None  # the attempt that writes it
         self.is_bound = False
-        self.last_byte_at: float | None = None  # ms
+        self.last_byte_at_ms: float | None = None  # ms
         self.task: asyncio.Task | None = None  # that writes it
         self.is_complete = False  # whether its last byte has come
         message.is_streamed = True
@@ -59,16 +59,16 @@
         if self._claimed_by == attempt_number:
             self._claimed_by = None
 
-    def held(self) -> bytes:
+    def buffered_part(self) -> bytes:
         """What is held, framed."""
-        return self._framed(self._held)
+        return self._framed(self._buffered)
 
     def _framed(self, data: bytes) -> bytes:
         return data if self._message.content_length is not None else writer.chunk(data)
 
     def bind(self, attempt_number: int, task: asyncio.Task) -> None:
         """All that was held has gone out."""
-        self._held, self.is_bound, self.task = b"", True, task
+        self._buffered, self.is_bound, self.task = b"", True, task
         self._dispatcher.body_outgrew_buffer(self.context, attempt_number)
 
     async def next_part(self) -> bytes:
@@ -89,8 +89,8 @@
             await self._connection.reader.receive_body()
 
     def _completed(self) -> None:
-        self.is_complete, self.last_byte_at, self.task = True, environment.monotonic_ms(), None
-        self.time_left_ms = self._connection.server.intake.time_left_ms(self.time_left_ms)
+        self.is_complete, self.last_byte_at_ms, self.task = True, environment.monotonic_ms(), None
+        self.time_left_ms = self._connection.server.intake.cap_time_left_ms(self.time_left_ms)
         self._dispatcher.body_received(self.context, self.time_left_ms)
 
 
--- a/sloeferry/network/client_connection.py
+++ b/sloeferry/network/client_connection.py
@@ -14,9 +14,9 @@
 from sloeferry.network.http1.framing import StreamEnd
 from sloeferry.network.http1.message import Message
 from sloeferry.network.reply_writer import ReplyWriter
-from sloeferry.network.request_carrier import RequestCarrier
 from sloeferry.network.request_intake import METHODS
-from sloeferry.network.request_reader import ReadEnd, RequestReader
+from sloeferry.network.request_reader import ReadOutcome, RequestReader
+from sloeferry.network.request_runner import RequestRunner
 from sloeferry.network.sockets import is_quiet
 
 if TYPE_CHECKING:
@@ -34,12 +34,12 @@
         self.sock = sock
         self.reader = RequestReader(self)
         self.stream = self.reader.stream
-        self.carrier = RequestCarrier(self)
-        self.replies = ReplyWriter(self)
+        self.request_runner = RequestRunner(self)
+        self.reply_writer = ReplyWriter(self)
         self.is_busy = False  # a request is on its way
         self.is_new = True  # nothing was asked yet
         self.is_closed = False
-        self.is_known_to_queue = False  # to the admission queue
+        self.is_in_queue_epoll = False  # to the admission queue
         # Seconds, monotonic: when it connected, was answered, or began to ask again.
         self.waiting_since = environment.monotonic()
         self.sending_since: float | None = None  # seconds; the sweeper looks at it
@@ -52,11 +52,11 @@
         try:
             if carried:
                 request, message = carried
-                keep_alive = await self._reply(message, await self.carrier.carry(request, message))
+                keep_alive = await self._reply(message, await self.request_runner.run(request, message))
             while keep_alive:
                 keep_alive = await self._serve_next()
             if keep_alive is False and self.stream.fault is not StreamEnd.CLOSED and not is_quiet(self.sock):
-                await self.replies.linger()  # it has sent more than was answered
+                await self.reply_writer.lingering_close()  # it has sent more than was answered
         except OSError:  # the client has gone, or takes nothing more
             keep_alive = False
         except Exception as error:  # exceptions stop here: this connection ends, no other
@@ -74,21 +74,21 @@
     async def _serve_next(self) -> bool | None:
         """The next request and its reply; whether another may follow, None if another task sees to that."""
         end = await self.reader.read()
-        if end is ReadEnd.CLOSING:
+        if end is ReadOutcome.CLOSING:
             return False
-        if end is ReadEnd.REJECTED:
-            return await self.replies.reject(self.reader.rejection_delay_ms)
+        if end is ReadOutcome.REJECTED:
+            return await self.reply_writer.reject(self.reader.rejection_delay_ms)
         message = self.reader.take_message()
         if message is None:
-            return await self.replies.refuse(self._refusal_status())
+            return await self.reply_writer.refuse(self._refusal_status())
         self.is_busy, self.is_new = True, False
         unread_ms = self.reader.take_unread_ms(message)
-        if unread_ms and message.target and message.target.time_left_ms <= unread_ms:
+        if unread_ms and message.attributes and message.attributes.time_left_ms <= unread_ms:
             # Its time went by while this program stood still: it is rejected, whatever could be taken on.
             message.rejection_delay_ms = self.server.intake.rejection_delay_ms(message, has_waited=True)
         if message.rejection_delay_ms is not None:  # more than its body was to be read, or it was no plain one
-            return await self.replies.reject(message.rejection_delay_ms, self._keeps_alive(message))
-        return await self._reply(message, await self.carrier.start(message, unread_ms))
+            return await self.reply_writer.reject(message.rejection_delay_ms, self._keeps_alive(message))
+        return await self._reply(message, await self.request_runner.start(message, unread_ms))
 
     def _refusal_status(self) -> int | None:
         """The status for what cannot be read; None if nobody is left to read it."""
@@ -101,7 +101,7 @@
         """Writes the reply; whether another request may follow, None if another task sees to that."""
         if reply is None:
             return None
-        return await self.replies.reply(message, reply, self._keeps_alive(message))
+        return await self.reply_writer.reply(message, reply, self._keeps_alive(message))
 
     def _keeps_alive(self, message: Message) -> bool:
         """Whether the connection goes on behind the reply to `message`.
@@ -112,7 +112,7 @@
             return False
         return bool(self.stream.completed or not self.server.lifecycle.closes_connections())
 
-    def is_idle_from_now(self) -> None:
+    def mark_idle(self) -> None:
         """A request was answered: the connection waits for the next."""
         self.is_busy, self.waiting_since = False, environment.monotonic()
 
@@ -128,12 +128,12 @@
 
     # Close
 
-    def close_for_another(self) -> None:
+    def evict(self) -> None:
         """Ends the connection from outside: its place is needed, or nothing more of its body comes.
 
         Half a request is told so: its last byte may be on its way, and closed without a word it would be lost (rule 1).
         """
-        if self.stream.has_begun and not self.sending_since and not self.replies.body:
+        if self.stream.has_begun and not self.sending_since and not self.reply_writer.response_body:
             with contextlib.suppress(OSError):
                 self.sock.send(writer.response(client_replies.REQUEST_TIMEOUT, keep_alive=False))
         self.close()
@@ -143,29 +143,29 @@
         if self.is_closed:
             return
         if self._leaves_client_unanswered():
-            self.server.dispatcher.guard.closed_unanswered(self.carrier.context)
+            self.server.dispatcher.guard.closed_unanswered(self.request_runner.context)
         self.is_closed = True
         self._end_tasks()
-        self.server.forget(self)
+        self.server.deregister(self)
         self.stream.close()
         self.sock.close()
 
     def _leaves_client_unanswered(self) -> bool:
         """Whether it is closed with a complete request unanswered, its client waiting."""
-        context, stream = self.carrier.context, self.stream
+        context, stream = self.request_runner.context, self.stream
         if context is None or context.is_answered or stream.has_begun or stream.fault:
             return False
         return not environment.has_peer_ended(self.sock)
 
     def _end_tasks(self) -> None:
-        context, current = self.carrier.context, asyncio.current_task()
+        context, current = self.request_runner.context, asyncio.current_task()
         runs_attempt = context is not None and context.on_command is not None
         if context is not None and runs_attempt:  # its task runs an attempt, and would take a cancel for a word to that
             context.on_command = None
             self.server.tasks.adopt(self.task)
         elif current is not self.task:
             self.task.cancel()
-        self.carrier.drop()
-        body = self.carrier.body_stream
+        self.request_runner.drop()
+        body = self.request_runner.body_stream
         if body and body.task not in (None, current, None if runs_attempt else self.task):
             body.task.cancel()  # it reads from the connection that ends
--- a/sloeferry/network/client_replies.py
+++ b/sloeferry/network/client_replies.py
@@ -32,16 +32,16 @@
 FAILED = Reply(GATEWAY_TIMEOUT)
 
 
-def retry_after(delay_ms: float) -> Sequence[Header]:
+def retry_after_headers(delay_ms: float) -> Sequence[Header]:
     """The header that says when to come back; none where nothing is said of it."""
     return [(protocol.RETRY_AFTER, b"%.3f" % (delay_ms / 1000))] if delay_ms else ()
 
 
-def rejected(delay_ms: float) -> Reply:
+def rejection_reply(delay_ms: float) -> Reply:
     """Trying again is harmless."""
-    return Reply(SERVICE_UNAVAILABLE, headers=retry_after(delay_ms))
+    return Reply(SERVICE_UNAVAILABLE, headers=retry_after_headers(delay_ms))
 
 
-def served(response: Message) -> Reply:
+def backend_reply(response: Message) -> Reply:
     """A backend's response."""
     return Reply(OK, response.body_stream or response.body(), response.forwarded_headers(WITHHELD_HEADERS))
--- a/sloeferry/network/client_server.py
+++ b/sloeferry/network/client_server.py
@@ -8,7 +8,7 @@
 from sloeferry.lifecycle.state import Lifecycle
 from sloeferry.network.admission_queue import AdmissionQueue
 from sloeferry.network.attempt import AttemptRunner
-from sloeferry.network.buffers import Buffers
+from sloeferry.network.buffers import BufferPool
 from sloeferry.network.client_connection import ClientConnection
 from sloeferry.network.client_shutdown import ClientShutdown
 from sloeferry.network.connection_sweeper import ConnectionSweeper
@@ -28,7 +28,7 @@
         dispatcher: Dispatcher,
         config: InstanceConfig,
         budget: DescriptorBudget,
-        buffers: Buffers,
+        buffers: BufferPool,
         attempts: AttemptRunner,
         tasks: TaskSet,
         lifecycle: Lifecycle,
@@ -42,7 +42,7 @@
         self.lifecycle = lifecycle
         self.connections: dict[ClientConnection, None] = {}  # in the order they came
         self.open_requests: dict[bytes, ClientConnection] = {}  # by the clients' own request ids
-        self.lingering = 0  # connections that read on before their end
+        self.lingering_close_count = 0  # connections that read on before their end
         self.intake = RequestIntake(dispatcher, lifecycle, config.settings)
         self.admission_queue = AdmissionQueue(loop, dispatcher.overload, buffers)
         self.listener = Listener(self, config.inherited_listener_fd)
@@ -54,20 +54,20 @@
         """The settings as they are from now on."""
         self.intake.update(config.settings)
         for connection in self.connections:
-            for message in connection.stream.untaken_messages():
+            for message in connection.stream.pending_messages():
                 self.intake.recheck(message)
 
-    def figures(self) -> dict[str, Any]:
+    def connection_counts(self) -> dict[str, Any]:
         """What operators are told beside the state."""
         return {"connections": len(self.connections), "open": sum(each.is_busy for each in self.connections)}
 
-    def forget(self, connection: ClientConnection) -> None:
+    def deregister(self, connection: ClientConnection) -> None:
         """A connection ends."""
         self.connections.pop(connection, None)
-        if connection.is_known_to_queue:
-            self.admission_queue.leave(connection)
+        if connection.is_in_queue_epoll:
+            self.admission_queue.remove(connection)
         self.budget.mark_active(connection)
-        self.budget.give()
+        self.budget.release()
 
     def close(self) -> None:
         """The program ends."""
--- a/sloeferry/network/client_shutdown.py
+++ b/sloeferry/network/client_shutdown.py
@@ -15,11 +15,11 @@
     from sloeferry.network.client_server import ClientServer
 
 # Seconds after SIGTERM: for connections (protocol; the last is still on its way then), then for what they ask.
-NEW_CONNECTION_SECONDS = 0.4 + SOCKET_SLACK_MS / 1000
-LAST_REQUEST_SECONDS = 0.2
+NEW_CONNECTION_GRACE_SECONDS = 0.4 + SOCKET_SLACK_MS / 1000
+LAST_REQUEST_GRACE_SECONDS = 0.2
 # Seconds after SIGTERM, beside the longest deadline: SIGKILL may come from there on (protocol).
-KILL_SECONDS = 0.7 - SOCKET_SLACK_MS / 1000
-LOOK_SECONDS = 0.01
+KILL_DELAY_SECONDS = 0.7 - SOCKET_SLACK_MS / 1000
+POLL_INTERVAL_SECONDS = 0.01
 
 
 class ClientShutdown:
@@ -34,13 +34,13 @@
         server = self._server
         server.lifecycle.stop()  # its listeners run now: the takeover looks for other processes
         longest_deadline_ms = server.intake.longest_deadline_ms()
-        server.intake.answer_by = environment.monotonic_ms() + longest_deadline_ms + 1000 * KILL_SECONDS
+        server.intake.answer_by_ms = environment.monotonic_ms() + longest_deadline_ms + 1000 * KILL_DELAY_SECONDS
         count = len(server.connections)
         logger.info("shutdown begins: state={} connections={}", server.lifecycle.state(count), count)
         if not server.lifecycle.accepts_connections():
             server.listener.pause()  # new connections are the other process's
         self.close_idle()
-        await asyncio.sleep(NEW_CONNECTION_SECONDS)
+        await asyncio.sleep(NEW_CONNECTION_GRACE_SECONDS)
         # What the machine has accepted and nobody has fetched yet is reset with the listener: with a full budget it
         # waits for places, for as long as any of it can be in time.
         until = environment.monotonic() + longest_deadline_ms / 1000
@@ -48,21 +48,21 @@
             if environment.monotonic() >= until:
                 break
             self.close_idle()
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
         server.listener.close()
-        await asyncio.sleep(LAST_REQUEST_SECONDS)
+        await asyncio.sleep(LAST_REQUEST_GRACE_SECONDS)
         self.is_grace_over = True
         while server.connections:
             self.close_idle()
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
     def close_idle(self) -> None:
         """Closes connections that wait for a request, if none will be taken any more."""
         for connection in list(self._server.connections):
-            if not connection.is_busy and not connection.stream.completed and self.is_done_with(connection):
+            if not connection.is_busy and not connection.stream.completed and self.may_close(connection):
                 connection.close()
 
-    def is_done_with(self, connection: ClientConnection) -> bool:
+    def may_close(self, connection: ClientConnection) -> bool:
         """Drained or stopping, whether a connection may be closed that waits for a request.
 
         A connection without a request so far has a little time; and so have all while another process takes over: each one
@@ -70,13 +70,13 @@
         """
         if connection.stream.has_begun:
             return False
-        if not self.is_grace_over and not self._may_close(connection):
+        if not self.is_grace_over and not self._is_past_grace(connection):
             return False
         return is_quiet(connection.sock)  # else a request, or an end, is there to be read
 
-    def _may_close(self, connection: ClientConnection) -> bool:
+    def _is_past_grace(self, connection: ClientConnection) -> bool:
         is_new, lifecycle = connection.is_new, self._server.lifecycle
-        if is_new and environment.monotonic() <= connection.waiting_since + NEW_CONNECTION_SECONDS:
+        if is_new and environment.monotonic() <= connection.waiting_since + NEW_CONNECTION_GRACE_SECONDS:
             return False
         if lifecycle.is_stopping and not lifecycle.other_ready_processes and not is_new:
             return True
--- a/sloeferry/network/connection_pool.py
+++ b/sloeferry/network/connection_pool.py
@@ -9,7 +9,7 @@
 from sloeferry.dispatch.attempt_end import AttemptEnd
 from sloeferry.network import sockets
 from sloeferry.network.backend_connection import BackendConnection
-from sloeferry.network.buffers import Buffers
+from sloeferry.network.buffers import BufferPool
 from sloeferry.network.descriptor_budget import DescriptorBudget
 from sloeferry.network.limited_log import warn
 from sloeferry.network.sockets import is_quiet
@@ -26,7 +26,7 @@
 class ConnectionPool:
     """All connections to backends."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, settings: Settings, budget: DescriptorBudget, buffers: Buffers):
+    def __init__(self, loop: asyncio.AbstractEventLoop, settings: Settings, budget: DescriptorBudget, buffers: BufferPool):
         self.loop = loop
         self.budget = budget
         self.buffers = buffers
@@ -95,14 +95,14 @@
         """A new connection; where this machine cannot dial just now, it is tried again until then at the most."""
         address = self.addresses.get(endpoint_id)
         # No place, no socket: this proxy's own want, no word against the backend.
-        if address is None or not self.budget.take():
+        if address is None or not self.budget.acquire():
             return AttemptEnd.NOT_WANTED
         sock: socket.socket | AttemptEnd = AttemptEnd.NOT_WANTED
         try:
             sock = await self._dial_with_retries(endpoint_id, address, dial_until)
         finally:
             if isinstance(sock, AttemptEnd):
-                self.budget.give()
+                self.budget.release()
         return sock if isinstance(sock, AttemptEnd) else BackendConnection(self, endpoint_id, address, sock)
 
     async def _dial_with_retries(self, endpoint_id: str, address: Address, dial_until: float) -> socket.socket | AttemptEnd:
--- a/sloeferry/network/deadline_timers.py
+++ b/sloeferry/network/deadline_timers.py
@@ -31,22 +31,22 @@
         self._heap: list[tuple[float, int, DeadlineTimer]] = []  # the number keeps equal times in order
         self._count = 0
         self._handle: asyncio.TimerHandle | None = None
-        self._due = 0.0
+        self._due_at = 0.0
 
     def set(self, at: float, task: asyncio.Task) -> DeadlineTimer:
         """Cancels the task at that time of the loop, unless called off."""
         self._count += 1
         timer = DeadlineTimer(task)
         heappush(self._heap, (at, self._count, timer))
-        if self._handle is None or at < self._due - self.RESOLUTION_SECONDS:
+        if self._handle is None or at < self._due_at - self.RESOLUTION_SECONDS:
             self._arm(at)
         return timer
 
     def _arm(self, at: float) -> None:
         if self._handle is not None:
             self._handle.cancel()
-        self._due = max(at, self._loop.time() + self.RESOLUTION_SECONDS)
-        self._handle = self._loop.call_at(self._due, self._expire)
+        self._due_at = max(at, self._loop.time() + self.RESOLUTION_SECONDS)
+        self._handle = self._loop.call_at(self._due_at, self._expire)
 
     def _expire(self) -> None:
         self._handle, now = None, self._loop.time()
--- a/sloeferry/network/descriptor_budget.py
+++ b/sloeferry/network/descriptor_budget.py
@@ -26,30 +26,30 @@
     """
 
     # Seconds until a connection may be closed: one at rest, one that never asked, one half way through a message.
-    IDLE_SECONDS, NEW_SECONDS, PARTIAL_SECONDS = 0.05, 0.15, 0.4
+    MIN_IDLE_SECONDS, MIN_NEW_SECONDS, MIN_PARTIAL_SECONDS = 0.05, 0.15, 0.4
 
     def __init__(self, limit: int):
         self.limit = limit
         self._full_limit = limit
-        self.taken = 0
+        self.in_use = 0
         self.idle: _Waiting = {}
         self._new: _Waiting = {}
         self.partial: _Waiting = {}
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         """Takes a place; False if there is none to be had."""
-        if self.taken >= self.limit and not (
-            self._close_oldest(self.idle, self.IDLE_SECONDS)
-            or self._close_oldest(self._new, self.NEW_SECONDS)
-            or self._close_oldest(self.partial, self.PARTIAL_SECONDS)
+        if self.in_use >= self.limit and not (
+            self._close_oldest(self.idle, self.MIN_IDLE_SECONDS)
+            or self._close_oldest(self._new, self.MIN_NEW_SECONDS)
+            or self._close_oldest(self.partial, self.MIN_PARTIAL_SECONDS)
         ):
             return False
-        self.taken += 1
+        self.in_use += 1
         return True
 
-    def give(self) -> None:
+    def release(self) -> None:
         """A place is free again."""
-        self.taken -= 1
+        self.in_use -= 1
 
     def _close_oldest(self, waiting: _Waiting, min_seconds: float) -> bool:
         """Closes the one that has waited for longest, if it has for so long; whether one was closed."""
@@ -65,7 +65,7 @@
             waiting[connection] = environment.monotonic(), close  # a request is there, only not read yet; or the end is
         return False
 
-    def divide(self, processes: int) -> None:
+    def divide_among(self, processes: int) -> None:
         """So many processes share the limit of descriptors: this one's part of it."""
         self.limit = self._full_limit // processes
 
--- a/sloeferry/network/discovery_client.py
+++ b/sloeferry/network/discovery_client.py
@@ -13,7 +13,7 @@
 from sloeferry.dispatch.endpoint_events import ListedEndpoint
 from sloeferry.lifecycle.state import Lifecycle
 from sloeferry.network import discovery_watch
-from sloeferry.network.buffers import Buffers
+from sloeferry.network.buffers import BufferPool
 from sloeferry.network.connection_pool import ConnectionPool
 from sloeferry.network.descriptor_budget import DescriptorBudget
 from sloeferry.network.discovery_documents import DocumentReader
@@ -43,7 +43,7 @@
         dispatcher: Dispatcher,
         config: InstanceConfig,
         budget: DescriptorBudget,
-        buffers: Buffers,
+        buffers: BufferPool,
         pool: ConnectionPool,
         lifecycle: Lifecycle,
         is_another_serving: bool = False,
--- a/sloeferry/network/discovery_watch.py
+++ b/sloeferry/network/discovery_watch.py
@@ -78,7 +78,7 @@
         finally:
             del client.open_sockets[sock]
             sock.close()
-            client.budget.give()
+            client.budget.release()
 
     # Dial
 
@@ -90,7 +90,7 @@
         is through: a pause between two polls would go on when the cut is over.
         """
         client = self._client
-        if not client.budget.take():
+        if not client.budget.acquire():
             return None
         until, sock = self._loop.time() + client.patience_ms / 1000, None
         try:
@@ -105,7 +105,7 @@
             return sock
         finally:
             if not sock:
-                client.budget.give()
+                client.budget.release()
 
     async def _dial_once(self) -> socket.socket | None:
         """One dial; None if no connection came up.  What this machine cannot do tells nothing of discovery."""
--- a/sloeferry/network/http1/framing.py
+++ b/sloeferry/network/http1/framing.py
@@ -11,7 +11,7 @@
 from sloeferry import environment
 from sloeferry.network.http1.message import Message
 
-MAX_HELD_BODY_BYTES = 65536  # of a body; what is longer is passed on as it comes
+MAX_BUFFERED_BODY_BYTES = 65536  # of a body; what is longer is passed on as it comes
 MAX_HEAD_BYTES = 16384  # the most of all else of a message
 MAX_BODY_BYTES = 1 << 26  # the longest body that is passed on
 MAX_LENGTH_DIGITS = 9
@@ -42,15 +42,15 @@
         self,
         is_response: bool,
         on_body: Callable[[Message, bytes], None] | None = None,
-        is_wanted: Callable[[Message], bool] | None = None,
+        accepts_head: Callable[[Message], bool] | None = None,
         max_body_bytes: int = MAX_BODY_BYTES,
     ):
-        """`on_body` takes each part of a body instead of having it kept; `is_wanted` is asked once a head is complete."""
+        """`on_body` takes each part of a body instead of having it kept; `accepts_head` is asked once a head is complete."""
         self._is_response = is_response
         self._on_body = on_body
-        self._is_wanted = is_wanted
+        self._accepts_head = accepts_head
         self._max_body_bytes = max_body_bytes
-        self._bytes_beside_body = 0
+        self._non_body_bytes = 0
         parser = httptools.HttpResponseParser if is_response else httptools.HttpRequestParser
         self._parser = parser(self)
         self.message = Message()
@@ -95,7 +95,7 @@
             return
         message.method = self._parser.get_method()
         message.expects_continue = (message.header(b"expect") or b"").lower() == b"100-continue"
-        if self._is_wanted and not self._is_wanted(message):
+        if self._accepts_head and not self._accepts_head(message):
             self._fail(StreamEnd.UNWANTED)  # before its body, which may be large or never come
 
     def _check_length(self, message: Message) -> None:
@@ -116,7 +116,7 @@
 
     def on_body(self, data: bytes) -> None:
         """A part of the body."""
-        self._bytes_beside_body = max(0, self._bytes_beside_body - (1 + CHUNK_LINE_ALLOWANCE) * len(data))
+        self._non_body_bytes = max(0, self._non_body_bytes - (1 + CHUNK_LINE_ALLOWANCE) * len(data))
         if self._on_body is not None:
             self._on_body(self.message, data)
             return
@@ -132,7 +132,7 @@
         if not 100 <= self.message.status < 200:
             if not self.message.is_streamed:  # taken once more it would be sent twice
                 self.completed.append(self.message)
-            self._bytes_beside_body = 0
+            self._non_body_bytes = 0
 
     def _fail(self, fault: StreamEnd) -> None:
         """Ends the parsing, from within a call of the parser."""
@@ -148,10 +148,10 @@
             return self.fault
         # Counted as it comes: of a head, a chunk line or trailer without end the parser tells nothing,
         # it only grows; and 1xx responses may come for ever, each of them complete.
-        self._bytes_beside_body += length
+        self._non_body_bytes += length
         try:
             self._parser.feed_data(memoryview(buffer)[:length])
-            if self._bytes_beside_body > MAX_HEAD_BYTES:
+            if self._non_body_bytes > MAX_HEAD_BYTES:
                 self.fault = StreamEnd.TOO_LARGE
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.fault = self.fault or StreamEnd.MALFORMED
@@ -173,10 +173,10 @@
             return None
         # A response known to be long is passed on from its first bytes; of a request as much as may be is held, for until
         # more has gone out it can go elsewhere.
-        is_long = self._is_response and (message.content_length or 0) > MAX_HELD_BODY_BYTES
-        return message if is_long or message.body_bytes >= MAX_HELD_BODY_BYTES else None
+        is_long = self._is_response and (message.content_length or 0) > MAX_BUFFERED_BODY_BYTES
+        return message if is_long or message.body_bytes >= MAX_BUFFERED_BODY_BYTES else None
 
-    def untaken_messages(self) -> list[Message]:
+    def pending_messages(self) -> list[Message]:
         """The messages that are complete or under way and that nobody has taken yet."""
         is_under_way = self.has_begun and not self.message.is_streamed
         return self.completed + [self.message] * is_under_way
--- a/sloeferry/network/http1/message.py
+++ b/sloeferry/network/http1/message.py
@@ -24,7 +24,7 @@
 )
 
 
-class RequestTarget(NamedTuple):
+class RequestAttributes(NamedTuple):
     """What a client's request is, by the settings."""
 
     class_index: int
@@ -51,7 +51,7 @@
         "is_complete",
         "completed_at",
         "is_streamed",
-        "target",
+        "attributes",
         "rejection_delay_ms",
         "body_stream",
     )
@@ -72,7 +72,7 @@
         self.is_complete = False
         self.completed_at = 0.0  # seconds, monotonic
         self.is_streamed = False  # somebody takes the body as it comes: at its end it is nobody's next message
-        self.target: RequestTarget | None = None  # of a client's request; None for one to /ready
+        self.attributes: RequestAttributes | None = None  # of a client's request; None for one to /ready
         self.rejection_delay_ms: float | None = None  # rejected before it is taken on, with that Retry-After
         self.body_stream: ResponseBodyStream | None = None  # of a response whose body is still on its way
 
--- a/sloeferry/network/http1/stream.py
+++ b/sloeferry/network/http1/stream.py
@@ -7,7 +7,7 @@
 import socket
 from collections.abc import Callable
 
-from sloeferry.network.buffers import Buffers
+from sloeferry.network.buffers import BufferPool
 from sloeferry.network.http1.framing import MAX_BODY_BYTES, MessageFraming, StreamEnd
 from sloeferry.network.http1.message import Message
 
@@ -19,15 +19,15 @@
         self,
         loop: asyncio.AbstractEventLoop,
         sock: socket.socket,
-        buffers: Buffers,
+        buffers: BufferPool,
         is_response: bool,
         on_body: Callable[[Message, bytes], None] | None = None,
-        is_wanted: Callable[[Message], bool] | None = None,
+        accepts_head: Callable[[Message], bool] | None = None,
         max_body_bytes: int = MAX_BODY_BYTES,
         reject_unparsed: Callable[[bytearray, int], bool] | None = None,
     ):
         """`reject_unparsed` is shown the first bytes of a message before they are parsed; True: they are done with."""
-        super().__init__(is_response, on_body, is_wanted, max_body_bytes)
+        super().__init__(is_response, on_body, accepts_head, max_body_bytes)
         self._loop = loop
         self._sock = sock
         self._buffers = buffers
@@ -61,7 +61,7 @@
         return bool(done)
 
     async def _receive(self) -> StreamEnd | None:
-        buffer = self._buffers.take()
+        buffer = self._buffers.acquire()
         try:
             length = await self._loop.sock_recv_into(self._sock, buffer)
             if length and self._reject_unparsed and not self.has_begun and self._reject_unparsed(buffer, length):
@@ -70,5 +70,5 @@
         except OSError:
             self.fault = StreamEnd.CLOSED
         finally:
-            self._buffers.give(buffer)
+            self._buffers.release(buffer)
         return self.fault
--- a/sloeferry/network/listener.py
+++ b/sloeferry/network/listener.py
@@ -13,8 +13,8 @@
     from sloeferry.network.client_server import ClientServer
 
 BACKLOG = 1024  # connections that wait outside
-ACCEPTED_TOGETHER = 16  # connections let in in a row
-RETRY_SECONDS = 0.01  # until a full budget is tried again
+MAX_ACCEPTS_PER_EVENT = 16  # connections let in in a row
+RETRY_DELAY_SECONDS = 0.01  # until a full budget is tried again
 
 
 class Listener:
@@ -25,8 +25,8 @@
         self._inherited_fd = inherited_fd  # of the socket that the platform holds, if it does
         self._is_listening = False
         self.sock: socket.socket | None = None
-        self.crowded_since: float | None = None  # ms; since when more wait outside than are let in in a row
-        self.waited_in_stall = 0  # so many more that wait outside may have come while this loop stood still
+        self.backlogged_since_ms: float | None = None  # ms; since when more wait outside than are let in in a row
+        self.stalled_backlog_count = 0  # so many more that wait outside may have come while this loop stood still
 
     def bind(self, address: Address) -> OSError | None:
         """Takes the address, or the socket that the platform holds there; why not, if it cannot be had."""
@@ -72,48 +72,48 @@
         if self.sock and self._inherited_fd is None:
             self.sock.close()
 
-    def accept(self, limit: int = ACCEPTED_TOGETHER) -> bool:
+    def accept(self, limit: int = MAX_ACCEPTS_PER_EVENT) -> bool:
         """Takes in those who wait outside, as far as the budget goes; whether nobody does any more.
 
         Of a crowd the last may have asked long before they are let in, and their clients' time runs from then (rule 1): a
         request that is there with its connection counts as waiting since the crowd was first met.
         """
         for _ in range(limit):
-            if not self._server.budget.take():
-                self.crowded_since = self.crowded_since or environment.monotonic_ms()
-                self._pause_for_a_while()
+            if not self._server.budget.acquire():
+                self.backlogged_since_ms = self.backlogged_since_ms or environment.monotonic_ms()
+                self._pause_briefly()
                 return False
             try:
                 sock, _ = self.sock.accept()
             except OSError as error:
-                self._server.budget.give()
-                return self._accept_failed(error)
+                self._server.budget.release()
+                return self._handle_accept_error(error)
             if not prepare_accepted(sock):
-                self._server.budget.give()
+                self._server.budget.release()
                 continue
-            self._note_waiting(ClientConnection(self._server, sock))
-        self.crowded_since = self.crowded_since or environment.monotonic_ms()
+            self._set_waiting_time(ClientConnection(self._server, sock))
+        self.backlogged_since_ms = self.backlogged_since_ms or environment.monotonic_ms()
         return False
 
-    def _accept_failed(self, error: OSError) -> bool:
+    def _handle_accept_error(self, error: OSError) -> bool:
         if isinstance(error, BlockingIOError):
-            self.crowded_since, self.waited_in_stall = None, 0
+            self.backlogged_since_ms, self.stalled_backlog_count = None, 0
             return True
         if not isinstance(error, ConnectionAbortedError):
             warn("accept failed", "error={!r}", error)
-            self._pause_for_a_while()
+            self._pause_briefly()
         return False
 
-    def _note_waiting(self, connection: ClientConnection) -> None:
+    def _set_waiting_time(self, connection: ClientConnection) -> None:
         """For how long the connection has waited outside, as far as that is known."""
-        if not self.waited_in_stall:
-            connection.reader.queued_since = self.crowded_since
+        if not self.stalled_backlog_count:
+            connection.reader.queued_since_ms = self.backlogged_since_ms
             return
-        connection.reader.unread_ms = environment.monotonic_ms() - self.crowded_since
-        self.waited_in_stall -= 1
-        if not self.waited_in_stall:  # whoever stood outside then has been let in
-            self.crowded_since = environment.monotonic_ms()
+        connection.reader.unread_ms = environment.monotonic_ms() - self.backlogged_since_ms
+        self.stalled_backlog_count -= 1
+        if not self.stalled_backlog_count:  # whoever stood outside then has been let in
+            self.backlogged_since_ms = environment.monotonic_ms()
 
-    def _pause_for_a_while(self) -> None:
+    def _pause_briefly(self) -> None:
         self.pause()
-        self._server.loop.call_later(RETRY_SECONDS, self.open)
+        self._server.loop.call_later(RETRY_DELAY_SECONDS, self.open)
--- a/sloeferry/network/reply_writer.py
+++ b/sloeferry/network/reply_writer.py
@@ -16,8 +16,8 @@
     from sloeferry.network.client_connection import ClientConnection
 
 # A refused sender has so long, and so many reads, to read why.
-LINGER_SECONDS, LINGER_READS = 0.5, 16
-MAX_LINGERING_FRACTION = 1 / 8  # of the budget's places, that may be held by those that linger
+LINGERING_CLOSE_SECONDS, LINGERING_CLOSE_READS = 0.5, 16
+MAX_LINGERING_CLOSE_RATIO = 1 / 8  # of the budget's places, that may be held by lingering closes
 
 
 class ReplyWriter:
@@ -26,8 +26,8 @@
     def __init__(self, connection: "ClientConnection"):
         self._connection = connection
         self._server = connection.server
-        self.body: ResponseBodyStream | None = None  # of a response, on its way
-        self._has_lingered = False
+        self.response_body: ResponseBodyStream | None = None  # of a response, on its way
+        self._has_used_lingering_close = False
 
     async def reply(self, message: Message, reply: Reply, keep_alive: bool) -> bool:
         """Writes the reply to a request; whether another request may follow."""
@@ -38,8 +38,8 @@
         else:
             await self._connection.send(writer.response(reply.status, reply.body, reply.headers, keep_alive))
         if not message.is_complete:
-            await self.linger()  # answered before all of its body had come
-        self._connection.is_idle_from_now()
+            await self.lingering_close()  # answered before all of its body had come
+        self._connection.mark_idle()
         return keep_alive
 
     async def _forward(self, message: Message, reply: Reply, body: ResponseBodyStream, keep_alive: bool) -> bool:
@@ -48,7 +48,7 @@
         Where its backend breaks off the client can tell: the connection ends before the length that was said, or without
         the last chunk; to one that knows neither it is reset.
         """
-        self.body, framing = body, body.framing(message.is_http10)
+        self.response_body, framing = body, body.framing(message.is_http10)
         keep_alive = keep_alive and bool(framing)
         try:
             head = writer.response(reply.status, b"", reply.headers, keep_alive, framing)
@@ -61,15 +61,15 @@
                 reset_on_close(self._connection.sock)
             return False
         finally:
-            self.body = None
+            self.response_body = None
             body.close()
 
     async def reject(self, delay_ms: float, keep_alive: bool = True) -> bool:
         """Replies that a request is rejected before it was taken on; whether another request may follow."""
         self._connection.is_new = False
-        reply = client_replies.rejected(delay_ms)
+        reply = client_replies.rejection_reply(delay_ms)
         await self._connection.send(writer.response(reply.status, headers=reply.headers, keep_alive=keep_alive))
-        self._connection.is_idle_from_now()
+        self._connection.mark_idle()
         return keep_alive
 
     async def refuse(self, status: int | None) -> bool:
@@ -87,27 +87,27 @@
                 message.headers[:12],
             )
             await self._connection.send(writer.response(status, keep_alive=False))
-            await self.linger()
+            await self.lingering_close()
         return False
 
-    async def linger(self) -> None:
+    async def lingering_close(self) -> None:
         """Reads on for a while: closed over unread bytes, a socket resets, and the reply is lost with it.
 
         Few at a time do so, and not for long: they hold places of the budget, and one with 60 MB to send would take the time
         of all others.
         """
         server, sock = self._server, self._connection.sock
-        if self._has_lingered or server.lingering >= int(server.budget.limit * MAX_LINGERING_FRACTION):
+        if self._has_used_lingering_close or server.lingering_close_count >= int(server.budget.limit * MAX_LINGERING_CLOSE_RATIO):
             return
-        self._has_lingered = True
-        server.lingering += 1
-        buffer = server.buffers.take()
+        self._has_used_lingering_close = True
+        server.lingering_close_count += 1
+        buffer = server.buffers.acquire()
         try:
             sock.shutdown(socket.SHUT_WR)
-            async with asyncio.timeout(LINGER_SECONDS):
-                for _ in range(LINGER_READS):
+            async with asyncio.timeout(LINGERING_CLOSE_SECONDS):
+                for _ in range(LINGERING_CLOSE_READS):
                     if not await server.loop.sock_recv_into(sock, buffer):
                         break
         finally:
-            server.lingering -= 1
-            server.buffers.give(buffer)
+            server.lingering_close_count -= 1
+            server.buffers.release(buffer)
--- a/sloeferry/network/request_intake.py
+++ b/sloeferry/network/request_intake.py
@@ -10,10 +10,10 @@
 from sloeferry.dispatch.request_context import RequestContext
 from sloeferry.lifecycle.state import Lifecycle
 from sloeferry.network import protocol
-from sloeferry.network.http1.message import Message, RequestTarget
+from sloeferry.network.http1.message import Message, RequestAttributes
 
 METHODS = (b"GET", b"POST", b"PUT", b"PATCH", b"DELETE")
-MAX_TIME_DIGITS = 9
+MAX_NUMBER_DIGITS = 9
 MIN_TIME_LEFT_MS = 1.0
 # A complete request in its plainest form, which may be rejected unparsed; whatever else comes is parsed first.
 PLAIN_REQUEST = re.compile(rb"(?:GET|POST) /[!-~]* HTTP/1\.1\r\n(?:[!#-'*+.0-9A-Z^-z|~-]+:[\t -~]*\r\n)+\r\n")
@@ -24,12 +24,14 @@
     protocol.TIME_LEFT_MS,
     b"content-length",
 )
-ODD_HEADERS = (b"transfer-encoding", b"expect", b"connection")  # for the parser to judge
-_LOOKED_AT = re.compile(rb"(?i)\r\n(" + b"|".join((*PLAIN_HEADERS, *ODD_HEADERS)) + rb"):[ \t]*([^\r]*?)[ \t]*(?=\r\n)")
+PARSER_ONLY_HEADERS = (b"transfer-encoding", b"expect", b"connection")  # for the parser to judge
+_RELEVANT_HEADER = re.compile(
+    rb"(?i)\r\n(" + b"|".join((*PLAIN_HEADERS, *PARSER_ONLY_HEADERS)) + rb"):[ \t]*([^\r]*?)[ \t]*(?=\r\n)"
+)
 _AFFINITY_KEY = re.compile(rb"(?:^|,)[ \t]*entity=([!-+.-~]{1,64})[ \t]*(?=,|$)")  # any short word
 
 
-def spellings(indexes: Mapping[str, int]) -> dict[bytes, int]:
+def encoded_names(indexes: Mapping[str, int]) -> dict[bytes, int]:
     """Names as clients may write them in a header: in UTF-8 or, as HTTP once had it, in Latin-1.
 
     No other spelling: by one sign for all letters that Latin-1 lacks two classes would be one.
@@ -49,15 +51,15 @@
         self._lifecycle = lifecycle
         # Admitted before it was parsed, and so not asked for again: set and used within one receive, without an await between.
         self._was_admitted_unparsed = False
-        self.answer_by = float("inf")  # ms; whatever is taken on has its answer by then
+        self.answer_by_ms = float("inf")  # ms; whatever is taken on has its answer by then
         self.update(settings)
 
     def update(self, settings: Settings) -> None:
         """The settings, at the start and as they are from now on."""
-        self._classes = spellings(settings.class_indexes())
-        self._tenants = spellings(settings.tenant_indexes())
+        self._classes = encoded_names(settings.class_indexes())
+        self._tenants = encoded_names(settings.tenant_indexes())
         classes = settings.request_classes
-        self._keyed = {at for at in self._classes.values() if classes[at].idempotency is Idempotency.DEDUPLICATED}
+        self._keyed_classes = {at for at in self._classes.values() if classes[at].idempotency is Idempotency.DEDUPLICATED}
         self._has_affinity_keys = settings.has_affinity_keys
         self._deadline_ms = {at: classes[at].deadline_ms for at in self._classes.values()}
         self._tells_retry_after = settings.limits.tells_retry_after
@@ -72,12 +74,12 @@
         Its class may be gone, or want a key that the client had no cause to send.  Rejected unsent, it may be asked anew
         (rule 2).
         """
-        if message.target and not self.is_wanted(message):
-            message.rejection_delay_ms = message.target.time_left_ms if self._tells_retry_after else 0.0
+        if message.attributes and not self.accepts_head(message):
+            message.rejection_delay_ms = message.attributes.time_left_ms if self._tells_retry_after else 0.0
 
     # Heads
 
-    def is_wanted(self, message: Message) -> bool:
+    def accepts_head(self, message: Message) -> bool:
         """Whether a head is that of a request which can be taken on, or of one to /ready.
 
         Notes on the message what it is (`target`) and, while requests are shed, whether it is rejected.
@@ -87,26 +89,26 @@
             return False
         if message.method == b"GET" and message.url.partition(b"?")[0] == protocol.READY_PATH:
             return True
-        target = self._target(message.single_headers)
-        if target is None or not message.header(protocol.REQUEST_ID) or not message.header(b"host"):
+        attributes = self._attributes(message.single_headers)
+        if attributes is None or not message.header(protocol.REQUEST_ID) or not message.header(b"host"):
             return False
-        if target.class_index in self._keyed and not message.header(protocol.IDEMPOTENCY_KEY):
+        if attributes.class_index in self._keyed_classes and not message.header(protocol.IDEMPOTENCY_KEY):
             return False
-        message.target = target
+        message.attributes = attributes
         if not was_admitted and self._dispatcher.overload.is_shedding() and not self._lifecycle.is_stopping:
             message.rejection_delay_ms = self.rejection_delay_ms(message)
         return True
 
-    def _target(self, headers: Mapping[bytes, bytes | None]) -> RequestTarget | None:
+    def _attributes(self, headers: Mapping[bytes, bytes | None]) -> RequestAttributes | None:
         """The class, tenant and time left that a head names; None if it does not."""
         class_index = self._classes.get(headers.get(protocol.REQUEST_CLASS))
         tenant_index = self._tenant_index(headers.get(protocol.TENANT))
         time_left = headers.get(protocol.TIME_LEFT_MS) or b""
         if class_index is None or tenant_index is None:
             return None
-        if not (time_left.isdigit() and len(time_left) <= MAX_TIME_DIGITS and int(time_left)):
+        if not (time_left.isdigit() and len(time_left) <= MAX_NUMBER_DIGITS and int(time_left)):
             return None
-        return RequestTarget(class_index, tenant_index, min(float(time_left), self._deadline_ms[class_index]))
+        return RequestAttributes(class_index, tenant_index, min(float(time_left), self._deadline_ms[class_index]))
 
     def _tenant_index(self, name: bytes | None) -> int | None:
         """The tenant of that name; the only one there is, whatever it is called, where none are named."""
@@ -116,7 +118,7 @@
 
     def rejection_delay_ms(self, message: Message, has_waited: bool = False) -> float | None:
         """The Retry-After with which a request is rejected before it is taken on; None if it is not."""
-        class_index, tenant_index, _ = message.target
+        class_index, tenant_index, _ = message.attributes
         is_retry = message.header(protocol.IS_RETRY) == protocol.TRUE
         return self._dispatcher.rejection_delay_ms(class_index, tenant_index, is_retry, has_waited)
 
@@ -141,7 +143,7 @@
 
     def accept(self, message: Message, unread_ms: float = 0.0) -> RequestContext:
         """Takes a request on; `unread_ms`: for how long it lay unread while this program stood still."""
-        class_index, tenant_index, time_left_ms = message.target
+        class_index, tenant_index, time_left_ms = message.attributes
         time_left_ms -= unread_ms
         if message.is_complete:  # one read ahead of its turn has waited here already
             time_left_ms -= (environment.monotonic() - message.completed_at) * 1000
@@ -151,18 +153,18 @@
         return self._dispatcher.accept_request(
             class_index,
             tenant_index,
-            self.time_left_ms(time_left_ms),
+            self.cap_time_left_ms(time_left_ms),
             message.header(protocol.IS_RETRY) == protocol.TRUE,
             key[1].decode("latin-1") if key else 0,
         )
 
-    def time_left_ms(self, time_left_ms: float) -> float:
+    def cap_time_left_ms(self, time_left_ms: float) -> float:
         """Of so many ms from now those in which a request has to be answered.
 
         Of one whose last byte comes late after SIGTERM the time may last longer than this process: SIGKILL would find it
         unanswered (rule 1).
         """
-        return max(MIN_TIME_LEFT_MS, min(time_left_ms, self.answer_by - environment.monotonic_ms()))
+        return max(MIN_TIME_LEFT_MS, min(time_left_ms, self.answer_by_ms - environment.monotonic_ms()))
 
 
 def _plain_headers(data: bytes) -> dict[bytes, bytes] | None:
@@ -171,12 +173,12 @@
     if not head:
         return None
     headers: dict[bytes, bytes] = {}
-    for name, value in _LOOKED_AT.findall(data, 0, head.end() - 2):
+    for name, value in _RELEVANT_HEADER.findall(data, 0, head.end() - 2):
         name = name.lower()
-        if name in headers or name in ODD_HEADERS:
+        if name in headers or name in PARSER_ONLY_HEADERS:
             return None  # given twice, or framed otherwise
         headers[name] = value
     length = headers.get(b"content-length", b"0")
-    if not length.isdigit() or len(length) > MAX_TIME_DIGITS or head.end() + int(length) != len(data):
+    if not length.isdigit() or len(length) > MAX_NUMBER_DIGITS or head.end() + int(length) != len(data):
         return None
     return headers
--- a/sloeferry/network/request_reader.py
+++ b/sloeferry/network/request_reader.py
@@ -14,7 +14,7 @@
     from sloeferry.network.client_connection import ClientConnection
 
 
-class ReadEnd(enum.Enum):
+class ReadOutcome(enum.Enum):
     """What reading came to."""
 
     REQUEST = "a request, or what is none"
@@ -34,27 +34,27 @@
             connection.sock,
             server.buffers,
             is_response=False,
-            is_wanted=server.intake.is_wanted,
+            accepts_head=server.intake.accepts_head,
             reject_unparsed=self.reject_unparsed,
         )
         self.is_reading = False
         self._is_overdue = False
         self.rejection_delay_ms = 0.0  # of the last request that was rejected unparsed
-        self.queued_since: float | None = None  # ms; since when it may have waited, with others, to be let in
+        self.queued_since_ms: float | None = None  # ms; since when it may have waited, with others, to be let in
         self.unread_ms = 0.0  # for how long what it sent lay unread while this program stood still
         self.receiving_body_since: float | None = None  # seconds; the sweeper looks at it
 
-    async def read(self) -> ReadEnd:
+    async def read(self) -> ReadOutcome:
         """Reads until a request is complete, or too long to be held, or cannot be read.
 
         Nothing is read while a request is out: two bodies for each client would not fit the memory.
         """
         stream, server, connection = self.stream, self._server, self._connection
         while not stream.completed and not stream.fault and not stream.oversized_message():
-            if server.shutdown.is_done_with(connection):
-                return ReadEnd.CLOSING
+            if server.shutdown.may_close(connection):
+                return ReadOutcome.CLOSING
             had_begun = stream.has_begun
-            server.budget.mark_waiting(connection, connection.close_for_another, connection.is_new, had_begun)
+            server.budget.mark_waiting(connection, connection.evict, connection.is_new, had_begun)
             if not had_begun and server.dispatcher.overload.is_shedding() and not server.lifecycle.is_stopping:
                 await server.admission_queue.park(connection)
                 if stream.completed or stream.fault or stream.has_begun:  # read there already
@@ -63,13 +63,13 @@
             end = await self._receive()
             server.budget.mark_active(connection)  # something came, if not a complete request: not idle
             if not stream.completed:  # its last byte is yet to come, and its time runs from that
-                self.queued_since = None
+                self.queued_since_ms = None
             if end is StreamEnd.REJECTED_UNPARSED:
-                return ReadEnd.REJECTED
+                return ReadOutcome.REJECTED
             if stream.has_begun and not had_begun and not connection.is_new:
                 connection.waiting_since = environment.monotonic()  # for all of it, or drops would hold it for ever
             await self._send_continue()
-        return ReadEnd.REQUEST
+        return ReadOutcome.REQUEST
 
     async def _receive(self) -> StreamEnd | None:
         """Receives once; a request that is overdue ends here, not the task (`time_out`)."""
@@ -108,12 +108,12 @@
 
     def take_unread_ms(self, message: Message) -> float:
         """For how long the request lay unread: while this program stood still, or outside with others."""
-        unread_ms, self.unread_ms = max(self.unread_ms, self._server.stalls.note_turn()), 0.0
-        if self.queued_since is not None:
+        unread_ms, self.unread_ms = max(self.unread_ms, self._server.stalls.note_loop_iteration()), 0.0
+        if self.queued_since_ms is not None:
             # Not known to the ms: half of its time at the most, or a long crowded listener would reject all.
-            most_ms = message.target.time_left_ms / 2 if message.target else 0.0
-            queued_ms = environment.monotonic_ms() - self.queued_since
-            unread_ms, self.queued_since = max(unread_ms, min(most_ms, queued_ms)), None
+            most_ms = message.attributes.time_left_ms / 2 if message.attributes else 0.0
+            queued_ms = environment.monotonic_ms() - self.queued_since_ms
+            unread_ms, self.queued_since_ms = max(unread_ms, min(most_ms, queued_ms)), None
         return unread_ms
 
     def reject_unparsed(self, buffer: bytearray, length: int, has_waited: bool = False) -> bool:
--- a/sloeferry/network/request_carrier.py
+++ b/sloeferry/network/request_runner.py
@@ -31,7 +31,7 @@
 REPLACED_HEADERS = HOP_BY_HOP_HEADERS | {protocol.TIME_LEFT_MS}
 
 
-class RequestCarrier:
+class RequestRunner:
     """The request that a client's connection has taken on, if it has one."""
 
     def __init__(self, connection: "ClientConnection"):
@@ -46,7 +46,7 @@
 
         `unread_ms`: for how long it lay unread while this program stood still.
         """
-        if message.target is None:
+        if message.attributes is None:
             is_ready = self._server.lifecycle.answers_ready()
             return Reply(client_replies.OK if is_ready else client_replies.SERVICE_UNAVAILABLE)
         request_id = message.header(protocol.REQUEST_ID) or b""
@@ -55,16 +55,16 @@
             if not other.has_client_left():  # another request's: backends and clients would take one for the other
                 return Reply(client_replies.CONFLICT)
             # Its client comes again, and nobody had seen it leave.
-            self._server.dispatcher.client_left(other.carrier.context)
+            self._server.dispatcher.client_left(other.request_runner.context)
         open_requests[request_id], self._request_id = self._connection, request_id
         try:
             context = self.context = self._server.intake.accept(message, unread_ms)
         except Exception as error:
-            return self._failed(error)
+            return self._fail(error)
         context.has_client_left = self._connection.has_client_left
-        return await self.carry(self._outgoing(context, message), message)
+        return await self.run(self._outgoing_request(context, message), message)
 
-    def _outgoing(self, context: RequestContext, message: Message) -> OutgoingRequest:
+    def _outgoing_request(self, context: RequestContext, message: Message) -> OutgoingRequest:
         length = message.body_bytes if message.is_complete else message.content_length
         headers = message.forwarded_headers(REPLACED_HEADERS)
         head = writer.request_head(message.method, message.url, headers, length)
@@ -73,18 +73,18 @@
             self.body_stream = RequestBodyStream(self._connection, message, self._server.dispatcher, context)
         return OutgoingRequest(context, head, self.body_stream or message.body())
 
-    async def carry(self, request: OutgoingRequest, message: Message) -> Reply | None:
+    async def run(self, request: OutgoingRequest, message: Message) -> Reply | None:
         """Carries the request to its reply; None if another task has taken it over meanwhile."""
         reply = None
         try:
             reply = await self._run_commands(request, message)
         except Exception as error:
-            return self._failed(error)
+            return self._fail(error)
         except BaseException:  # the connection ends, and with it its request
             self.drop()
             raise
         if reply is not None:
-            self._let_go()
+            self._release()
         return reply
 
     async def _run_commands(self, request: OutgoingRequest, message: Message) -> Reply | None:
@@ -99,9 +99,9 @@
                 if command.attempt_number in attempts:
                     attempts[command.attempt_number].cancel()
             elif isinstance(command, Complete):
-                return client_replies.served(command.response)
+                return client_replies.backend_reply(command.response)
             elif isinstance(command, Reject):
-                return client_replies.rejected(command.retry_after_ms)
+                return client_replies.rejection_reply(command.retry_after_ms)
             else:  # Fail, or Abandon with the client still there
                 return client_replies.FAILED
 
@@ -121,13 +121,13 @@
         attempts.clear()
         return False
 
-    def _failed(self, error: Exception) -> Reply:
+    def _fail(self, error: Exception) -> Reply:
         # In a few words: a stall brings many at once, and their stacks would make it longer.
         warn("request failed", "id={!r} error={!r}", self._request_id, error)
         self.drop()
         return client_replies.FAILED
 
-    def _let_go(self) -> RequestContext | None:
+    def _release(self) -> RequestContext | None:
         """The request, if there is one, is none of this connection's any more."""
         context, self.context = self.context, None
         if self._server.open_requests.get(self._request_id) is self._connection:  # else another has come under that id
@@ -136,7 +136,7 @@
 
     def drop(self) -> None:
         """Nobody is left who waits for the request: what was commanded ends here, what is out runs to its end."""
-        if context := self._let_go():
+        if context := self._release():
             try:
                 for response in self._server.dispatcher.abandon(context):
                     if response.body_stream:
--- a/sloeferry/network/stall_accounting.py
+++ b/sloeferry/network/stall_accounting.py
@@ -15,9 +15,9 @@
 if TYPE_CHECKING:
     from sloeferry.network.client_server import ClientServer
 
-LOOP_TICK_SECONDS = 0.01  # how often the loop is known to turn
+LOOP_CHECK_INTERVAL_SECONDS = 0.01  # how often the loop is known to turn
 # Turns of the loop until what was there to be read is read.
-TURNS_UNTIL_READ = 3
+ITERATIONS_UNTIL_READ = 3
 
 
 class StallAccounting:
@@ -25,26 +25,26 @@
 
     def __init__(self, server: "ClientServer"):
         self._server = server
-        self._last_turn = environment.monotonic_ms()
-        self._just_stalled_ms = 0.0
+        self._last_iteration_ms = environment.monotonic_ms()
+        self._recent_stall_ms = 0.0
 
-    def note_turn(self) -> float:
+    def note_loop_iteration(self) -> float:
         """The loop turns; for how long it just stood still, if it did (ms)."""
         now = environment.monotonic_ms()
-        late_ms, self._last_turn = now - self._last_turn - 1000 * LOOP_TICK_SECONDS, now
+        late_ms, self._last_iteration_ms = now - self._last_iteration_ms - 1000 * LOOP_CHECK_INTERVAL_SECONDS, now
         if self._server.dispatcher.overload.is_stall(late_ms):
-            self._just_stalled_ms = late_ms
-            self._account(late_ms)
-            self._server.tasks.spawn(self._forget())
-        return self._just_stalled_ms
+            self._recent_stall_ms = late_ms
+            self._charge_stall(late_ms)
+            self._server.tasks.spawn(self._clear_recent_stall())
+        return self._recent_stall_ms
 
-    async def _forget(self) -> None:
+    async def _clear_recent_stall(self) -> None:
         """What had come by the time it went on has been read by now."""
-        for _ in range(TURNS_UNTIL_READ):
+        for _ in range(ITERATIONS_UNTIL_READ):
             await asyncio.sleep(0)
-        self._just_stalled_ms = 0.0
+        self._recent_stall_ms = 0.0
 
-    def _account(self, stalled_ms: float) -> None:
+    def _charge_stall(self, stalled_ms: float) -> None:
         """What lies unread has waited for most of the stall, and its client's time runs from when it was sent."""
         server, listener = self._server, self._server.listener
         for connection in server.connections:
@@ -57,6 +57,6 @@
         for connection in server.connections:
             if connection not in before:
                 connection.reader.unread_ms = stalled_ms
-        if listener.crowded_since is not None:  # there was no room for all: who is let in later has waited as long, too
-            listener.crowded_since -= stalled_ms
-            listener.waited_in_stall = BACKLOG
+        if listener.backlogged_since_ms is not None:  # there was no room for all: who is let in later has waited as long, too
+            listener.backlogged_since_ms -= stalled_ms
+            listener.stalled_backlog_count = BACKLOG
--- a/sloeferry/network/task_set.py
+++ b/sloeferry/network/task_set.py
@@ -17,9 +17,9 @@
         self._loop = loop
         self._tasks: set[asyncio.Task] = set()
 
-    def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task:
+    def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task:
         """Starts a task."""
-        return self.adopt(self._loop.create_task(work))
+        return self.adopt(self._loop.create_task(coroutine))
 
     def adopt(self, task: asyncio.Task) -> asyncio.Task:
         """Takes over a task that was started elsewhere."""
--- a/tests/lifecycle/test_reload.py
+++ b/tests/lifecycle/test_reload.py
@@ -81,7 +81,7 @@
         clients = [await harness.send_raw(head + b"bo") for head in heads]
 
         for client in clients:
-            await client.until(lambda connection: connection.stream.message.target)
+            await client.until(lambda connection: connection.stream.message.attributes)
         changed = json.loads(json.dumps(harness.config))
         deduplicated = changed["settings"]["schemes"][1]
         changed["settings"]["schemes"] = [dict(deduplicated, name=name) for name in ("safe", "keyed")]
--- a/tests/lifecycle/test_shutdown.py
+++ b/tests/lifecycle/test_shutdown.py
@@ -50,8 +50,8 @@
         await wait_until(lambda: harness.backends.requests_received)
         client = await harness.send_raw(harness.request_head("last"))
         with (
-            mock.patch("sloeferry.network.client_shutdown.NEW_CONNECTION_SECONDS", 0.02),
-            mock.patch("sloeferry.network.client_shutdown.LAST_REQUEST_SECONDS", 0.02),
+            mock.patch("sloeferry.network.client_shutdown.NEW_CONNECTION_GRACE_SECONDS", 0.02),
+            mock.patch("sloeferry.network.client_shutdown.LAST_REQUEST_GRACE_SECONDS", 0.02),
         ):
             os.kill(os.getpid(), signal.SIGTERM)
             client_listener = harness.clients.listener
@@ -105,7 +105,7 @@
         clients = [await send_all_but_last_byte(harness, byte_count) for byte_count in (4, 200000)]
         await wait_until(lambda: dispatcher.requests)
         with (
-            mock.patch("sloeferry.network.client_shutdown.KILL_SECONDS", -harness.deadline_ms / 2000),
+            mock.patch("sloeferry.network.client_shutdown.KILL_DELAY_SECONDS", -harness.deadline_ms / 2000),
             mock.patch.object(dispatcher, "accept_request", wraps=dispatcher.accept_request) as accept_request,
             mock.patch.object(dispatcher, "body_received", wraps=dispatcher.body_received) as body_received,
         ):
--- a/tests/network/test_admission_queue.py
+++ b/tests/network/test_admission_queue.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from sloeferry.network.admission_queue import AdmissionQueue
-from sloeferry.network.buffers import Buffers
+from sloeferry.network.buffers import BufferPool
 from tests.support.golden import GoldenFiles
 from tests.support.proxy_harness import run_coroutine
 
@@ -46,7 +46,7 @@
 
     def __init__(self, name: str, calls: list[str]):
         self.name = name
-        self.is_known_to_queue = False
+        self.is_in_queue_epoll = False
         self.waiting_since = 0.0
         self.is_new = True
         self.reader = types.SimpleNamespace(rejection_delay_ms=5.0, reject_unparsed=self._reject_unparsed)
@@ -81,14 +81,14 @@
         self._lines = lines
         self._calls: list[str] = []
         self.controller = FakeController()
-        self.queue = AdmissionQueue(asyncio.get_running_loop(), self.controller, Buffers())
+        self.queue = AdmissionQueue(asyncio.get_running_loop(), self.controller, BufferPool())
         self.connections = [FakeConnection(name, self._calls) for name in "abcdef"]
         self._admitted = {connection.name: self.queue.park(connection) for connection in self.connections}
         self.queue._timer.cancel()
 
     def look(self, event: str) -> None:
         """The queue looks at its connections."""
-        self.queue._look()
+        self.queue._poll()
         if self.queue._timer:
             self.queue._timer.cancel()
         admitted = "".join(sorted(name for name, future in self._admitted.items() if future.done()))
@@ -106,10 +106,10 @@
 def delay_as_header() -> Iterator[None]:
     """A rejection names its delay as it is."""
 
-    def retry_after(delay_ms: float) -> list[tuple[bytes, bytes]]:
+    def retry_after_headers(delay_ms: float) -> list[tuple[bytes, bytes]]:
         return [(b"Retry-After", b"%d" % delay_ms)]
 
-    with mock.patch("sloeferry.network.client_replies.retry_after", retry_after):
+    with mock.patch("sloeferry.network.client_replies.retry_after_headers", retry_after_headers):
         yield
 
 
@@ -134,7 +134,7 @@
         lines.append(f"b has {by_name['b'].client_end.recv(99)!r}")
         by_name["d"].client_end.send(b"odd")
         play.look("d asks for something odd")
-        play.queue.leave(by_name["e"])
+        play.queue.remove(by_name["e"])
         by_name["b"].client_end.send(b"plain")
         play.look("e has gone, b asks again")
         controller.has_budget = False
--- a/tests/network/test_body_stream.py
+++ b/tests/network/test_body_stream.py
@@ -7,7 +7,7 @@
 import h11
 
 from sloeferry.network.body_stream import RequestBodyStream
-from sloeferry.network.http1.framing import MAX_HELD_BODY_BYTES
+from sloeferry.network.http1.framing import MAX_BUFFERED_BODY_BYTES
 from sloeferry.network.http1.message import Message
 from tests.support.fake_backends import FakeBackends, Script, content_length, response
 from tests.support.instrumented_harness import wait_until
@@ -169,8 +169,8 @@
 def test_long_responses(play_story: PlayStory):
     """Long responses with a length, in chunks, to the end of the connection.  They are forwarded complete, to old clients too;
     cut off, the client can tell; the connection is used again where it may be."""
-    long_body = "x" * (3 * MAX_HELD_BODY_BYTES)
-    lengths = (1, 70000, 9, MAX_HELD_BODY_BYTES)
+    long_body = "x" * (3 * MAX_BUFFERED_BODY_BYTES)
+    lengths = (1, 70000, 9, MAX_BUFFERED_BODY_BYTES)
     chunks = b"".join(b"%x\r\n%b\r\n" % (length, b"x" * length) for length in lengths) + b"0\r\nX-Late: 1\r\n\r\n"
     head = b"HTTP/1.1 200 X\r\n"
     chunked = head + b"Transfer-Encoding: chunked\r\n\r\n" + chunks
@@ -220,7 +220,7 @@
     backends = LongBodyBackends({"b": response()})
 
     async def story(harness: ProxyHarness) -> None:
-        body = "y" * (4 * MAX_HELD_BODY_BYTES)
+        body = "y" * (4 * MAX_BUFFERED_BODY_BYTES)
         connection = await harness.connect()
         await harness.request("once", body, connection)
         await harness.request("once", "short", connection)
@@ -230,7 +230,7 @@
         await harness.send(KEYED_HEAD + "Transfer-Encoding: chunked\r\n\r\n" + chunks + "0\r\n\r\n")
         harness.record("-- the client breaks off")
         _, writer = await harness.connect()
-        writer.write((KEYED_HEAD + f"Content-Length: {len(body)}\r\n\r\n" + body[: 2 * MAX_HELD_BODY_BYTES]).encode())
+        writer.write((KEYED_HEAD + f"Content-Length: {len(body)}\r\n\r\n" + body[: 2 * MAX_BUFFERED_BODY_BYTES]).encode())
         await writer.drain()
         await wait_until(lambda: backends.requests_begun >= 5)
         writer.transport.abort()
@@ -245,11 +245,11 @@
     backends = LongBodyBackends({"b": response()}, early_response=response("early"))
 
     async def story(harness: ProxyHarness) -> None:
-        body = "y" * (2 * MAX_HELD_BODY_BYTES)
+        body = "y" * (2 * MAX_BUFFERED_BODY_BYTES)
         reader, writer = await harness.connect()
-        writer.write((KEYED_HEAD + f"Content-Length: {4 * MAX_HELD_BODY_BYTES}\r\n\r\n" + body).encode())
+        writer.write((KEYED_HEAD + f"Content-Length: {4 * MAX_BUFFERED_BODY_BYTES}\r\n\r\n" + body).encode())
         await wait_until(lambda: backends.requests_begun)
-        writer.write(body[:MAX_HELD_BODY_BYTES].encode())
+        writer.write(body[:MAX_BUFFERED_BODY_BYTES].encode())
         head = await reader.readuntil(b"\r\n\r\n")
         harness.record(f"client gets: {head.split()[1].decode()}, {b'Connection: close' in head}")
         harness.record("-- the next one goes on a connection of its own: what was left there is nobody's beginning")
--- a/tests/network/test_client_disconnect.py
+++ b/tests/network/test_client_disconnect.py
@@ -33,7 +33,7 @@
             await wait_until(lambda: not harness.dispatcher.requests)
             harness.record(harness.remaining())
 
-        with mock.patch("sloeferry.network.stall_accounting.LOOP_TICK_SECONDS", NEVER_SECONDS):
+        with mock.patch("sloeferry.network.stall_accounting.LOOP_CHECK_INTERVAL_SECONDS", NEVER_SECONDS):
             play_story(surrounded, name, *(harnesses or [InstrumentedHarness({"b": response()})]))
 
     return play
--- a/tests/network/test_connection_end.py
+++ b/tests/network/test_connection_end.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from sloeferry.network.client_connection import ClientConnection
-from sloeferry.network.request_carrier import RequestCarrier
+from sloeferry.network.request_runner import RequestRunner
 from tests.support.fake_backends import response
 from tests.support.instrumented_harness import Gate, InstrumentedHarness, wait_until
 from tests.support.proxy_harness import PlayStory
@@ -22,7 +22,7 @@
     a command that nobody has begun.  Nothing of either is left behind."""
 
     async def story(harness: InstrumentedHarness) -> None:
-        with mock.patch("sloeferry.network.connection_sweeper.READ_SECONDS", 0.1):
+        with mock.patch("sloeferry.network.connection_sweeper.READ_TIMEOUT_SECONDS", 0.1):
             client = await harness.send_raw(harness.request_head(body_bytes=200000) + b"x" * 100000)
             swept = await client.until(lambda connection: connection.reader.receiving_body_since)
             await wait_until(lambda: swept not in harness.clients.connections)
@@ -30,7 +30,7 @@
         harness.record(f"in its body: {harness.remaining()}")
         client.close()
         gate = Gate()
-        with mock.patch.object(RequestCarrier, "carry", lambda *_: gate.passed()):
+        with mock.patch.object(RequestRunner, "run", lambda *_: gate.passed()):
             client = await harness.send_raw(harness.request_head())
             await gate.held.wait()  # taken, and its attempt commanded
             connection = client.connection()
@@ -97,7 +97,7 @@
             connection = client.connection()
             await client.send(b"more")
             gate.opened.set()
-            await wait_until(lambda: connection.is_closed or harness.clients.lingering)
+            await wait_until(lambda: connection.is_closed or harness.clients.lingering_close_count)
         received = await receive_slowly(client.sock)
         client.close()
         harness.record(f"client gets all: {received.endswith(b'x' * LONG_BODY_BYTES)}")
@@ -113,14 +113,14 @@
         budget = harness.clients.budget
         await wait_until(lambda: not harness.clients.connections)
         budget.limit = 1
-        with mock.patch("sloeferry.network.descriptor_budget.DescriptorBudget.PARTIAL_SECONDS", 0.0):
+        with mock.patch("sloeferry.network.descriptor_budget.DescriptorBudget.MIN_PARTIAL_SECONDS", 0.0):
             client = await harness.send_raw(harness.request_head("c1", body_bytes=4) + b"bo")
             await client.until(lambda connection: connection in budget.partial)
             await harness.request("safe", X_Call_Id="c2")
             await client.record_received(28)
             client.close()
         budget.limit = 9
-        with mock.patch("sloeferry.network.connection_sweeper.READ_SECONDS", 0.1):
+        with mock.patch("sloeferry.network.connection_sweeper.READ_TIMEOUT_SECONDS", 0.1):
             client = await harness.send_raw(harness.request_head("c3", body_bytes=200000) + b"x" * 100000)
             await client.record_received(28)
         client.close()
@@ -150,7 +150,7 @@
         _, writer = harness.client_connections[-1]
         writer.close()
         await wait_until(lambda: not harness.clients.connections)
-        harness.record(f"seats taken: {harness.clients.budget.taken}")
+        harness.record(f"seats taken: {harness.clients.budget.in_use}")
 
     play_story(story, "crossing_let_in", InstrumentedHarness({"b": response()}))
 
--- a/tests/network/test_descriptor_budget.py
+++ b/tests/network/test_descriptor_budget.py
@@ -6,14 +6,14 @@
 from tests.support.fake_backends import response
 from tests.support.proxy_harness import READY_REQUEST, PlayStory, ProxyHarness
 
-LOOK_SECONDS = 0.05  # between two looks at what has ended
+POLL_INTERVAL_SECONDS = 0.05  # between two looks at what has ended
 
 
 def test_clients_that_ask_once_and_stay(play_story: PlayStory):
     """Clients that ask once and keep their connection leave three quarters of the descriptors to others, oldest first."""
 
     async def story(harness: ProxyHarness) -> None:
-        with mock.patch("sloeferry.network.connection_sweeper.CROWDED_IDLE_SECONDS", 60.0):
+        with mock.patch("sloeferry.network.connection_sweeper.SHORT_IDLE_TIMEOUT_SECONDS", 60.0):
             first = await harness.connect()
             await harness.send(READY_REQUEST, first)
             others = [await harness.connect() for _ in range(11)]
@@ -32,7 +32,7 @@
         for _ in range(14):
             await harness.send(READY_REQUEST, await harness.connect(), is_recorded=False)
         while not any(reader.at_eof() for reader, _ in harness.client_connections[1:]):
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
         for _ in range(6):  # all descriptors are taken by then
             await harness.request("safe")
         await harness.request("safe", connection=slow)
@@ -59,7 +59,7 @@
         idle = [await harness.connect() for _ in range(30)]
         while not any(reader.at_eof() for reader, _ in idle):
             await harness.connect()  # until those that came first have been idle for long enough
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
         for _ in range(3):
             await harness.request("safe")
         harness.record(f"some idle ones were ended: {any(reader.at_eof() for reader, _ in idle)}")
--- a/tests/network/test_discovery_client.py
+++ b/tests/network/test_discovery_client.py
@@ -7,7 +7,7 @@
 from sloeferry.config.instance import InstanceConfig
 from sloeferry.config.settings_reader import build_settings
 from sloeferry.lifecycle.state import Lifecycle
-from sloeferry.network.buffers import Buffers
+from sloeferry.network.buffers import BufferPool
 from sloeferry.network.connection_pool import ConnectionPool
 from sloeferry.network.descriptor_budget import DescriptorBudget
 from sloeferry.network.discovery_client import DiscoveryClient
@@ -90,8 +90,8 @@
         config = InstanceConfig("n0", ("", 0), ("127.0.0.1", port), 7, 64, 1 << 27, {}, settings)
         budget, lifecycle = DescriptorBudget(9), Lifecycle()
         dispatcher = types.SimpleNamespace(endpoint_events=None, host=None)
-        pool = ConnectionPool(loop, settings, budget, Buffers())
-        client = DiscoveryClient(loop, dispatcher, config, budget, Buffers(), pool, lifecycle)
+        pool = ConnectionPool(loop, settings, budget, BufferPool())
+        client = DiscoveryClient(loop, dispatcher, config, budget, BufferPool(), pool, lifecycle)
         client.known = {"b": ()}
         connecting = loop.create_task(DiscoveryWatch(client, 1)._dial())
         await wait_until(lifecycle.answers_ready)
@@ -99,6 +99,6 @@
         server = await asyncio.start_server(lambda *_: None, "127.0.0.1", port)
         (await connecting).close()
         server.close()
-        harness.record(f"connected, seats taken: {budget.taken}")
+        harness.record(f"connected, seats taken: {budget.in_use}")
 
     play_story(story, "sockets_discovery_back", ProxyHarness({}, cached_endpoints=["nobody"]))
--- a/tests/network/test_exchange.py
+++ b/tests/network/test_exchange.py
@@ -12,7 +12,7 @@
 from sloeferry.config.settings_reader import build_settings
 from sloeferry.dispatch.attempt_end import AttemptEnd
 from sloeferry.network import sockets
-from sloeferry.network.buffers import Buffers
+from sloeferry.network.buffers import BufferPool
 from sloeferry.network.connection_pool import ConnectionPool
 from sloeferry.network.deadline_timers import DeadlineTimers
 from sloeferry.network.descriptor_budget import DescriptorBudget
@@ -32,7 +32,7 @@
     def __init__(self, harness: ProxyHarness):
         self._loop = asyncio.get_running_loop()
         self._dispatcher = types.SimpleNamespace(loop_turned=lambda: None)
-        self.pool = ConnectionPool(self._loop, build_settings({"schemes.count": 1}), DescriptorBudget(9), Buffers())
+        self.pool = ConnectionPool(self._loop, build_settings({"schemes.count": 1}), DescriptorBudget(9), BufferPool())
         self.pool.set_address("b", ("127.0.0.1", harness.backends.ports["b"]))
 
     def run(self, request: bytes, may_begin: bool = True) -> Awaitable[Any]:
@@ -89,7 +89,7 @@
             kept = len(exchanges.pool.idle.get("b", ()))
             harness.record(f"reached {result.progress}, why {end_number(result.end)}, answer {result.response}, kept {kept}")
             result = await exchanges.run(b"GET /y HTTP/1.1\r\n\r\n")
-            harness.record(f"the next one's: {result.response.body()}, seats {exchanges.pool.budget.taken}")
+            harness.record(f"the next one's: {result.response.body()}, seats {exchanges.pool.budget.in_use}")
 
     play_story(story, "crossing_cancels", InstrumentedHarness({"b": lambda number: None if number == 1 else response("second")}))
 
@@ -150,7 +150,7 @@
     async def story(harness: InstrumentedHarness) -> None:
         client = await harness.send_raw(harness.request_head(body_bytes=200000) + b"x" * 100000)
         connection = await client.until(lambda connection: connection.reader.receiving_body_since)
-        harness.dispatcher.host.cancel_attempt(connection.carrier.context.request_id, 0)
+        harness.dispatcher.host.cancel_attempt(connection.request_runner.context.request_id, 0)
         await wait_until(lambda: not harness.dispatcher.requests)
         harness.record(f"its body is waited for still: {bool(connection.reader.receiving_body_since)}")
         client.close()
--- a/tests/network/test_request_intake.py
+++ b/tests/network/test_request_intake.py
@@ -46,7 +46,7 @@
         for text in BAD_REQUESTS:
             harness.record(f"client sends: {text[:30]!r} .. {text[-30:]!r}")
             await harness.send(text)
-        with mock.patch("sloeferry.network.connection_sweeper.READ_SECONDS", 0.1):
+        with mock.patch("sloeferry.network.connection_sweeper.READ_TIMEOUT_SECONDS", 0.1):
             for part in HALF_REQUESTS[:2]:
                 reader, writer = await harness.connect()
                 writer.write(part.encode())
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -446,7 +446,7 @@
         on past its expiry."""
         told = s.read(HERE / "standstill.toml")
         self.assertEqual(self.broken(told), ({}, []))
-        with mock.patch.object(StallAccounting, "_account", lambda *_: None):
+        with mock.patch.object(StallAccounting, "_charge_stall", lambda *_: None):
             rules, texts = self.broken(told)
         self.assertIn("1", rules, texts)
         self.assertIn("past its expiry", texts[0])
@@ -457,7 +457,7 @@
         told, accept = s.read(HERE / "crowd.toml"), Listener.accept
 
         def forgets(door, *most):
-            door.crowded_since = None
+            door.backlogged_since_ms = None
             accept(door, *most)
 
         self.assertEqual(self.broken(told), ({}, []))
@@ -471,7 +471,7 @@
         told, accept = s.read(HERE / "full.toml"), Listener.accept
 
         def forgets(door, *most):
-            door.waited_in_stall = 0
+            door.stalled_backlog_count = 0
             accept(door, *most)
 
         self.assertEqual(self.broken(told), ({}, []))
@@ -631,7 +631,7 @@
 
     def test_crash(self):
         """A program that ends, be it by a part that should never end or by its own will."""
-        for part, code in (("sweep", 3), ("look_at_loop_and_requests", None)):
+        for part, code in (("sweep", 3), ("check_loop_and_requests", None)):
 
             async def ends(self, code=code):
                 await asyncio.sleep(1)
