--- a/sloeferry/dispatch/request_context.py
+++ b/sloeferry/dispatch/request_context.py
@@ -12,7 +12,7 @@
     def __init__(self):
         self.commands: deque[Any] = deque()
         self._waiter: asyncio.Future | None = None
-        # Called once when a command comes while the task that carries the request runs an attempt (`network/request_carrier.py`).
+        # Called once when a command comes while the task that carries the request runs an attempt (`network/request_runner.py`).
         self.on_command: Callable[[], None] | None = None
 
     def push(self, command: Any) -> None:
@@ -41,7 +41,7 @@
         self.deadline = deadline
         self.arrived_at = arrived_at
         self.is_answered = False
-        self.attempts_out = 0
+        self.attempts_in_flight = 0
         self.attempts_sent = 0
         self.version_headers: dict[int, bytes] | None = None  # header lines by attempt number, where attempts carry them
         self.is_abandoned = False  # its client's connection has ended
--- a/sloeferry/lifecycle/proxy_process.py
+++ b/sloeferry/lifecycle/proxy_process.py
@@ -19,7 +19,7 @@
 from sloeferry.lifecycle.takeover import Takeover
 from sloeferry.network.admin_server import AdminServer
 from sloeferry.network.attempt import AttemptRunner
-from sloeferry.network.buffers import Buffers
+from sloeferry.network.buffers import BufferPool
 from sloeferry.network.client_server import ClientServer
 from sloeferry.network.connection_pool import ConnectionPool
 from sloeferry.network.deadline_timers import DeadlineTimers
@@ -30,8 +30,8 @@
 from sloeferry.network.task_set import TaskSet
 
 RESERVED_DESCRIPTORS = 32  # that are no connection to a client or backend
-BIND_SECONDS = 2.0  # that an earlier process may take to let go of an address
-BIND_TRIES = 40
+BIND_TIMEOUT_SECONDS = 2.0  # that an earlier process may take to let go of an address
+BIND_ATTEMPTS = 40
 
 
 class PolicyTimer:
@@ -72,7 +72,7 @@
         # Half for either side, each with a budget of its own: a request needs a place on both, and strangers that crowd in
         # at the listener must not cost a connection to a backend, nor those keep a client out.
         limit = (config.max_descriptors - RESERVED_DESCRIPTORS) // 2
-        client_budget, backend_budget, buffers = DescriptorBudget(limit), DescriptorBudget(limit), Buffers()
+        client_budget, backend_budget, buffers = DescriptorBudget(limit), DescriptorBudget(limit), BufferPool()
         self.lifecycle = Lifecycle()
         self._takeover = _find_takeover(loop, config, environ)
         if self._takeover and self._takeover.snapshot:
@@ -85,7 +85,7 @@
         self.pool = ConnectionPool(loop, config.settings, backend_budget, buffers)
         self.attempts = AttemptRunner(self.dispatcher, self.pool, timers, load_reports)
         self.health_checker = HealthChecker(self.dispatcher, self.pool, timers, load_reports, tasks)
-        is_another_serving = bool(self._takeover and self._takeover.store.neighbours().ready)
+        is_another_serving = bool(self._takeover and self._takeover.store.find_peers().ready)
         self.discovery = DiscoveryClient(
             loop,
             self.dispatcher,
@@ -98,12 +98,12 @@
         )
         self.dispatcher.loop_monitor.catch_up = self.discovery.catch_up
         self.clients = ClientServer(loop, self.dispatcher, config, client_budget, buffers, self.attempts, tasks, self.lifecycle)
-        self.admin = AdminServer(loop, self.lifecycle, buffers, self.clients.figures, self.dispatcher.guard_figures)
+        self.admin = AdminServer(loop, self.lifecycle, buffers, self.clients.connection_counts, self.dispatcher.guard_figures)
         self.reload = ConfigReload(
             config,
             environ,
             (self.dispatcher, self.clients, self.pool, self.discovery),
-            self.discovery.move,
+            self.discovery.update_address,
         )
 
     async def run(
@@ -142,13 +142,13 @@
             self.pool.sweep(),
             self.discovery.run(),
             self.clients.sweeper.sweep(),
-            self.clients.sweeper.look_at_loop_and_requests(),
+            self.clients.sweeper.check_loop_and_requests(),
         ]
         self._tasks = [self._loop.create_task(each) for each in work]
         if features and features.versions.tell:
             self._install_recorder(features)
         if self._takeover:
-            self._takeover.join(self.dispatcher, self.lifecycle, self.discovery, self.clients, self.pool)
+            self._takeover.attach(self.dispatcher, self.lifecycle, self.discovery, self.clients, self.pool)
             self._tasks.append(self._loop.create_task(self._takeover.run()))
         for task in self._tasks:  # none of them ends by itself
             task.add_done_callback(lambda task: self._stopping.set())
@@ -159,10 +159,10 @@
         recorder = DecisionRecorder(self.dispatcher, self._config, features.versions.carry)
         self.reload.recorder = self.discovery.recorder = recorder
         if features.versions.bring_up:
-            recorder.allow_bring_up(self.discovery.poll_anew, self.reload)
-        self.admin.calls.update(recorder.admin_calls())
-        if self.discovery.known and self.discovery.revision is not None:
-            recorder.list_applied(self.discovery.revision, self.discovery.known)
+            recorder.allow_bring_up(self.discovery.poll_complete_list, self.reload)
+        self.admin.routes.update(recorder.admin_calls())
+        if self.discovery.known_endpoints and self.discovery.revision is not None:
+            recorder.list_applied(self.discovery.revision, self.discovery.known_endpoints)
 
     async def _shutdown(self) -> None:
         for task in self._tasks:
@@ -204,12 +204,12 @@
 async def _bind(bind: Callable[[Address], OSError | None], key: str, address: Address) -> None:
     """Takes an address; an earlier process may take some time to let go of it.  Raises ConfigError."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + BIND_SECONDS
+    until = loop.time() + BIND_TIMEOUT_SECONDS
     while error := bind(address):
         if loop.time() > until:
             host, port = address
             raise ConfigError(key, f"{host}:{port} can't be had: {error.strerror}")
-        await asyncio.sleep(BIND_SECONDS / BIND_TRIES)
+        await asyncio.sleep(BIND_TIMEOUT_SECONDS / BIND_ATTEMPTS)
 
 
 async def serve(
--- a/sloeferry/network/attempt.py
+++ b/sloeferry/network/attempt.py
@@ -14,7 +14,7 @@
 from sloeferry.network.body_stream import RequestBodyStream
 from sloeferry.network.connection_pool import ConnectionPool
 from sloeferry.network.deadline_timers import DeadlineTimers
-from sloeferry.network.exchange import Exchange, ExchangeEnd, ExchangePlan
+from sloeferry.network.exchange import Exchange, ExchangePlan, ExchangeResult
 from sloeferry.network.http1.message import Message
 from sloeferry.network.load_reports import NO_REPORT, LoadReportReader
 from sloeferry.policy.interface import SendAttempt
@@ -56,8 +56,8 @@
         body = request.body if isinstance(request.body, RequestBodyStream) else None
         if body and not body.is_bound:
             body.release(number)  # it is all there still: another attempt may have it
-        elif body and body.last_byte_at:
-            began_at = body.last_byte_at  # until then the client took the time
+        elif body and body.last_byte_at_ms:
+            began_at = body.last_byte_at_ms  # until then the client took the time
         end, load_report, response = ended.end, NO_REPORT, ended.response
         if response:
             load_report = self._load_reports.read(response.header(protocol.LOAD_REPORT))
@@ -76,7 +76,7 @@
         body = request.body if isinstance(request.body, RequestBodyStream) else None
 
         def make_request() -> bytes:
-            first_part = body.held() if body else request.body
+            first_part = body.buffered_part() if body else request.body
             versions = context.version_headers[number] if context.version_headers else b""
             left_ms = max(1, context.deadline - environment.monotonic_ms())
             left = b"%b: %d\r\n" % (protocol.ATTEMPT_TIME_LEFT_MS, left_ms)
@@ -95,12 +95,12 @@
             on_first_byte=lambda: self._dispatcher.attempt_begins(context, number, endpoint_id),
             body=body,
             attempt_number=number,
-            waits_for_rested=True,
-            dial_until=min((context.arrived_at + context.deadline) / 2, began_at + max_dial_ms),
+            needs_settled=True,
+            dial_deadline=min((context.arrived_at + context.deadline) / 2, began_at + max_dial_ms),
         )
 
     def _report(
-        self, context: RequestContext, number: int, ended: ExchangeEnd, took_ms: float, load_report: Sequence[float]
+        self, context: RequestContext, number: int, ended: ExchangeResult, took_ms: float, load_report: Sequence[float]
     ) -> bool:
         """Whether the attempt's response is the request's."""
         try:
--- a/sloeferry/policy/endpoint_selection.py
+++ b/sloeferry/policy/endpoint_selection.py
@@ -103,7 +103,7 @@
 
     def must_send_without_reports(self) -> bool:
         """Return whether requests arrive too fast for health checks and too few are in flight to bring load reports."""
-        return self._arrivals.is_rush() and self.load.may_send_without_reports(self.candidates.all)
+        return self._arrivals.is_faster_than_health_checks() and self.load.may_send_without_reports(self.candidates.all)
 
     def skips_overloaded(self) -> bool:
         """Return whether overloaded endpoints are skipped.
@@ -136,7 +136,7 @@
         self._now = now
         self._excluded = excluded
         request_class = request.request_class
-        self._work_ms = request.typical_ms()
+        self._work_ms = request.typical_latency_ms()
         self._overload_ms = OVERLOAD_LATENCY_RATIO * request_class.objective_ms
         self._is_retry = bool(request.attempts)
         idle_ms = self._work_ms * selector.latency.level_slowdowns[0]
--- a/sloeferry/policy/latency_model.py
+++ b/sloeferry/policy/latency_model.py
@@ -54,11 +54,15 @@
 
     def refresh(self) -> None:
         """Recompute the slowdown of each load level, the longest latency and the factor at which an attempt is overdue."""
-        self.longest_ms = max([each.typical_ms() for each in self._classes.all]) * self.spread.quantile(LONGEST_LATENCY_QUANTILE)
+        self.longest_ms = max([each.typical_latency_ms() for each in self._classes.all]) * self.spread.quantile(
+            LONGEST_LATENCY_QUANTILE
+        )
         self.overdue_factor = max(MIN_OVERDUE_FACTOR, self.spread.quantile(OVERDUE_QUANTILE))
         # At high arrival rates, slowdowns learned from late attempts at startup would keep all requests from being sent, and so
         # would never be corrected.
-        self._refresh_level_slowdowns(is_growth_bounded=self._checks_load_per_request and self._arrivals.is_rush())
+        self._refresh_level_slowdowns(
+            is_growth_bounded=self._checks_load_per_request and self._arrivals.is_faster_than_health_checks()
+        )
 
     def _refresh_level_slowdowns(self, is_growth_bounded: bool) -> None:
         """Recompute the slowdown of each load level.
@@ -96,9 +100,18 @@
     ) -> None:
         """Update the latencies of the request's class, of the endpoint and of all attempts from one served or given up."""
         self._sample = (self._sample + 1) % RUSH_SAMPLING_INTERVAL
-        if self._sample and self._arrivals.is_rush() or self._extensions.is_behind() or request.is_at_fault():
+        if (
+            self._sample
+            and self._arrivals.is_faster_than_health_checks()
+            or self._extensions.is_overloaded()
+            or request.is_at_fault()
+        ):
             return
-        typical, level, endpoint = request.typical_ms(), bisect(LOAD_LEVEL_BOUNDS, attempt.estimate_when_sent), attempt.endpoint
+        typical, level, endpoint = (
+            request.typical_latency_ms(),
+            bisect(LOAD_LEVEL_BOUNDS, attempt.estimate_when_sent),
+            attempt.endpoint,
+        )
         unadjusted_ms = took_ms
         if request.affinity_key:  # normalises the latency to that of a request without a key
             is_affine = endpoint in self._affinity.affine_endpoints(request.affinity_key, ready)
--- a/sloeferry/policy/load_estimate.py
+++ b/sloeferry/policy/load_estimate.py
@@ -95,7 +95,7 @@
     def refresh(self, now: float, elapsed_ms: float, candidates: Sequence[Endpoint], ready_count: int) -> None:
         """Recompute the mean load, `elapsed_ms` after the previous refresh."""
         self._ready_count = ready_count
-        self.shortest_latency_ms = min([each.typical_ms() for each in self._classes.all])
+        self.shortest_latency_ms = min([each.typical_latency_ms() for each in self._classes.all])
         self.report_half_life_ms = REPORT_MAX_AGE_MS / 2 if self._is_report_age_unknown else self.shortest_latency_ms
         reports = self._weighted_reports(now, candidates)
         for is_local in (False, True):
--- a/tests/lifecycle/test_shutdown.py
+++ b/tests/lifecycle/test_shutdown.py
@@ -50,8 +50,8 @@
         await wait_until(lambda: harness.backends.requests_received)
         client = await harness.send_raw(harness.request_head("last"))
         with (
-            mock.patch("sloeferry.network.client_shutdown.NEW_CONNECTION_SECONDS", 0.02),
-            mock.patch("sloeferry.network.client_shutdown.LAST_REQUEST_SECONDS", 0.02),
+            mock.patch("sloeferry.network.client_shutdown.NEW_CONNECTION_GRACE_SECONDS", 0.02),
+            mock.patch("sloeferry.network.client_shutdown.LAST_REQUEST_GRACE_SECONDS", 0.02),
         ):
             os.kill(os.getpid(), signal.SIGTERM)
             client_listener = harness.clients.listener
@@ -105,7 +105,7 @@
         clients = [await send_all_but_last_byte(harness, byte_count) for byte_count in (4, 200000)]
         await wait_until(lambda: dispatcher.requests)
         with (
-            mock.patch("sloeferry.network.client_shutdown.KILL_SECONDS", -harness.deadline_ms / 2000),
+            mock.patch("sloeferry.network.client_shutdown.KILL_DELAY_SECONDS", -harness.deadline_ms / 2000),
             mock.patch.object(dispatcher, "accept_request", wraps=dispatcher.accept_request) as accept_request,
             mock.patch.object(dispatcher, "body_received", wraps=dispatcher.body_received) as body_received,
         ):
@@ -129,7 +129,7 @@
         config_file = tmp_path / "config.json"
         config_file.write_text(json.dumps(harness.config))
         monkeypatch.setenv("BALANCER_CONFIG", str(config_file))
-        harness.dispatcher.overload.limit = 0.0
+        harness.dispatcher.overload.concurrency_limit = 0.0
         client = await harness.send_raw(harness.request_head())
         await wait_until(lambda: harness.clients.admission_queue.waiting)
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
--- a/tests/lifecycle/test_snapshot.py
+++ b/tests/lifecycle/test_snapshot.py
@@ -13,7 +13,7 @@
 from sloeferry.config.settings_reader import build_settings
 from sloeferry.lifecycle.snapshot import restore_snapshot, take_snapshot
 from sloeferry.lifecycle.snapshot_store import SnapshotStore
-from sloeferry.lifecycle.takeover import site_digest
+from sloeferry.lifecycle.takeover import indexed_names_digest
 from sloeferry.policy.interface import AttemptOutcome, EndpointState
 from sloeferry.policy.policy import Policy
 from tests.support.golden import GoldenFiles
@@ -52,7 +52,7 @@
 
 def figures(policy: Policy) -> list[float]:
     """Typical latency of each class (ms), slowdown of each endpoint."""
-    latencies = [round(each.typical_ms(), 3) for each in policy.classes.all]
+    latencies = [round(each.typical_latency_ms(), 3) for each in policy.classes.all]
     return latencies + [round(each.slowdown, 3) for each in policy.table.ready]
 
 
@@ -90,7 +90,7 @@
     endpoints = policy.table.by_id
     outliers, latency = policy.outliers, policy.latency
     return {
-        "typical_ms": {name: each.typical_ms() for name, each in classes.items()},
+        "typical_ms": {name: each.typical_latency_ms() for name, each in classes.items()},
         "lost": {name: each.loss_rate for name, each in classes.items()},
         "slowdown": {name: each.slowdown for name, each in endpoints.items()},
         "failures": {name: each.consecutive_failures for name, each in endpoints.items()},
@@ -113,7 +113,7 @@
     expected = json.loads((STORED / "figures-87206be.json").read_text())
     settings = build_settings(expected["settings"])
     with mock.patch("sloeferry.lifecycle.snapshot_store.boot_id", lambda: expected["boot"]):
-        store = SnapshotStore(str(tmp_path), expected["name"], site_digest(settings))
+        store = SnapshotStore(str(tmp_path), expected["name"], indexed_names_digest(settings))
     assert Path(store.path).name == expected["folder"]
     shutil.copy(STORED / "snapshot-87206be", Path(store.path) / "snapshot")
     snapshot = store.read(expected["now_ms"] + 100.0)
