--- a/sloeferry/policy/outlier_detection.py
+++ b/sloeferry/policy/outlier_detection.py
@@ -24,7 +24,7 @@
 CHANCE_LIMIT = 0.001
 ERROR_SMOOTHING = 32  # attempts over which the rate of errors is averaged
 CURED_SMOOTHING = 8  # requests over which it is averaged how many errors another endpoint cured
-MOSTLY_CURED = 0.5
+HIGH_RECOVERY_RATIO = 0.5
 ABANDONED_TYPICAL_TIMES = 4  # an attempt that ended badly counts as in flight for so many times the usual latency
 LATENESS_MULTIPLE = 4  # a host that is so often late reads late, too
 
@@ -97,11 +97,11 @@
         endpoint.consecutive_errors += 1
         if any(attempt.outcome is AttemptOutcome.ERROR for attempt in request.attempts[:-1]):
             self.retry_recovery_ratio -= self.retry_recovery_ratio / CURED_SMOOTHING  # at two endpoints: it is the request
-        elif self.retry_recovery_ratio > MOSTLY_CURED:
+        elif self.retry_recovery_ratio > HIGH_RECOVERY_RATIO:
             self.count_as_in_flight(request, endpoint, now)
         is_beyond_chance = self.error_rate**endpoint.consecutive_errors < CHANCE_LIMIT
         is_never_retried = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
-        if is_beyond_chance or is_never_retried and self.retry_recovery_ratio > MOSTLY_CURED:
+        if is_beyond_chance or is_never_retried and self.retry_recovery_ratio > HIGH_RECOVERY_RATIO:
             self.record_failure(endpoint, now)
 
     def record_served(self, request: Request, now: float) -> None:
--- a/sloeferry/policy/retry_policy.py
+++ b/sloeferry/policy/retry_policy.py
@@ -9,7 +9,7 @@
 from sloeferry.policy.health_checks import HealthChecks
 from sloeferry.policy.interface import AttemptOutcome, PolicyHost
 from sloeferry.policy.models import Models
-from sloeferry.policy.outlier_detection import MOSTLY_CURED
+from sloeferry.policy.outlier_detection import HIGH_RECOVERY_RATIO
 from sloeferry.policy.request_table import RequestTable
 from sloeferry.policy.requests import Attempt, AttemptState, Request
 from sloeferry.policy.safety_rules import SafetyRules
@@ -150,6 +150,6 @@
         if now >= request.deadline - LAST_RETRY_TICKS * self._tick_ms or request.is_at_fault():
             return True
         has_erred = request.attempts[-1].outcome is AttemptOutcome.ERROR
-        if not (has_erred and self._outliers.retry_recovery_ratio < MOSTLY_CURED):
+        if not (has_erred and self._outliers.retry_recovery_ratio < HIGH_RECOVERY_RATIO):
             return False
         return self._rng.random() > ERROR_RETRY_RATIO
