--- a/sloeferry/policy/fault_attribution.py
+++ b/sloeferry/policy/fault_attribution.py
@@ -1,6 +1,6 @@
-"""Whether a class of requests, a tenant, a zone or a cell is at fault for late answers, rather than single endpoints.
+"""Attributes late answers to a request class, a tenant, a zone or a cell rather than to single endpoints.
 
-A kind is a request class or a tenant; a path leads to a zone or to a cell.
+A request kind is a request class or a tenant; a path leads to a zone or to a cell.
 """
 
 from collections.abc import Collection, Sequence
@@ -15,18 +15,18 @@
 from sloeferry.policy.request_classes import HIGH_LOSS_RATE, RequestClass, RequestClasses
 from sloeferry.policy.success_rate import SuccessRateTracker, update_relative_rates
 
-# A kind of requests is at fault below the first rate in time, and no longer from the second on.
+# Success rates below which a request kind is at fault, and from which on it no longer is.
 AT_FAULT_RATE, CLEARED_RATE = 0.2, 0.4
-AT_FAULT_RELATIVE_RATE = 0.25  # and with less than so much of the best kind's rate
-SUFFERED_RATE = 0.5  # what a kind is given at least that suffered from one at fault
-BAD_PATH_RELATIVE_RATE = 0.5  # of the best path's rate: a path with less is bad
+AT_FAULT_RELATIVE_RATE = 0.25  # a kind at fault is also below this ratio of the best kind's rate
+MIN_RATE_AFTER_FAULT = 0.5  # least success rate of the other kinds and paths once one kind is found at fault
+BAD_PATH_RELATIVE_RATE = 0.5  # a path below this ratio of the best path's rate is bad
 MIN_PATH_QUALITY = 0.05
-NOTABLE_LOSS_FACTOR = 4  # times as many attempts lost as of any other class
-REVIEWS_PER_OBJECTIVE = 16  # a review of all trackers costs time
+HIGH_LOSS_MULTIPLE = 4  # multiple of the highest loss rate of any other class
+REVIEWS_PER_OBJECTIVE = 16  # per latency objective; limited because a review of all trackers costs time
 
 
 class FaultAttribution:
-    """Compares kinds of requests with each other, and paths with each other."""
+    """Compares the success rates of request kinds with each other, and those of paths with each other."""
 
     def __init__(self, settings: Settings, host: PolicyHost, classes: RequestClasses, table: EndpointTable):
         self._host = host
@@ -36,14 +36,15 @@
         self.update(settings)
 
     def update(self, settings: Settings) -> None:
-        """Takes over whether attempts may be cancelled."""
+        """Apply changed settings: whether attempts may be cancelled."""
         self._may_cancel = settings.limits.may_cancel
 
     def review(self, now: float, candidates: Sequence[Endpoint]) -> None:
-        """Decides who is at fault, and rates the paths to the candidates.
+        """Update which request kinds are at fault and the quality of the paths to the candidates.
 
-        A kind of requests that is late wherever it goes holds places that others need: one at a time goes on, to tell when
-        that has ended.  A path that is bad for this proxy alone shows in no load report: endpoints behind it count for less.
+        A request kind that is late at all endpoints takes capacity from the others.  It is limited to one attempt at a time,
+        which shows when it recovers.  A path that is bad for this proxy alone appears in no load report, so that endpoints
+        behind it get a lower path quality.
         """
         if now < self._reviewed_at + self._classes.shortest_objective_ms / REVIEWS_PER_OBJECTIVE:
             return
@@ -57,9 +58,9 @@
         kinds = [*chain(*kind_groups)]
         paths = [*chain(*path_groups)]
         for kind in kinds:
-            self._judge_kind(kind, [*kinds, *paths])
+            self._review_kind(kind, [*kinds, *paths])
         for path in paths:
-            self._judge_path(path, now)
+            self._review_path(path, now)
         for endpoint in candidates:
             zone, cell = endpoint.path_trackers
             health_checks = self._table.health_check_trackers[endpoint.zone]
@@ -70,35 +71,39 @@
         return [group.values() for group in (table.zone_trackers, table.cell_trackers, table.health_check_trackers)]
 
     def _clear_if_all_at_fault(self, group: Collection[SuccessRateTracker], now: float) -> None:
-        """Where all that are met are at fault, none of them is."""
+        """Clear all trackers of the group if every one with a recent record is at fault: then the cause lies elsewhere."""
         if all(each.is_at_fault for each in group if now - each.last_recorded_at < REPORT_MAX_AGE_MS):
             for each in group:
                 each.is_at_fault = False
 
-    def _judge_kind(self, kind: SuccessRateTracker, everything: Sequence[SuccessRateTracker]) -> None:
+    def _review_kind(self, kind: SuccessRateTracker, all_trackers: Sequence[SuccessRateTracker]) -> None:
         was_at_fault = kind.is_at_fault
-        if was_at_fault:  # once it jams all endpoints, others do no better: it is cleared by what it does itself
+        # A kind that overloads all endpoints makes the others as late as itself, so that its own rate alone clears it.
+        if was_at_fault:
             kind.is_at_fault = kind.rate < CLEARED_RATE
         else:
             kind.is_at_fault = kind.rate < AT_FAULT_RATE and kind.relative_rate < AT_FAULT_RELATIVE_RATE
         if was_at_fault or not kind.is_at_fault:
             return
-        for each in everything:  # what the others suffered from it is held against nobody
+        for each in all_trackers:  # the late attempts that this kind caused don't count against the others
             if not each.is_at_fault:
-                each.rate = max(each.rate, SUFFERED_RATE)
+                each.rate = max(each.rate, MIN_RATE_AFTER_FAULT)
             each.uncounted_attempts.clear()
         if self._may_cancel:
             for attempt in kind.open_attempts:
                 request = attempt.request
                 self._host.cancel_attempt(request.request_id, request.attempts.index(attempt))
 
-    def _judge_path(self, path: SuccessRateTracker, now: float) -> None:
-        """What was told of a bad path is believed ever less, or it would never be tried again."""
-        believed = 1 - (1 - path.relative_rate) * 0.5 ** ((now - path.last_recorded_at) / REPORT_MAX_AGE_MS)
-        path.relative_rate = max(MIN_PATH_QUALITY, believed) if believed < BAD_PATH_RELATIVE_RATE else 1.0
+    def _review_path(self, path: SuccessRateTracker, now: float) -> None:
+        """Set the path's quality; a low one decays towards 1 with its age, or the path would never be tried again."""
+        decayed_rate = 1 - (1 - path.relative_rate) * 0.5 ** ((now - path.last_recorded_at) / REPORT_MAX_AGE_MS)
+        path.relative_rate = max(MIN_PATH_QUALITY, decayed_rate) if decayed_rate < BAD_PATH_RELATIVE_RATE else 1.0
 
     def is_loss_likely(self, request_class: RequestClass, endpoint: Endpoint) -> bool:
-        """Whether an attempt that is overdue there is lost: its path is bad, or its class loses far more than the others."""
+        """Return whether an overdue attempt at the endpoint is probably lost.
+
+        It is if the path is bad, or if the class loses far more attempts than the others.
+        """
         if endpoint.path_quality < 1.0:
             return True
         if request_class.loss_rate <= HIGH_LOSS_RATE:
@@ -106,4 +111,4 @@
         others = [
             each.loss_rate for each in self._classes.all if each is not request_class and each.can_be_compared_with(request_class)
         ]
-        return bool(others) and request_class.loss_rate > NOTABLE_LOSS_FACTOR * max(others)
+        return bool(others) and request_class.loss_rate > HIGH_LOSS_MULTIPLE * max(others)
--- a/sloeferry/policy/outlier_detection.py
+++ b/sloeferry/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Which endpoints are outliers: failing, erring or silent ones are ejected for a while, longer each time."""
+"""Outlier detection: ejects failing or unresponsive endpoints, for a time that grows exponentially with repeated failures."""
 
 from collections.abc import Collection
 from random import Random
@@ -16,21 +16,22 @@
 FAILURES_TO_EJECT = 2
 BASE_EJECTION_MS = CHECK_INTERVAL_MS / 2
 MAX_EJECTION_DOUBLINGS = 4
-# Where no endpoint can be asked, a first failure ejects, and for longer: no second request is spent to be sure.
+# Where endpoints can't be health-checked, the first failure ejects, and for longer: no second request is spent to confirm it.
 UNCHECKED_EXTRA_DOUBLINGS = 2
-EJECTION_JITTER = 0.5  # spread evenly round the ejection's length, so that endpoints do not come back together
-MAX_EJECTED_RATIO = 0.5  # of the listed: where as many would be ejected, the fault is not theirs
-# An endpoint errs by itself if so many errors in a row are so unlikely to be the requests' fault.
-CHANCE_LIMIT = 0.001
-ERROR_SMOOTHING = 32  # attempts over which the rate of errors is averaged
-CURED_SMOOTHING = 8  # requests over which it is averaged how many errors another endpoint cured
+EJECTION_JITTER = 0.5  # ratio of the ejection time, so that ejected endpoints don't return all at once
+MAX_EJECTED_RATIO = 0.5  # of the listed endpoints: where as many would be ejected, the cause lies elsewhere
+# An endpoint is at fault for consecutive errors if the probability that the requests caused all of them is below this.
+MAX_COINCIDENCE_PROBABILITY = 0.001
+ERROR_SMOOTHING_ATTEMPTS = 32  # attempts over which the error rate is averaged
+RECOVERY_SMOOTHING_REQUESTS = 8  # failed requests over which the ratio of those that another endpoint served is averaged
 HIGH_RECOVERY_RATIO = 0.5
-ABANDONED_TYPICAL_TIMES = 4  # an attempt that ended badly counts as in flight for so many times the usual latency
-LATENESS_MULTIPLE = 4  # a host that is so often late reads late, too
+# An attempt that failed counts as in flight for this multiple of the typical latency.
+ABANDONED_LATENCY_MULTIPLE = 4
+LATENESS_MULTIPLE = 4  # of the host's lateness: a late host reads the answers to health checks late, too
 
 
 class OutlierDetector:
-    """Ejects endpoints, and tells requests that cause errors from endpoints that do."""
+    """Ejects endpoints, and distinguishes endpoints that cause errors from requests that do."""
 
     def __init__(
         self,
@@ -47,28 +48,33 @@
         self._reporting = reporting
         self._check_timeout_ms = check_timeout_ms
         self._rng = rng
-        self.retry_recovery_ratio = 1.0  # of requests that met an error: served by another endpoint
+        self.retry_recovery_ratio = 1.0  # of requests with an error: those that another endpoint served
         self.error_rate = 0.0  # of attempts
         self.unreachable_rate = 0.0  # of attempts that had to open a connection
 
     def record_outcome(self, outcome: AttemptOutcome, opened_connection: bool) -> None:
-        """Updates the rates of errors and of refused connections after an attempt."""
-        self.error_rate += ((outcome is AttemptOutcome.ERROR) - self.error_rate) / ERROR_SMOOTHING
+        """Update the rates of errors and of refused connections after an attempt."""
+        self.error_rate += ((outcome is AttemptOutcome.ERROR) - self.error_rate) / ERROR_SMOOTHING_ATTEMPTS
         is_unreachable = outcome is AttemptOutcome.UNREACHABLE
-        self.unreachable_rate += opened_connection * (is_unreachable - self.unreachable_rate) / ERROR_SMOOTHING
+        self.unreachable_rate += opened_connection * (is_unreachable - self.unreachable_rate) / ERROR_SMOOTHING_ATTEMPTS
 
     def is_silent(self, endpoint: Endpoint, now: float) -> bool:
-        """Whether a health check is unanswered or, where these are dear, nothing was heard for longer than answers take."""
-        # A proxy with a request a second would hear by its own long requests alone; that is no silence.
+        """Return whether the endpoint is unresponsive.
+
+        Where health checks are sent regularly, one is unanswered past its timeout.  Elsewhere, nothing was received from the
+        endpoint for longer than attempts take.
+        """
+        # A proxy with one request a second receives nothing but the responses to its own long requests: the time between them
+        # doesn't show that an endpoint is unresponsive, so that health checks decide where there are any.
         if self._reporting.may_health_check and not self._reporting.comes_with_health_checks:
             sent = endpoint.health_checks_in_flight
-            patience_ms = max(self._check_timeout_ms, LATENESS_MULTIPLE * self._timers.lateness_ms)
-            return bool(sent) and now - sent[0] > patience_ms
+            timeout_ms = max(self._check_timeout_ms, LATENESS_MULTIPLE * self._timers.lateness_ms)
+            return bool(sent) and now - sent[0] > timeout_ms
         since = endpoint.unanswered_since
         return since is not None and now - since > self._latency.longest_ms
 
     def ejected_endpoint_ids(self, now: float, listed_count: int) -> Collection[EndpointId]:
-        """The endpoints that get nothing now; none where that would be half of the listed or more."""
+        """Return the endpoints that get no attempts now; none where that would be half of the listed ones or more."""
         ejected = {
             endpoint.endpoint_id
             for endpoint in self._table.active.values()
@@ -77,7 +83,7 @@
         return ejected if len(ejected) < MAX_EJECTED_RATIO * listed_count else ()
 
     def record_failure(self, endpoint: Endpoint, now: float) -> None:
-        """The endpoint erred, refused a connection or was silent."""
+        """Record an error, a refused connection or a missing response, and eject the endpoint if due."""
         endpoint.consecutive_failures += 1
         self._table.activate(endpoint)
         if endpoint.is_unlisted:
@@ -90,27 +96,30 @@
         endpoint.ejected_until = now + ejection_ms * (1 - EJECTION_JITTER / 2 + self._rng.random() * EJECTION_JITTER)
 
     def record_error(self, request: Request, endpoint: Endpoint, now: float) -> None:
-        """An attempt ended with an error: whether the request or the endpoint is at fault shows where it is tried next.
+        """Record an attempt that ended with an error, and a failure of the endpoint if that is clearly at fault.
 
-        An endpoint that errs so often in a row that chance cannot have sent it so many bad requests is at fault as well.
+        Whether the request or the endpoint is at fault shows when the request is retried elsewhere.  An endpoint with too many
+        consecutive errors to be explained by requests that fail everywhere is at fault as well.
         """
         endpoint.consecutive_errors += 1
         if any(attempt.outcome is AttemptOutcome.ERROR for attempt in request.attempts[:-1]):
-            self.retry_recovery_ratio -= self.retry_recovery_ratio / CURED_SMOOTHING  # at two endpoints: it is the request
+            self.retry_recovery_ratio -= (
+                self.retry_recovery_ratio / RECOVERY_SMOOTHING_REQUESTS
+            )  # errors at two endpoints: the request is at fault
         elif self.retry_recovery_ratio > HIGH_RECOVERY_RATIO:
             self.count_as_in_flight(request, endpoint, now)
-        is_beyond_chance = self.error_rate**endpoint.consecutive_errors < CHANCE_LIMIT
+        has_too_many_errors = self.error_rate**endpoint.consecutive_errors < MAX_COINCIDENCE_PROBABILITY
         is_never_retried = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
-        if is_beyond_chance or is_never_retried and self.retry_recovery_ratio > HIGH_RECOVERY_RATIO:
+        if has_too_many_errors or is_never_retried and self.retry_recovery_ratio > HIGH_RECOVERY_RATIO:
             self.record_failure(endpoint, now)
 
     def record_served(self, request: Request, now: float) -> None:
-        """The request was served: whichever endpoint erred with it before is at fault."""
+        """Record a served request: the endpoints that answered it with an error before are at fault."""
         for attempt in request.attempts:
             if attempt.outcome is AttemptOutcome.ERROR:
-                self.retry_recovery_ratio += (1 - self.retry_recovery_ratio) / CURED_SMOOTHING
+                self.retry_recovery_ratio += (1 - self.retry_recovery_ratio) / RECOVERY_SMOOTHING_REQUESTS
                 self.record_failure(attempt.endpoint, now)
 
     def count_as_in_flight(self, request: Request, endpoint: Endpoint, now: float) -> None:
-        """Goes on counting an attempt that ended badly: a quick error must not make an endpoint look empty."""
-        endpoint.counted_in_flight_until.append(now + ABANDONED_TYPICAL_TIMES * request.typical_latency_ms())
+        """Keep counting a failed attempt as in flight for a while: fast errors must not make an endpoint look idle."""
+        endpoint.counted_in_flight_until.append(now + ABANDONED_LATENCY_MULTIPLE * request.typical_latency_ms())
