--- a/sloeferry/policy/admission.py
+++ b/sloeferry/policy/admission.py
@@ -94,7 +94,7 @@
         """Send the request, give it up, or leave it held; return False if it stays held."""
         endpoint, probability, expected_ms = self._selector.choose(request, now) if may_search else (None, 0.0, 0.0)
         slowdown = self._latency.slowdown(endpoint, now) if endpoint else 1.0
-        idle_ms = request.typical_latency_ms() * self._latency.stretch[0] * slowdown
+        idle_ms = request.typical_latency_ms() * self._latency.level_slowdowns[0] * slowdown
         spread = self._latency.spread
         min_probability = IDLE_PROBABILITY_RATIO * spread.fraction_below(request.request_class.objective_ms / idle_ms)
         if endpoint is not None:
@@ -102,7 +102,7 @@
             if (
                 is_likely_in_time
                 or self._is_uninformed(endpoint, now)
-                and self._load.may_send_uninformed(self._selector.candidates.all)
+                and self._load.may_send_without_reports(self._selector.candidates.all)
             ):
                 self._retries.send(request, endpoint, now, expected_ms)
                 return True
@@ -119,7 +119,7 @@
         """
         if self._arrivals.is_faster_than_health_checks():
             return True
-        return not self._has_health_check_reports and now - endpoint.reported_at > self._load.fade_ms
+        return not self._has_health_check_reports and now - endpoint.reported_at > self._load.report_half_life_ms
 
     def _give_up_excess(self, still_held: list[Request]) -> None:
         """Give up the last requests beyond what the endpoints complete while a request may be held, by Little's law."""
