--- a/sloeferry/policy/endpoint_staleness.py
+++ b/sloeferry/policy/endpoint_staleness.py
@@ -1,13 +1,13 @@
-"""How long the endpoint list may be used once nobody confirms it any more (safety rule 3).  Free of I/O.
+"""Staleness of the endpoint list: the time for which it may be used without confirmation (safety rule 3).  Free of I/O.
 
-Guards against attempts to an endpoint that drains or is gone, of which this proxy has not heard: they show as `sent past the
-drain grace` or `sent by a stale list` among the send guard's violations.
+Guards against attempts to an endpoint that is draining or gone without this proxy having been notified.  They show as `sent past
+the drain grace` or `sent by a stale list` among the send guard's violations.
 
-What a proxy knows has one age.  `trusted_until` is the moment up to which each change of the list is known to have been
-notified; each way in which word of changes stops starts the same clock from there, and `usable_until` is the one deadline that
-follows.  It is derived from recorded facts: when a list or a sign of life last came, whether a watch stands, how polls ended.
+The list has a single age.  `trusted_until` is the time up to which all changes of the list are known to have been notified.
+Each event that interrupts the notification of changes starts a limit from there, and `usable_until` is the resulting deadline.
+It is derived from recorded events: the last list or sign of life, the state of the watch and the ends of polls.
 
-Times are float milliseconds, monotonic.  Source of the limits: the bench's protocol page and its standing test, as
+Times are float milliseconds, monotonic.  The limits follow from the bench's protocol page and its standing test, as
 `docs/design.md` (Staleness of the list) sets out.
 """
 
@@ -15,16 +15,17 @@
 from dataclasses import dataclass
 from math import inf
 
-NOTIFICATION_LIMIT_MS = 6000.0  # a change counts as notified so long after discovery had it and could be reached
+NOTIFICATION_LIMIT_MS = 6000.0  # a change counts as notified this long after discovery had it and was reachable
 MOVED_NOTIFICATION_LIMIT_MS = 4000.0  # the same where the list is pushed and discovery has moved
-ENDED_WATCH_NOTIFICATION_LIMIT_MS = 2000.0  # the same for a change that ended a watch instead of being told on it
-WATCH_DELAY_MS = NOTIFICATION_LIMIT_MS / 15  # a change may be so much older than the watch's word that does not tell it
-SHORT_WATCH_MS = NOTIFICATION_LIMIT_MS / 24  # a poll so soon after a watch's end, or after a failed poll, leaves no gap behind it
-FAILED_POLL_FACTOR = 4  # a list may be so much older after a poll that failed
+ENDED_WATCH_NOTIFICATION_LIMIT_MS = 2000.0  # the same for a change that ended a watch instead of being sent on it
+WATCH_DELAY_MS = NOTIFICATION_LIMIT_MS / 15  # a message on a watch may miss changes made up to this long before it
+# A poll this soon after the end of a watch or of a failed poll leaves no gap in which a change could be missed.
+SHORT_WATCH_MS = NOTIFICATION_LIMIT_MS / 24
+FAILED_POLL_FACTOR = 4  # multiple of the settings' age limit that holds after a failed poll
 
 
 class PollEnd(enum.Enum):
-    """How a poll ended that brought no list."""
+    """The end of a poll that returned no list."""
 
     UNREACHABLE = "no connection came up"
     NOT_SENT = "no descriptor for it"
@@ -33,10 +34,10 @@
 
 
 class StalenessCause(enum.Enum):
-    """Why the list's age runs: the last fact that set the deadline."""
+    """The event that last set the deadline of the list."""
 
     WATCHED = "watched"
-    CACHED = "as last held by an earlier process"  # also at a start without any list
+    CACHED = "as last held by an earlier process"  # also when a process starts without any list
     WATCH_ENDED = "watch ended"
     WATCH_SILENT = "watch silent"
     POLL_FAILED = "call failed"
@@ -46,7 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StalenessLimits:
-    """What a host's platform allows, in ms.  The defaults leave only the settings' own limit (the simulator's rule)."""
+    """The notification limits of a host's platform, in ms.
+
+    The defaults leave only the limit of the settings, which is the simulator's rule.
+    """
 
     notification_limit_ms: float = inf
     moved_notification_limit_ms: float = inf
@@ -58,10 +62,10 @@
 
 
 class ListStaleness:
-    """The age of one proxy's list, and until when it may be used.
+    """The age of one proxy's endpoint list and the time until which it may be used.
 
-    `is_polled` says whether the list is polled (else it is pushed); `poll_within_ms` is the settings' own limit, which
-    holds only where it is polled, and four times as long after a poll that failed.
+    `is_polled` tells whether the list is polled rather than pushed.  `poll_within_ms` is the limit of the settings, which applies
+    only to a polled list, and is four times as long after a failed poll.
     """
 
     def __init__(self, now: float, poll_within_ms: float, is_polled: bool, limits: StalenessLimits = NO_PLATFORM_LIMITS):
@@ -70,47 +74,47 @@
         self.trusted_until = now
         self.cause = StalenessCause.CACHED
         self.usable_until = now + min(limits.notification_limit_ms, poll_within_ms if is_polled else inf)
-        self.is_watch_overdue = False  # a watch was given up as silent, and no list has come since
+        self.is_watch_overdue = False  # a watch was closed as silent, and no list was received since
         self._is_polled = is_polled
         self._is_on_sockets = limits.notification_limit_ms < inf
-        # Whether word of changes may have stopped because discovery is out of reach, and since when that would be.
+        # Whether notifications may have stopped because discovery is out of reach, and the start of such an outage.
         self._outage_since = now
         self._may_be_outage = True
         self._outage_gap_ms = (
             limits.notification_limit_ms
-        )  # before its first poll a proxy has no watch whose end tells of an outage
+        )  # before its first poll a proxy has no watch whose end would show an outage
 
     def is_usable(self, now: float) -> bool:
-        """Whether requests may be sent by this list."""
+        """Return whether requests may be sent by this list."""
         return now <= self.usable_until
 
-    # Facts from sockets and from the bench
+    # Events from sockets and from the bench
 
     def confirmed(self, at: float) -> None:
-        """A list was taken in, or a watch that stands said something, written at `at` or later."""
+        """Record a list that was applied or a message on the established watch, written at `at` or later."""
         self.trusted_until = max(self.trusted_until, at - WATCH_DELAY_MS)
         self.cause = StalenessCause.WATCHED
         self.usable_until = self.trusted_until + self.limits.notification_limit_ms
         self._may_be_outage, self._outage_gap_ms, self.is_watch_overdue = True, SHORT_WATCH_MS, False
 
     def poll_began(self, now: float) -> None:
-        """The list is polled.  In the simulator, where only the settings limit its age, that runs from here."""
+        """Record the start of a poll, from which the limit of the settings runs in the simulator, where it is the only one."""
         if self._is_polled and not self._is_on_sockets:
             self.usable_until = now + self.poll_within_ms
 
     def poll_succeeded(self, now: float) -> None:
-        """A list came.  Only in the simulator: on sockets `confirmed` says more."""
+        """Record a poll that returned a list.  Has an effect in the simulator alone: on sockets `confirmed` is more precise."""
         if not self._is_on_sockets:
             self.trusted_until, self.cause, self.usable_until = now, StalenessCause.WATCHED, inf
 
     def poll_unanswered(self, now: float) -> None:
-        """A poll failed.  Only in the simulator: on sockets the events below say more."""
+        """Record a failed poll.  Has an effect in the simulator alone: on sockets the events below are more precise."""
         if not self._is_on_sockets:
             self.cause = StalenessCause.POLL_FAILED
             self.usable_until = now + FAILED_POLL_FACTOR * self.poll_within_ms
 
     def watch_ended(self, now: float) -> None:
-        """A watch that had told its list ended.  It may have ended instead of telling a change, made just before."""
+        """Record the end of a watch that had sent its list.  It may have ended instead of sending a change made just before."""
         if self.cause is StalenessCause.WATCHED:
             self.trusted_until = max(self.trusted_until, now - WATCH_DELAY_MS)
         self._outage_since = now
@@ -118,33 +122,36 @@
         self._limit(StalenessCause.WATCH_ENDED, limit_ms)
 
     def watch_silent(self, since: float) -> None:
-        """A watch has said nothing since then, and is given up: what it missed counts as notified in time."""
+        """Record that a watch was closed because it had sent nothing since `since`.
+
+        A change made after that still counts as notified within the limit.
+        """
         self.trusted_until = min(self.trusted_until, since)
         self._may_be_outage, self.is_watch_overdue = False, True
         self._limit(StalenessCause.WATCH_SILENT, self.limits.notification_limit_ms)
 
     def discovery_relocated(self, now: float) -> None:
-        """Discovery is elsewhere: nothing that the former place says tells what the new one has."""
+        """Record a new address of discovery: what the former one sends says nothing about the list at the new one."""
         self.trusted_until = min(self.trusted_until, now)
         limit_ms = self.limits.notification_limit_ms if self._is_polled else self.limits.moved_notification_limit_ms
         self._limit(StalenessCause.DISCOVERY_MOVED, limit_ms)
 
     def poll_waiting(self, began: float, tried: float) -> bool:
-        """A poll that began then is still on its way; whether that tells of an outage.
+        """Record a poll that is still waiting, and return whether that shows an outage of discovery.
 
-        Its dial of the time `tried` failed, or its request, written then, has waited for longer than discovery, where it is
-        there, lets one wait.
+        The poll began at `began`.  At `tried`, its connection attempt began and then failed, or its request was written and has
+        waited for longer than a reachable discovery lets a request wait.
         """
         if not self._may_be_outage or began - self._outage_since > self._outage_gap_ms:
             return False
-        # Word stopped because discovery is out of reach, and has been from then on: nothing was missed so far.
+        # Notifications stopped because discovery has been out of reach since: no change was missed so far.
         self.trusted_until = max(self.trusted_until, tried)
         self.cause = StalenessCause.DISCOVERY_UNREACHABLE
         self.usable_until = self._allowed_until(self.trusted_until, began)
         return True
 
     def poll_failed(self, now: float, end: PollEnd, began: float, tried: float) -> None:
-        """A poll that brought no list has ended; `began` and `tried` as above."""
+        """Record the end of a poll that returned no list; `began` and `tried` are those of `poll_waiting`."""
         if end in (PollEnd.UNREACHABLE, PollEnd.UNANSWERED) and self.poll_waiting(began, tried):
             self._outage_since, self._outage_gap_ms = now, self.limits.notification_limit_ms
             return
@@ -156,12 +163,12 @@
     # The deadline
 
     def _allowed_until(self, since: float, began: float) -> float:
-        by_settings = began + FAILED_POLL_FACTOR * self.poll_within_ms if self._is_polled else inf
-        return min(since + self.limits.notification_limit_ms, by_settings)
+        settings_deadline = began + FAILED_POLL_FACTOR * self.poll_within_ms if self._is_polled else inf
+        return min(since + self.limits.notification_limit_ms, settings_deadline)
 
     def _limit(self, cause: StalenessCause, limit_ms: float) -> None:
-        """The list's age runs from `trusted_until`; a deadline that stands already is only brought forward."""
+        """Set the deadline to `limit_ms` after `trusted_until`; an existing deadline is only moved to an earlier time."""
         limit_ms = min(limit_ms, self.poll_within_ms) if self._is_polled else limit_ms
-        until = self.trusted_until + limit_ms
-        if self.cause is StalenessCause.WATCHED or until < self.usable_until:
-            self.cause, self.usable_until = cause, min(self.usable_until, until)
+        deadline = self.trusted_until + limit_ms
+        if self.cause is StalenessCause.WATCHED or deadline < self.usable_until:
+            self.cause, self.usable_until = cause, min(self.usable_until, deadline)
--- a/sloeferry/policy/endpoint_table.py
+++ b/sloeferry/policy/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoint list as this policy holds it, and what is counted by zone, cell and kind of machine."""
+"""The endpoint list as this policy holds it, and the statistics by zone, cell and machine kind."""
 
 import functools
 from collections import defaultdict
@@ -11,26 +11,26 @@
 from sloeferry.policy.interface import EndpointEntry, EndpointId, EndpointState, ListScope
 from sloeferry.policy.success_rate import SuccessRateTracker
 
-ALL_MACHINES_SAMPLES = 100  # attempts after which what was learned of all machines is halved
+ALL_MACHINES_SAMPLES = 100  # attempts after which the histogram of all machines is halved
 
 
 class EndpointTable:
-    """All endpoints that the list named, but for those that are gone and have nothing out."""
+    """All listed endpoints, including gone ones with attempts or health checks in flight."""
 
     def __init__(self, settings: Settings):
-        self._is_only_draining_binding = settings.obligations.may_use_unlisted_endpoints
+        self._may_use_unlisted = settings.obligations.may_use_unlisted_endpoints
         self.by_id: dict[EndpointId, Endpoint] = {}
         self.ready: list[Endpoint] = []
-        self.active: dict[EndpointId, Endpoint] = {}  # those of which something was heard, or that have something out
+        self.active: dict[EndpointId, Endpoint] = {}  # those with a recent report, failures, or anything in flight
         self.zone_trackers: defaultdict[Hashable, SuccessRateTracker] = defaultdict(SuccessRateTracker)
         self.cell_trackers: defaultdict[Hashable, SuccessRateTracker] = defaultdict(SuccessRateTracker)
         self.health_check_trackers: defaultdict[Hashable, SuccessRateTracker] = defaultdict(SuccessRateTracker)  # by zone
         new_kind = functools.partial(MachineKind, Histogram(1.0, ALL_MACHINES_SAMPLES, [1.0] * 4))
         self._machine_kinds: defaultdict[Hashable, MachineKind] = defaultdict(new_kind)
-        self.candidates_chosen_at = -inf  # when `CandidateSet` last chose from this table; -inf: it has to choose anew
+        self.candidates_chosen_at = -inf  # time of the last refresh of `CandidateSet`; -inf: a refresh is due
 
     def update(self, scope: ListScope, entries: Sequence[EndpointEntry]) -> None:
-        """A list, or changes of it, came."""
+        """Apply a complete list or changes of it."""
         for entry in entries:
             self._update_endpoint(entry)
         self.invalidate_candidates()
@@ -39,7 +39,7 @@
             for endpoint in self.by_id.values():
                 state = endpoint.state if endpoint.endpoint_id in listed else EndpointState.GONE
                 self._set_state(endpoint, state)
-        self._forget_gone()
+        self._drop_gone()
         self.ready = [endpoint for endpoint in self.by_id.values() if endpoint.state is EndpointState.READY]
 
     def _update_endpoint(self, entry: EndpointEntry) -> None:
@@ -54,34 +54,35 @@
         endpoint.machine_kind = self._machine_kinds[entry.machine_kind]
 
     def _set_state(self, endpoint: Endpoint, state: EndpointState) -> None:
-        """Where only draining binds, an endpoint that is merely gone is used until it fails: the list may be wrong.
+        """Set the endpoint's state; where unlisted endpoints may be used, one gone without draining stays ready until it fails.
 
-        In the simulator, that is; on sockets its address goes with the list (`network/discovery_client.py`).
+        The list may be wrong.  This applies to the simulator alone: on sockets the address of an endpoint is removed with its
+        entry (`network/discovery_client.py`).
         """
-        is_unlisted = state is EndpointState.GONE and self._is_only_draining_binding
+        is_unlisted = state is EndpointState.GONE and self._may_use_unlisted
         endpoint.is_unlisted = is_unlisted and endpoint.state is EndpointState.READY
         endpoint.state = EndpointState.READY if endpoint.is_unlisted else state
 
-    def _forget_gone(self) -> None:
-        """Ids are ever new: endpoints that are gone would fill the memory on a long day."""
+    def _drop_gone(self) -> None:
+        """Drop gone endpoints with nothing in flight: new endpoints have new ids, so that memory would grow without bound."""
         for endpoint in list(self.by_id.values()):
-            has_anything_out = endpoint.own_in_flight or endpoint.health_checks_in_flight
-            if endpoint.state is EndpointState.GONE and not has_anything_out:
+            has_anything_in_flight = endpoint.own_in_flight or endpoint.health_checks_in_flight
+            if endpoint.state is EndpointState.GONE and not has_anything_in_flight:
                 del self.by_id[endpoint.endpoint_id]
                 self.active.pop(endpoint.endpoint_id, None)
 
     def remove_unlisted(self, endpoint: Endpoint) -> None:
-        """Removes an endpoint that the list calls gone and that now fails."""
+        """Remove an endpoint that is gone from the list and that now fails."""
         endpoint.state, endpoint.is_unlisted = EndpointState.GONE, False
         self.invalidate_candidates()
         self.ready.remove(endpoint)
 
     def activate(self, endpoint: Endpoint) -> None:
-        """Adds an endpoint to `active`: something was heard of it, or was sent there."""
+        """Add an endpoint to `active`, after it was sent something or answered."""
         self.active[endpoint.endpoint_id] = endpoint
 
     def drop_inactive(self, now: float, max_age_ms: float) -> None:
-        """Drops from `active` each endpoint with nothing outstanding and no report within `max_age_ms`."""
+        """Drop from `active` each endpoint with nothing in flight, no failures and no report within `max_age_ms`."""
         self.active = {
             endpoint_id: endpoint
             for endpoint_id, endpoint in self.active.items()
@@ -93,5 +94,5 @@
         }
 
     def invalidate_candidates(self) -> None:
-        """The candidates have to be chosen anew before the next attempt."""
+        """Require a refresh of the candidates before the next attempt."""
         self.candidates_chosen_at = -inf
--- a/sloeferry/policy/endpoints.py
+++ b/sloeferry/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""What a policy knows of one endpoint."""
+"""The state that a policy keeps of one endpoint."""
 
 from collections import deque
 from collections.abc import Hashable
@@ -10,31 +10,31 @@
 from sloeferry.policy.requests import CONNECTION_FAILURE_OUTCOMES, ENDPOINT_RESPONSE_OUTCOMES
 from sloeferry.policy.success_rate import SuccessRateTracker
 
-# No machine is so much quicker than usual: what is usual is not known yet.
+# No machine is faster than this relative to the typical latency: a lower value means that the typical latency isn't known yet.
 MIN_SLOWDOWN = 1 / 8
-MACHINE_KIND_SAMPLES = 100  # attempts after which what was learned of a kind of machines is halved
-ENDPOINT_SAMPLES = 12  # the same of one endpoint
+MACHINE_KIND_SAMPLES = 100  # attempts after which the histogram of a machine kind is halved
+ENDPOINT_SAMPLES = 12  # attempts after which the histogram of an endpoint is halved
 LAST_SERVED_KEPT = 3
-# Not the median: where reports hide a queue, answers are either quick or never come.
+# Above the median: where reports hide a queue, answers either come fast or not at all, and the median sees the fast ones alone.
 SLOWDOWN_QUANTILE = 0.7
 MAX_CLASS_EJECTION_DOUBLINGS = 4
-NEVER_EJECTED = (0, -inf)  # times, until when
+NEVER_EJECTED = (0, -inf)  # number of ejections, end of the last one (ms)
 
 
 class MachineKind:
-    """How slow the machines of one kind are, against all machines."""
+    """The latency of machines of one kind relative to all machines."""
 
     def __init__(self, all_machines: Histogram):
         self.all_machines = all_machines
         self.ratios = Histogram(1.0, MACHINE_KIND_SAMPLES, [1.0] * 4)
 
     def slowdown(self) -> float:
-        """How much longer than usual an attempt takes at one of them."""
+        """Return the latency of attempts at these machines relative to the typical one."""
         return max(MIN_SLOWDOWN, self.ratios.quantile(0.5) / self.all_machines.quantile(0.5))
 
 
 class Endpoint:
-    """One backend."""
+    """A backend as the endpoint list has it, with its load, latency and failures."""
 
     def __init__(self, endpoint_id: EndpointId):
         self.endpoint_id = endpoint_id
@@ -42,33 +42,33 @@
         self.cell = 0
         self.state = EndpointState.READY
         self.started_at = 0.0  # 0: long ago
-        self.class_ejections: dict[RequestClass, tuple[int, float]] = {}  # how often, until when
-        self.is_unlisted = False  # gone from the list without a drain before it, and still used
-        self.path_trackers: tuple[SuccessRateTracker, ...] = ()  # of its zone and of its cell
-        self.path_quality = 1.0  # the worst of the paths to it, 0 to 1
-        self.machine_kind = MachineKind(Histogram(1.0, 1, [1.0]))  # shared by all of its kind
+        self.class_ejections: dict[RequestClass, tuple[int, float]] = {}  # number of ejections, end of the last one
+        self.is_unlisted = False  # gone from the list without draining before, and still used
+        self.path_trackers: tuple[SuccessRateTracker, ...] = ()  # of its zone and its cell
+        self.path_quality = 1.0  # the lowest of the paths to it, 0 to 1
+        self.machine_kind = MachineKind(Histogram(1.0, 1, [1.0]))  # shared by all endpoints of this kind
         self.reset()
 
     def reset(self) -> None:
-        """Forgets what was learned of its former process; ejections for one class and its paths stay."""
-        self.others_in_flight = 0.0  # requests that it holds for other proxies, as of `reported_at`
+        """Reset what was learned of its previous process; ejections for one class and its paths stay."""
+        self.others_in_flight = 0.0  # requests of other proxies, as of `reported_at`
         self.reported_at = -inf
         self.own_in_flight = 0
-        self.counted_in_flight_until: list[float] = []  # attempts that ended and still count as in flight here, each until then
-        self.open_connections = 0  # likely
+        self.counted_in_flight_until: list[float] = []  # per ended attempt: until when it still counts as in flight here
+        self.open_connections = 0  # estimated
         self.consecutive_failures = 0
         self.consecutive_errors = 0
         self.ejected_until = 0.0
         self.unanswered_since: float | None = None
-        self.health_checks_in_flight: list[float] = []  # when each was sent, oldest first
-        self.latency_ratios = Histogram(1.0, ENDPOINT_SAMPLES, [1.0, 1.0])  # against its machine kind's
-        self.slowdown = 1.0  # how much longer than usual an attempt takes here
+        self.health_checks_in_flight: list[float] = []  # time at which each was sent, oldest first
+        self.latency_ratios = Histogram(1.0, ENDPOINT_SAMPLES, [1.0, 1.0])  # relative to its machine kind
+        self.slowdown = 1.0  # latency of attempts relative to the typical one
         self.learned_at = 0.0
-        self.recent_sends: deque[tuple[float, float]] = deque()  # (when, ms of work), for its slow-start budget
+        self.recent_sends: deque[tuple[float, float]] = deque()  # (sent at, work in ms), for its slow-start budget
         self.last_served_sent_at: deque[float] = deque(maxlen=LAST_SERVED_KEPT)
 
     def attempt_ended(self, outcome: AttemptOutcome) -> None:
-        """Updates the connections and requests in flight after an attempt has ended."""
+        """Update the connections and requests in flight after an attempt has ended."""
         if outcome in ENDPOINT_RESPONSE_OUTCOMES:
             self.open_connections = max(self.open_connections, self.own_in_flight)
         elif outcome in CONNECTION_FAILURE_OUTCOMES:
@@ -76,16 +76,22 @@
         self.own_in_flight = max(0, self.own_in_flight - 1)
 
     def is_ejected_for(self, request_class: RequestClass, now: float) -> bool:
-        """Whether requests of this class go elsewhere for now."""
+        """Return whether the endpoint is ejected for requests of this class."""
         return self.class_ejections.get(request_class, NEVER_EJECTED)[1] > now
 
     def eject_for(self, request_class: RequestClass, now: float, base_ms: float) -> None:
-        """Ejects it for requests of this class, longer each time."""
-        times = self.class_ejections.get(request_class, NEVER_EJECTED)[0] + 1
-        self.class_ejections[request_class] = times, now + base_ms * 2 ** min(times, MAX_CLASS_EJECTION_DOUBLINGS)
+        """Eject the endpoint for requests of this class, for a time that doubles with each ejection."""
+        ejection_count = self.class_ejections.get(request_class, NEVER_EJECTED)[0] + 1
+        self.class_ejections[request_class] = (
+            ejection_count,
+            now + base_ms * 2 ** min(ejection_count, MAX_CLASS_EJECTION_DOUBLINGS),
+        )
 
     def learn(self, ratio: float, spread: Histogram, now: float) -> None:
-        """Learns from an attempt that took `ratio` times what its load explains; `spread`: that of all attempts."""
+        """Update the slowdown from an attempt that took `ratio` times the latency expected at this load.
+
+        `spread` is the distribution of that ratio over all attempts.
+        """
         kind_slowdown = self.machine_kind.slowdown()
         self.machine_kind.all_machines.add(ratio)
         self.machine_kind.ratios.add(ratio)
@@ -95,7 +101,7 @@
         self.learned_at = now
 
     def decayed_slowdown(self, fraction: float) -> float:
-        """Its slowdown, of which that fraction is still believed against its kind's."""
+        """Return the slowdown decayed towards that of its machine kind, of which this fraction is left."""
         kind_slowdown = self.machine_kind.slowdown()
         if self.slowdown == 1.0:
             return kind_slowdown
--- a/sloeferry/policy/key_affinity.py
+++ b/sloeferry/policy/key_affinity.py
@@ -1,7 +1,7 @@
-"""Which endpoints are likely to know a request's key, so that they answer it sooner.
+"""Key affinity: the endpoints that have probably cached a request's key, and so answer the request faster.
 
-The order in which endpoints stand for a key is the same at every proxy, by key and endpoint id alone (rendezvous hashing):
-an endpoint that comes or goes moves its own keys and no others.
+Endpoints are ordered for a key by rendezvous hashing of the key and the endpoint id, which gives the same order at every proxy.
+An endpoint that is added or removed moves its own keys and no others.
 """
 
 from collections import Counter
@@ -11,31 +11,31 @@
 from sloeferry.policy.endpoints import Endpoint
 from sloeferry.policy.histogram import Histogram
 
-SPREAD_FACTOR = 1.5  # a key fills at most 1 / 1.5 of an endpoint's part of the requests
-COUNTED_REQUESTS = 400  # over which keys are counted; then the counts are halved
-MAX_REMEMBERED_KEYS = 4 * COUNTED_REQUESTS
+SPREAD_FACTOR = 1.5  # a key takes at most 1 / 1.5 of an endpoint's share of the requests
+COUNTED_REQUESTS = 400  # requests after which the counts of keys are halved
+MAX_CACHED_RANKINGS = 4 * COUNTED_REQUESTS
 RATIO_SAMPLES = 200
 HASH_BYTES = 8
 
 
 class KeyAffinity:
-    """How often each key comes, and which endpoints stand for it."""
+    """The frequency of each key and the endpoints that are affine to it."""
 
     def __init__(self):
         self._counts: Counter = Counter()
         self._total = 0.0
         self._ranked_by_key: dict[Hashable, tuple[list[Endpoint], ...]] = {}
         self._ratios_at_affine = Histogram(1.0, RATIO_SAMPLES, [0.5] * 8)
-        self._ratios_elsewhere = Histogram(1.0, RATIO_SAMPLES, [1.0] * 8)
-        self.affine_ratio = 0.5  # of its usual time, that a request takes where its key is likely known
+        self._ratios_at_others = Histogram(1.0, RATIO_SAMPLES, [1.0] * 8)
+        self.affine_ratio = 0.5  # latency at an affine endpoint relative to others
 
     def learn(self, is_affine: bool, ratio: float) -> None:
-        """An attempt took `ratio` times what was expected, at an endpoint that stands for its key or elsewhere."""
-        (self._ratios_at_affine if is_affine else self._ratios_elsewhere).add(ratio)
-        self.affine_ratio = min(1.0, self._ratios_at_affine.quantile(0.5) / self._ratios_elsewhere.quantile(0.5))
+        """Record an attempt that took `ratio` times the expected latency, at an affine endpoint or at another."""
+        (self._ratios_at_affine if is_affine else self._ratios_at_others).add(ratio)
+        self.affine_ratio = min(1.0, self._ratios_at_affine.quantile(0.5) / self._ratios_at_others.quantile(0.5))
 
     def count(self, key: Hashable) -> None:
-        """A request with that key has come; 0 is no key."""
+        """Count a request with this key; a key of 0 means none."""
         if not key:
             return
         self._counts[key] += 1
@@ -45,20 +45,20 @@
             self._total = sum(self._counts.values())
 
     def affine_endpoints(self, key: Hashable, endpoints: Sequence[Endpoint]) -> Sequence[Endpoint]:
-        """The endpoints that are likely to know this key: the first of each zone, more of them the more often it comes."""
+        """Return the endpoints affine to this key: the first of each zone, and more of each for a frequent key."""
         if not key:
             return ()
         share = SPREAD_FACTOR * (self._counts[key] / max(1, self._total))
-        return [one for zone in self._ranked(key, endpoints) for one in zone[: 1 + int(share * len(zone))]]
+        return [endpoint for zone in self._ranked(key, endpoints) for endpoint in zone[: 1 + int(share * len(zone))]]
 
     def forget_rankings(self) -> None:
-        """The list of endpoints has changed."""
+        """Drop the cached order of endpoints for each key, after a change of the endpoint list."""
         self._ranked_by_key.clear()
 
     def _ranked(self, key: Hashable, endpoints: Sequence[Endpoint]) -> tuple[list[Endpoint], ...]:
-        """The endpoints of each zone in this key's order."""
+        """Return the endpoints of each zone in this key's order."""
         if key not in self._ranked_by_key:
-            if len(self._ranked_by_key) >= MAX_REMEMBERED_KEYS:  # keys are ever new
+            if len(self._ranked_by_key) >= MAX_CACHED_RANKINGS:  # the number of distinct keys is unbounded
                 self._ranked_by_key.clear()
             by_zone: dict[Hashable, list[Endpoint]] = {}
             for endpoint in sorted(endpoints, key=lambda each: _rank(key, each)):
--- a/sloeferry/policy/load_refresh.py
+++ b/sloeferry/policy/load_refresh.py
@@ -1,4 +1,4 @@
-"""Asks the endpoints that look least loaded for their load, as far as the budget goes."""
+"""Requests load reports from the endpoints with the lowest estimates by health checks, within a budget."""
 
 from collections.abc import Sequence
 from random import Random
@@ -8,24 +8,24 @@
 from sloeferry.policy.health_checks import HealthCheckBudget, HealthChecks
 from sloeferry.policy.models import Models
 
-ASKED_TOGETHER = 3
+CHECKS_PER_WAVE = 3  # health checks sent at once
 IDLE_RANK = 0.5  # an endpoint ranked lower is idle
 
 
 class PendingReport(NamedTuple):
-    """An endpoint that was asked, and when."""
+    """An endpoint whose health check is awaited, and the time of the request."""
 
     endpoint: Endpoint
-    asked_at: float
+    requested_at: float
 
     def is_outstanding(self) -> bool:
-        """Whether its answer is still out."""
+        """Return whether the health check is still unanswered."""
         sent = self.endpoint.health_checks_in_flight
-        return bool(sent) and sent[0] <= self.asked_at
+        return bool(sent) and sent[0] <= self.requested_at
 
 
 class LoadRefresher:
-    """Sends health checks for the sake of the requests that are about to be sent."""
+    """Sends health checks to refresh load reports before requests are sent."""
 
     def __init__(self, models: Models, health_checks: HealthChecks, rng: Random):
         self._candidates = models.candidates
@@ -36,20 +36,20 @@
         self._rng = rng
 
     def refresh(self, now: float) -> Sequence[PendingReport]:
-        """Asks those that look least loaded, unless one just heard of is idle; the reports that are to be waited for."""
+        """Send health checks to the endpoints of lowest rank and return the pending reports; none if one is known to be idle."""
         candidates = self._candidates.refresh(now) if self.budget.may_spend() else ()
-        # Of the unheard, those that warm up count for as much as others: asked first, they would get the whole budget.
+        # Without a report, an endpoint that warms up ranks like others: ranked lower, it would use up the whole budget.
         ranked = [(self._load.current_rank(endpoint, now), endpoint) for endpoint in candidates]
         if any(self._is_fresh(endpoint, now) and rank < IDLE_RANK for rank, endpoint in ranked):
-            self.budget.refund(ASKED_TOGETHER)  # saved for later requests, whatever this one has spent
+            self.budget.refund(CHECKS_PER_WAVE)  # saved for later requests, even if this one spent some
             return ()
         in_order = sorted((rank, self._rng.random(), endpoint) for rank, endpoint in ranked)
-        lowest = [endpoint for _, _, endpoint in in_order if not self._is_fresh(endpoint, now)][:ASKED_TOGETHER]
-        for endpoint in lowest:
+        lowest_ranked = [endpoint for _, _, endpoint in in_order if not self._is_fresh(endpoint, now)][:CHECKS_PER_WAVE]
+        for endpoint in lowest_ranked:
             if not endpoint.health_checks_in_flight and self.budget.may_spend():
                 self.budget.spend()
                 self._health_checks.send(endpoint, now)
-        return [PendingReport(endpoint, now) for endpoint in lowest if endpoint.health_checks_in_flight]
+        return [PendingReport(endpoint, now) for endpoint in lowest_ranked if endpoint.health_checks_in_flight]
 
     def _is_fresh(self, endpoint: Endpoint, now: float) -> bool:
         return now - endpoint.reported_at <= self._check_timeout_ms
--- a/sloeferry/policy/models.py
+++ b/sloeferry/policy/models.py
@@ -1,4 +1,4 @@
-"""What a policy knows of endpoints, request classes and paths: the parts that learn, built in the order of their needs."""
+"""The models that a policy learns of endpoints, request classes and paths, built in the order of their dependencies."""
 
 from dataclasses import dataclass
 from random import Random
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Models:
-    """The models; each stage of the policy takes from them what it needs."""
+    """The models that the stages of a policy share."""
 
     reporting: LoadReporting
     check_timeout_ms: float  # after which a health check counts as unanswered
@@ -51,7 +51,7 @@
     rng: Random,
     now: float,
 ) -> Models:
-    """The models of one policy."""
+    """Build the models of one policy."""
     reporting = LoadReporting.from_settings(settings)
     check_timeout_ms = HEALTH_CHECK_TIMEOUT_TICKS * settings.tick_ms
     arrivals, affinity, table = ArrivalRate(settings.tick_ms, now), KeyAffinity(), EndpointTable(settings)
