--- a/sloeferry/policy/health_checks.py
+++ b/sloeferry/policy/health_checks.py
@@ -1,4 +1,4 @@
-"""When endpoints are asked for their load or for a sign of life, and what that may cost."""
+"""Health checks: when endpoints are asked for their load or whether they respond, and the budget for it."""
 
 from random import Random
 
@@ -10,15 +10,15 @@
 from sloeferry.policy.load_reporting import LoadReporting
 from sloeferry.policy.timers import Timers
 
-# Of the mean weight of a request: what health checks that go round may cost for each.
-ROUND_COST = 0.005
-CHECK_INTERVAL_MS = 1000.0  # between two health checks of an endpoint, where they go round
-MIN_INTERVAL_RATIO = 1 / 5  # of that, where health checks are cheap
-MAX_CHECKS_OUT = 3  # at one endpoint
+# Of the mean weight of a request: what periodic health checks may cost per request.
+PERIODIC_CHECK_COST_RATIO = 0.005
+CHECK_INTERVAL_MS = 1000.0  # between two periodic health checks of an endpoint
+MIN_INTERVAL_RATIO = 1 / 5  # of the interval, where health checks are cheap
+MAX_CHECKS_IN_FLIGHT = 3  # per endpoint
 
 
 class HealthChecks:
-    """Sends health checks, and goes round the endpoints that need one."""
+    """Sends health checks on demand, and periodically to the endpoints that need them."""
 
     def __init__(
         self,
@@ -37,64 +37,64 @@
         self._reporting = reporting
         self._rng = rng
         self._cost = settings.costs.health_check
-        self._is_going_round = False
+        self._is_periodic_started = False
 
     def start(self, now: float) -> None:
-        """The first endpoints are known: from now on health checks go round."""
-        if self._reporting.may_health_check and not self._is_going_round:
-            self._is_going_round = True
-            self._timers.schedule(now + self._rng.random() * CHECK_INTERVAL_MS, self._next_round, 0)
+        """Start the periodic health checks once the first endpoints are known."""
+        if self._reporting.may_health_check and not self._is_periodic_started:
+            self._is_periodic_started = True
+            self._timers.schedule(now + self._rng.random() * CHECK_INTERVAL_MS, self._check_periodically, 0)
 
     def send(self, endpoint: Endpoint, now: float) -> None:
-        """Checks that endpoint, unless enough checks are out there."""
+        """Send a health check to a ready endpoint, unless enough of its health checks are in flight."""
         is_ready = endpoint.state is EndpointState.READY
-        if is_ready and self._reporting.may_health_check and len(endpoint.health_checks_out) < MAX_CHECKS_OUT:
+        if is_ready and self._reporting.may_health_check and len(endpoint.health_checks_out) < MAX_CHECKS_IN_FLIGHT:
             endpoint.health_checks_out.append(now)
             self._table.activate(endpoint)
             self._host.send_health_check(endpoint.endpoint_id)
 
-    def _next_round(self, now: float, turn: int) -> None:
-        """Checks each endpoint that failed; where only health checks bring reports, each ready one in its turn.
+    def _check_periodically(self, now: float, turn: int) -> None:
+        """Check each endpoint that failed or, where only health checks bring load reports, the next ready endpoint in turn.
 
-        There each is checked once a second, more often where that costs no more than `ROUND_COST`.
+        In the second case each endpoint is checked once a second, or more often as far as `PERIODIC_CHECK_COST_RATIO` allows.
         """
         interval_ms = CHECK_INTERVAL_MS
         if self._reporting.comes_with_health_checks:
             ready = self._table.ready
-            affordable_ms = len(ready) * self._cost / ROUND_COST * self._arrivals.mean_gap_ms
+            affordable_ms = len(ready) * self._cost / PERIODIC_CHECK_COST_RATIO * self._arrivals.mean_gap_ms
             interval_ms = min(interval_ms, max(interval_ms * MIN_INTERVAL_RATIO, affordable_ms))
             interval_ms /= max(1, len(ready))
             due = [ready[turn % len(ready)]] if ready else []
         else:
             active = self._table.active.values()
             due = [each for each in active if each.consecutive_failures or each.health_checks_out]
-        # One timer for all: with one for each endpoint, hundreds of proxies do little else.
-        self._timers.schedule(now + interval_ms, self._next_round, turn + 1)
+        # One timer for all endpoints: with one per endpoint, hundreds of proxies did little else than fire timers.
+        self._timers.schedule(now + interval_ms, self._check_periodically, turn + 1)
         for endpoint in due:
             self.send(endpoint, now)
 
 
 class HealthCheckBudget:
-    """How many health checks may be sent on behalf of requests, before an endpoint is chosen."""
+    """Token bucket for the health checks that are sent for a request before its endpoint is chosen."""
 
-    MAX_SAVED_REQUESTS = 8.0  # requests whose allowance may be saved up
+    MAX_SAVED_REQUESTS = 8.0  # bucket size, in requests
 
     def __init__(self, reporting: LoadReporting):
         self.per_request = reporting.health_checks_per_request
-        self._balance = 0.0
+        self._tokens = 0.0
 
     def earn(self) -> None:
-        """Earns the allowance of one request."""
-        self._balance = min(self._balance + self.per_request, self.MAX_SAVED_REQUESTS * self.per_request)
+        """Add the tokens of one request."""
+        self._tokens = min(self._tokens + self.per_request, self.MAX_SAVED_REQUESTS * self.per_request)
 
     def refund(self, checks: int) -> None:
-        """Adds what a request need not spend, since an endpoint is known to be idle."""
-        self._balance += checks
+        """Return the tokens of health checks that a request does not need because an endpoint is known to be idle."""
+        self._tokens += checks
 
     def may_spend(self) -> bool:
-        """Whether there is one left."""
-        return self._balance >= 1
+        """Return whether a token is left."""
+        return self._tokens >= 1
 
     def spend(self) -> None:
-        """One is sent."""
-        self._balance -= 1
+        """Take the token of one health check."""
+        self._tokens -= 1
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -1,11 +1,11 @@
-"""When an endpoint is asked for its load."""
+"""When endpoints get health checks."""
 
 from tests.support.golden import GoldenFiles
 from tests.support.policy_recorder import PolicyRecorder
 
 
-def test_long_request_is_no_silence(golden: GoldenFiles):
-    """At one request a second an endpoint is heard of by its own long request alone.  It is checked, then left alone."""
+def test_long_request_is_checked_and_not_replaced(golden: GoldenFiles):
+    """An endpoint is silent only because its one request takes long.  It is checked; it answers, so the request stays there."""
     recorder = PolicyRecorder(limits__probing=True, tariffs__probe=0.002, limits__second_copies=False)
     recorder.list_endpoints("a", "b")
     for name in "ab":
@@ -17,11 +17,11 @@
         if "probe" in recorder.lines[-1]:
             recorder.report_load(endpoint_id, 1)
             recorder.record(f"   {endpoint_id} answers")
-    golden.check(recorder.lines, "long_txn")
+    golden.check(recorder.lines, "long_request")
 
 
-def test_checks_go_on_until_one_is_idle(golden: GoldenFiles):
-    """The first endpoints checked are busy.  More are checked instead of holding or rejecting the request."""
+def test_checks_continue_until_an_endpoint_is_idle(golden: GoldenFiles):
+    """The first endpoints checked are busy.  Others are checked instead of holding or rejecting the request."""
     recorder = PolicyRecorder(limits__probing=True, tariffs__probe=0.002)
     recorder.list_endpoints(*"abcdefgh")
     recorder.request(1)
@@ -31,4 +31,4 @@
             answered.append(line)
             endpoint_id = line[-1]
             recorder.report_load(endpoint_id, 0 if endpoint_id in "gh" else 3)
-    golden.check(recorder.lines, "waves")
+    golden.check(recorder.lines, "health_checks_until_idle")
