--- a/sloeferry/policy/request_classes.py
+++ b/sloeferry/policy/request_classes.py
@@ -1,4 +1,4 @@
-"""Request classes: what is promised for each, and what was learned of its attempts."""
+"""Request classes: their settings, and what was learned from their attempts."""
 
 from collections import deque
 from math import inf
@@ -7,71 +7,73 @@
 from sloeferry.policy.histogram import MANY_BINS_BELOW_UNIT, Histogram
 from sloeferry.policy.success_rate import SuccessRateTracker
 
-HIGH_LOSS_RATE = 0.1  # of the attempts that no endpoint rejected: left unanswered
+HIGH_LOSS_RATE = 0.1  # unanswered attempts, of those that no endpoint rejected
 LOSS_SMOOTHING = 16  # attempts over which the loss rate is averaged
-COMPARABLE_ENDS = 12  # so many attempts of another class tell whether it loses as much
-LATENCY_SAMPLES = 200  # attempts after which what was learned of the latency is halved
-MAX_COST_HINTS = 100  # over which the mean hint is taken
-WEIGHT_SMOOTHING = 100  # requests over which their mean weight is averaged
+MIN_COMPARABLE_ATTEMPTS = 12  # of another class, before the loss rates of both are compared
+LATENCY_SAMPLES = 200  # attempts after which the weight of earlier latencies is halved
+MAX_COST_HINTS = 100  # over which the mean hint is averaged
+WEIGHT_SMOOTHING = 100  # requests over which the mean weight is averaged
 
 
 class RequestClass:
-    """One class of requests."""
+    """One request class: its settings, and the latency, loss rate and cost hints learned from its requests."""
 
     def __init__(self, settings: Settings, index: int, former: "RequestClass | None" = None):
-        """`former`: the same class under other settings.
+        """Take over the learned state of `former`, which is the same class under earlier settings.
 
-        Its latency, cost hints, success rate and loss rate go on; since when it loses many attempts, and the longest time
-        left seen, are counted anew.
+        Latency, cost hints, success rate and loss rate are kept; the start of a high loss rate and the longest time left are
+        measured again.
         """
-        promised = settings.request_classes[index]
-        self.is_removed = promised.is_removed
+        class_settings = settings.request_classes[index]
+        self.is_removed = class_settings.is_removed
         self.max_attempts = settings.limits.max_attempts
-        self.deadline_ms = promised.deadline_ms
-        self.objective_ms = promised.latency_objective_ms
-        self.priority_weight = promised.priority_weight
-        self.idempotency = promised.idempotency
-        self.deduplication_group = promised.deduplication_group
-        self.deduplication_window_ms = promised.deduplication_window_ms
+        self.deadline_ms = class_settings.deadline_ms
+        self.objective_ms = class_settings.latency_objective_ms
+        self.priority_weight = class_settings.priority_weight
+        self.idempotency = class_settings.idempotency
+        self.deduplication_group = class_settings.deduplication_group
+        self.deduplication_window_ms = class_settings.deduplication_window_ms
         self._is_weight_per_work = settings.is_weight_per_work
-        guess = self.objective_ms / 4
-        # Latency in ms at endpoints found idle.
-        self.idle_latency = Histogram(self.objective_ms, LATENCY_SAMPLES, [guess] * 4, MANY_BINS_BELOW_UNIT)
-        self.longest_time_left_ms = 0.0  # seen with a request
+        initial_ms = self.objective_ms / 4
+        # Latency in ms at idle endpoints.
+        self.idle_latency = Histogram(self.objective_ms, LATENCY_SAMPLES, [initial_ms] * 4, MANY_BINS_BELOW_UNIT)
+        self.longest_time_left_ms = 0.0  # of all requests on arrival
         self.mean_cost_hint = 0.0
         self.cost_hint_count = 0
         self.tracker = SuccessRateTracker()
         self.loss_rate = 0.0
         self.high_loss_since = inf
-        self.recent_end_times: deque[float] = deque(maxlen=COMPARABLE_ENDS)
+        self.recent_end_times: deque[float] = deque(maxlen=MIN_COMPARABLE_ATTEMPTS)
         if former:
             self.idle_latency = former.idle_latency
             self.mean_cost_hint, self.cost_hint_count = former.mean_cost_hint, former.cost_hint_count
             self.tracker, self.loss_rate = former.tracker, former.loss_rate
 
     def attempt_ended(self, now: float, is_served: bool) -> None:
-        """An attempt was answered, or left unanswered."""
+        """Update the loss rate with an attempt that was answered or left unanswered."""
         self.loss_rate += ((not is_served) - self.loss_rate) / LOSS_SMOOTHING
         self.recent_end_times.append(now)
         if self.loss_rate > HIGH_LOSS_RATE:
             self.high_loss_since = min(self.high_loss_since, now)
-        elif self.loss_rate < HIGH_LOSS_RATE / 4:  # it is over, not only paused while endpoints are ejected for it
+        elif (
+            self.loss_rate < HIGH_LOSS_RATE / 4
+        ):  # the loss has ended and is not only paused while endpoints are ejected for this class
             self.high_loss_since = inf
 
     def can_be_compared_with(self, other: "RequestClass") -> bool:
-        """Whether enough of its attempts ended since the other began to lose many: a rare class lags behind."""
-        return len(self.recent_end_times) == COMPARABLE_ENDS and self.recent_end_times[0] > other.high_loss_since
+        """Return whether enough attempts ended since the other class began to lose many; rare classes lag behind."""
+        return len(self.recent_end_times) == MIN_COMPARABLE_ATTEMPTS and self.recent_end_times[0] > other.high_loss_since
 
     def typical_latency_ms(self) -> float:
-        """The median latency at an idle endpoint."""
+        """Return the median latency at an idle endpoint."""
         return self.idle_latency.quantile(0.5)
 
     def request_weight(self, relative_size: float = 1.0) -> float:
-        """What a request of that size is worth."""
+        """Return the weight of a request of that size."""
         return self.priority_weight * (self.typical_latency_ms() * relative_size if self._is_weight_per_work else 1.0)
 
     def relative_size(self, cost_hint: float | None) -> float:
-        """A cost hint against the mean hint of the class; 1 without one."""
+        """Return a cost hint relative to the mean of the class, or 1 without a hint, and update the mean."""
         if not cost_hint:
             return 1.0
         self.cost_hint_count = min(MAX_COST_HINTS, self.cost_hint_count + 1)
@@ -80,27 +82,27 @@
 
 
 class RequestClasses:
-    """All request classes and tenants of one policy.  Indexes are those of the settings."""
+    """Holds all request classes and tenants of one policy, with the indexes of the settings."""
 
     def __init__(self, settings: Settings):
         self.all: list[RequestClass] = []
         self.tenant_trackers: list[SuccessRateTracker] = []
         self.update(settings)
-        self.mean_weight = sum(each.request_weight() for each in self.all) / len(self.all)  # of the requests of late
+        self.mean_weight = sum(each.request_weight() for each in self.all) / len(self.all)  # moving average over requests
 
     def update(self, settings: Settings) -> None:
-        """Other settings: what was learned goes on; open requests keep the classes under which they were taken."""
+        """Apply other settings; learned state is kept, and open requests keep the classes under which they were accepted."""
         count = len(settings.request_classes)
-        self.all = [RequestClass(settings, at, *self.all[at : at + 1]) for at in range(count)]
+        self.all = [RequestClass(settings, index, *self.all[index : index + 1]) for index in range(count)]
         self.class_trackers = [each.tracker for each in self.all]
         new_tenants = settings.tenants[len(self.tenant_trackers) :]
         self.tenant_trackers = self.tenant_trackers + [SuccessRateTracker() for _ in new_tenants]
         self.shortest_objective_ms = min(each.objective_ms for each in self.all if not each.is_removed)
 
     def trackers_of(self, request_class: RequestClass, tenant_index: int) -> tuple[SuccessRateTracker, ...]:
-        """The trackers that a request's attempts count for: its class's and, where there is one, its tenant's."""
+        """Return the trackers of a request's attempts: that of its class and, if it has a tenant, that of the tenant."""
         return (request_class.tracker, *self.tenant_trackers[tenant_index : tenant_index + 1])
 
     def record_weight(self, weight: float) -> None:
-        """A request of that weight has come."""
+        """Update the mean weight with that of an arriving request."""
         self.mean_weight += (weight - self.mean_weight) / WEIGHT_SMOOTHING
--- a/sloeferry/policy/request_table.py
+++ b/sloeferry/policy/request_table.py
@@ -1,4 +1,4 @@
-"""The requests that were taken on and have no final answer yet, or still have an attempt out (safety rule 1)."""
+"""The requests that were accepted and have no final answer yet, or still have an attempt in flight (safety rule 1)."""
 
 from sloeferry.config.settings import Settings
 from sloeferry.policy.extension_points import ExtensionPoints
@@ -6,38 +6,39 @@
 from sloeferry.policy.safety_rules import SafetyRules
 from sloeferry.policy.timers import Timers
 
-ANSWER_TICKS = 2  # before its deadline a request is given up, so that the answer arrives in time
+FINAL_ANSWER_TICKS = 2  # before its deadline a request is given up, so that the answer arrives in time
 
 
 class RequestTable:
-    """All open requests."""
+    """Holds all open requests and sees that each gets its final answer before its deadline."""
 
     def __init__(self, settings: Settings, timers: Timers, rules: SafetyRules, extensions: ExtensionPoints):
         self._timers = timers
         self._rules = rules
         self._extensions = extensions
-        self._answer_ms = ANSWER_TICKS * settings.tick_ms
+        self._final_answer_ms = FINAL_ANSWER_TICKS * settings.tick_ms
         self.by_id: dict[int, Request] = {}
         self.update(settings)
 
     def update(self, settings: Settings) -> None:
-        """Takes over whether clients are told when to come back."""
+        """Apply the setting that sends clients a Retry-After."""
         self._tells_retry_after = settings.limits.sends_retry_after
 
     def add(self, request: Request, now: float) -> None:
-        """A request is taken on: from now on it is owed a final answer before its deadline."""
+        """Add an accepted request, which must get a final answer before its deadline."""
         self.by_id[request.request_id] = request
         self._extensions.request_accepted(now, request)
-        self._timers.schedule(request.deadline - self._answer_ms, self._deadline_nears, request)
+        self._timers.schedule(request.deadline - self._final_answer_ms, self._give_up_before_deadline, request)
 
-    def _deadline_nears(self, now: float, request: Request) -> None:
+    def _give_up_before_deadline(self, now: float, request: Request) -> None:
         if not request.is_answered and not request.has_attempt_in_flight():
             self.give_up(request)
 
     def give_up(self, request: Request, retry_after_ms: float | None = None) -> None:
-        """The request gets its final answer at once, with when to come back where clients are told.
+        """Send the final answer of a request that no endpoint served, with a Retry-After if that is enabled.
 
-        That is after its usual latency or, where its kind is at fault, after its latency objective.
+        The Retry-After defaults to the request's typical latency or, where its class or tenant is at fault, to its latency
+        objective.
         """
         if retry_after_ms is None:
             is_at_fault = request.is_at_fault()
@@ -46,9 +47,9 @@
         self.close(request)
 
     def close(self, request: Request, is_served: bool = False) -> None:
-        """Marks the request as answered: it has its final answer, or its client has gone (rule 1).
+        """Mark the request as answered, since it has its final answer or its client has disconnected (rule 1).
 
-        It is kept until its last attempt has ended.
+        It stays in the table until its last attempt has ended.
         """
         if not request.is_answered:
             self._extensions.request_ended(request, is_served)
--- a/sloeferry/policy/requests.py
+++ b/sloeferry/policy/requests.py
@@ -1,7 +1,7 @@
-"""A request on its way, and its attempts.
+"""An open request and its attempts.
 
-A request's kind is its class and its tenant; an attempt's path is the zone and the cell of its endpoint.  Each has a tracker
-of how many attempts are answered in time (`success_rate.py`, `fault_attribution.py`).
+A request's kind is its class and its tenant; an attempt's path is the zone and the cell of its endpoint.  For each of these
+four a tracker measures the ratio of attempts answered in time (`success_rate.py`, `fault_attribution.py`).
 """
 
 import enum
@@ -16,25 +16,25 @@
     from sloeferry.policy.endpoints import Endpoint
 
 NEVER_RAN_OUTCOMES = (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NEVER_SENT)
-# They tell nothing of the endpoint: the response of any may be corrupted on the way.
+# These say nothing about the endpoint: any endpoint's response may be corrupted on the way.
 UNINFORMATIVE_OUTCOMES = (AttemptOutcome.NEVER_SENT, AttemptOutcome.UNKNOWN)
-# Of these how long they took tells of the request's kind, too.
+# The latency of these also depends on the request's kind.
 REQUEST_KIND_OUTCOMES = (AttemptOutcome.SERVED, AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED)
 ENDPOINT_RESPONSE_OUTCOMES = (AttemptOutcome.SERVED, AttemptOutcome.ERROR, AttemptOutcome.REJECTED)
 CONNECTION_FAILURE_OUTCOMES = (AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST)
-GOOD_PATH_QUALITY = 0.3  # above it a late attempt tells of its request's kind, not of the path
+MIN_GOOD_PATH_QUALITY = 0.3  # on a better path, a late attempt is attributed to the request's kind
 
 
 class AttemptState(enum.Enum):
-    """Whether an attempt may have run."""
+    """The state of an attempt: in flight, ended and possibly run, or ended and certainly never run."""
 
-    IN_FLIGHT = "out"  # no word yet
+    IN_FLIGHT = "out"
     MAY_HAVE_RUN = "may have run"
     NEVER_RAN = "never ran"
 
 
 class Attempt:
-    """One sending of a request to an endpoint."""
+    """An attempt to have one endpoint serve a request."""
 
     __slots__ = (
         "request",
@@ -52,7 +52,7 @@
         self.request = request
         self.endpoint = endpoint
         self.sent_at = now
-        self.estimate_when_sent = estimate  # of requests in flight at the endpoint
+        self.estimate_when_sent = estimate  # requests in flight at the endpoint
         self.expected_ms = expected_ms
         self.state = AttemptState.IN_FLIGHT
         self.outcome: AttemptOutcome | None = None
@@ -60,12 +60,13 @@
         self.opens_connection = endpoint.own_in_flight >= endpoint.open_connections
 
     def track(self, overdue_at: float) -> None:
-        """Registers the attempt with the trackers of its request and its path, to be judged once it ends or is overdue.
+        """Register the attempt with the trackers of its request and its path, to be counted once it ends or is overdue.
 
-        A request whose kind is at fault tells nothing of the path; an attempt on a bad path tells nothing of its kind.
+        An attempt of a kind that is at fault does not count for the path, and an attempt on a bad path does not count for its
+        kind.
         """
         self.overdue_at = overdue_at
-        is_path_good = self.endpoint.path_quality > GOOD_PATH_QUALITY
+        is_path_good = self.endpoint.path_quality > MIN_GOOD_PATH_QUALITY
         is_at_fault = self.request.is_at_fault()
         for tracker in self.request.trackers:
             tracker.attempt_sent(self, tracker.is_at_fault or is_path_good and not is_at_fault)
@@ -73,22 +74,22 @@
             tracker.attempt_sent(self, not is_at_fault)
 
     def is_overtaken(self) -> bool:
-        """Three attempts sent there later were served: this one's connection is dead, its endpoint is not."""
+        """Return whether the last three attempts served there were all sent later: only this one's connection is dead."""
         served = self.endpoint.last_served_sent_at
         return len(served) == served.maxlen and min(served) > self.sent_at
 
     def end(self, now: float, outcome: AttemptOutcome) -> None:
-        """It ended: what that tells of its connection, its request's kind and its path."""
+        """End the attempt and update its endpoint and the trackers of its request's kind and its path."""
         self.state = AttemptState.NEVER_RAN if outcome in NEVER_RAN_OUTCOMES else AttemptState.MAY_HAVE_RUN
         self.outcome = outcome
         self.endpoint.attempt_ended(outcome)
         is_served = outcome is AttemptOutcome.SERVED
         in_time = None if outcome in UNINFORMATIVE_OUTCOMES else is_served and now <= self.overdue_at
-        tells_of_kind = outcome in REQUEST_KIND_OUTCOMES
-        if tells_of_kind and not self.request.is_at_fault():
+        is_kind_outcome = outcome in REQUEST_KIND_OUTCOMES
+        if is_kind_outcome and not self.request.is_at_fault():
             self.request.request_class.attempt_ended(now, is_served)
         for tracker in self.request.trackers:
-            tracker.attempt_ended(now, self, in_time if tells_of_kind else None)
+            tracker.attempt_ended(now, self, in_time if is_kind_outcome else None)
         is_answered = outcome is AttemptOutcome.ERROR or in_time
         path_in_time = is_answered if outcome is not AttemptOutcome.REJECTED else None
         for tracker in self.endpoint.path_trackers:
@@ -96,7 +97,7 @@
 
 
 class Request:
-    """A request that was taken on."""
+    """A request that the proxy has accepted."""
 
     __slots__ = (
         "request_id",
@@ -133,23 +134,23 @@
         self.deadline = now + time_left_ms
         self.objective_at = now + request_class.objective_ms
         self.weight = request_class.request_weight(relative_size)
-        self.relative_size = relative_size  # its cost hint against the mean hint of its class
+        self.relative_size = relative_size  # its cost hint relative to the mean of its class
         self.attempts: list[Attempt] = []
         self.is_answered = False
         self.trackers: tuple[SuccessRateTracker, ...] = ()
 
     def typical_latency_ms(self) -> float:
-        """How long it takes at an idle endpoint."""
+        """Return the typical latency at an idle endpoint."""
         return self.request_class.typical_latency_ms() * self.relative_size
 
     def is_at_fault(self) -> bool:
-        """Whether its class or its tenant is late wherever it goes."""
+        """Return whether requests of its class or tenant are late at every endpoint."""
         return any(tracker.is_at_fault for tracker in self.trackers)
 
     def has_attempt_in_flight(self) -> bool:
-        """Whether an attempt is still out."""
+        """Return whether an attempt is in flight."""
         return any(attempt.state is AttemptState.IN_FLIGHT for attempt in self.attempts)
 
     def attempts_that_may_have_run(self, before: int | None = None) -> list[Attempt]:
-        """Its attempts (those before that number) that are out, or ended without proof that they did not run."""
+        """Return the attempts (with a number below `before`) that are in flight, or ended without proof that they never ran."""
         return [attempt for attempt in self.attempts[:before] if attempt.state is not AttemptState.NEVER_RAN]
--- a/sloeferry/policy/safety_rules.py
+++ b/sloeferry/policy/safety_rules.py
@@ -1,9 +1,10 @@
-"""The four safety rules.  Nothing is sent, rejected or failed but through here.
+"""The four safety rules.  Every attempt, rejection and failure passes through this module.
 
-1. Each request gets one final answer before its deadline, and nothing is sent for it after.
-2. No effect twice: another attempt, or a rejection, only where every earlier attempt surely never ran or a repeat does no harm.
-3. Nothing new to an endpoint that drains or is gone, nor by a list that is stale.
-4. An endpoint that warms up is never pushed over (`slow_start.py`).
+1. Each request gets one final answer before its deadline, and nothing is sent for it afterwards.
+2. No request takes effect twice: another attempt or a rejection requires that every earlier attempt certainly never ran, or
+   that a repeat is harmless.
+3. No new attempt goes to an endpoint that drains or is gone, or is sent by a stale endpoint list.
+4. An endpoint that warms up is never overloaded (`slow_start.py`).
 """
 
 from sloeferry.config.settings import DeduplicationGroup, Idempotency, Settings
@@ -14,14 +15,14 @@
 from sloeferry.policy.requests import Attempt, AttemptState, Request
 from sloeferry.policy.timers import Timers
 
-# Of the latency objective: what is back by then is in time, whatever was expected.
+# Of the latency objective: an attempt answered within it is never overdue, whatever latency was expected.
 MIN_OVERDUE_RATIO = 0.125
-LATENESS_MULTIPLE = 4  # of the host's lateness, which is not the endpoint's
+LATENESS_MULTIPLE = 4  # of the host's timer lateness, which must not count against the endpoint
 OVERDUE_TICKS = 2
 
 
 class SafetyRules:
-    """Guards each attempt and each final answer of one policy."""
+    """Checks every attempt and every final answer of one policy against the safety rules."""
 
     def __init__(self, settings: Settings, host: PolicyHost, timers: Timers, staleness: ListStaleness, models: Models):
         self._host = host
@@ -35,46 +36,52 @@
         self.update(settings)
 
     def update(self, settings: Settings) -> None:
-        """Takes over whether a second attempt may be out."""
+        """Apply the setting that allows a second attempt in flight."""
         self.may_hedge = settings.limits.may_hedge
 
     def may_attempt(self, request: Request, now: float, instead_of: Attempt | None = None) -> bool:
-        """Rules 1 and 2, whichever endpoint it goes to; `instead_of` is an attempt that is about to be cancelled."""
+        """Return whether rules 1 and 2 allow another attempt at some endpoint.
+
+        `instead_of` is an attempt that is about to be cancelled.
+        """
         if request.is_answered or now >= request.deadline or len(request.attempts) >= request.max_attempts:
             return False
-        out = sum(each.state is AttemptState.IN_FLIGHT and each is not instead_of for each in request.attempts)
-        return out <= self.may_hedge and self.may_repeat(request, now)
+        in_flight = sum(each.state is AttemptState.IN_FLIGHT and each is not instead_of for each in request.attempts)
+        return in_flight <= self.may_hedge and self.may_repeat(request, now)
 
     def may_repeat(self, request: Request, now: float, before: int | None = None) -> bool:
-        """Rule 2: of the attempts (before that number) none may have run, or a repeat does no harm."""
-        maybe_run = request.attempts_that_may_have_run(before)
+        """Return whether rule 2 allows a repeat: no earlier attempt may have run, or a repeat is harmless.
+
+        `before` restricts the earlier attempts to those with a lower number.
+        """
+        possible_runs = request.attempts_that_may_have_run(before)
         request_class = request.request_class
-        if not maybe_run or request_class.idempotency is Idempotency.IDEMPOTENT:
+        if not possible_runs or request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
         if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return False
-        return now < maybe_run[0].sent_at + request_class.deduplication_window_ms - self._tick_ms
+        return now < possible_runs[0].sent_at + request_class.deduplication_window_ms - self._tick_ms
 
     def would_deduplicate(self, request: Request, endpoint: Endpoint) -> bool:
-        """Rule 2: whether the endpoint would know a repeat of this request, or there is none to know."""
-        maybe_run, request_class = request.attempts_that_may_have_run(), request.request_class
+        """Return whether the endpoint would deduplicate this request, or needs not to (rule 2)."""
+        possible_runs, request_class = request.attempts_that_may_have_run(), request.request_class
         group = request_class.deduplication_group
         is_harmless = request_class.idempotency is Idempotency.IDEMPOTENT or group is DeduplicationGroup.ALL
-        if not maybe_run or is_harmless:
+        if not possible_runs or is_harmless:
             return True
-        first = maybe_run[0].endpoint
+        first = possible_runs[0].endpoint
         return endpoint.zone == first.zone if group is DeduplicationGroup.ZONE else endpoint.cell == first.cell
 
     def may_use(self, endpoint: Endpoint, now: float) -> bool:
-        """Rule 3: the endpoint is known to run, does not drain, and the list is no older than it may be."""
+        """Return whether rule 3 allows the endpoint: it is ready, and the endpoint list is not stale."""
         return endpoint.state is EndpointState.READY and self.is_list_usable(now)
 
     def is_list_usable(self, now: float) -> bool:
-        """Rule 3: whether the list is young enough to send by."""
+        """Return whether the endpoint list is recent enough to send by (rule 3)."""
         return self._staleness.usable(now)
 
     def send(self, request: Request, endpoint: Endpoint, now: float, expected_ms: float) -> Attempt | None:
-        """Begins an attempt; None where a rule forbids it."""
+        """Send an attempt and return it, or return None where a rule forbids it."""
         work_ms = request.typical_latency_ms()
         if not (
             self.may_use(endpoint, now)
@@ -99,9 +106,9 @@
         return self._latency.overdue_after_ms(request, expected_ms, min_ms)
 
     def answer_unserved(self, request: Request, retry_after_ms: float = 0.0) -> None:
-        """Rule 1: the one final answer of a request that no endpoint served; the caller closes the request.
+        """Send the only final answer of a request that no endpoint served (rule 1); the caller closes the request.
 
-        Rule 2: it is rejected only where trying again is harmless; otherwise it has failed.
+        The request is rejected only where a client's retry is harmless, and failed otherwise (rule 2).
         """
         if request.is_answered:
             return
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -1,4 +1,4 @@
-"""The four safety rules, each where the wrong command would be tempting."""
+"""The four safety rules, each in a situation in which another goal favours the forbidden command."""
 
 from sloeferry.policy.interface import AttemptOutcome, EndpointState, ListScope
 from tests.support.golden import GoldenFiles
@@ -12,9 +12,9 @@
 }
 
 
-def test_rule_1_one_answer_before_the_deadline(golden: GoldenFiles):
-    """Nobody is there to serve, or the only attempt times out twice.  Each request still gets one final answer before its
-    deadline, and a late end of an attempt adds none."""
+def test_rule_1_one_final_answer_before_the_deadline(golden: GoldenFiles):
+    """There is no endpoint, or the end of the only attempt is reported twice.  Each request still gets exactly one final answer
+    before its deadline."""
     recorder = PolicyRecorder()
     recorder.request(1)
     recorder.advance_to(1100.0)
@@ -28,9 +28,9 @@
     golden.check(recorder.lines, "rule_1")
 
 
-def test_rule_1_rejected_in_its_last_step(golden: GoldenFiles):
-    """A retry comes back unsent in the last step before its deadline, while held requests of more weight go first.  Its answer
-    cannot wait for them."""
+def test_rule_1_request_is_rejected_in_the_last_step_before_its_deadline(golden: GoldenFiles):
+    """A client's retry comes back from an unreachable endpoint in the last step before its deadline, while requests of higher
+    weight are held.  Its answer must not wait for theirs."""
     recorder = PolicyRecorder(schemes__2__gain=5.0)
     recorder.list_endpoints("a", "b", "c", "d")
     recorder.request(1, time_left_ms=40.0, is_retry=True)
@@ -46,9 +46,10 @@
     golden.check(recorder.lines, "rule_1_late")
 
 
-def test_rule_2_no_effect_twice(golden: GoldenFiles):
-    """Errors at an idle fleet tempt to retry.  That is allowed anywhere, in the zone that drops duplicates, or not at all; a
-    refused connection proves that the request never ran; and nothing is retried once the deduplication window is over."""
+def test_rule_2_no_request_takes_effect_twice(golden: GoldenFiles):
+    """Attempts fail while all endpoints are idle.  By idempotency a retry may go to any endpoint, only to the zone that
+    deduplicates, or to none.  A refused connection proves that the request never ran; after the deduplication window nothing is
+    retried."""
     recorder = PolicyRecorder(limits__second_copies=False)
     recorder.list_endpoints(("a", 0), ("b", 0), ("c", 1), ("d", 1))
     for name in "abcd":
@@ -66,9 +67,9 @@
     golden.check(recorder.lines, "rule_2")
 
 
-def test_rule_3_where_only_draining_binds(golden: GoldenFiles):
-    """Where only draining binds, an endpoint that is left out of the list serves on until it fails.  One that drained first,
-    drains while it is missing, or has failed gets nothing until it is listed again."""
+def test_rule_3_endpoints_gone_from_the_list_where_only_draining_binds(golden: GoldenFiles):
+    """Where only draining binds, an endpoint missing from the list is used until it fails.  An endpoint that drained before,
+    drains while missing, or has failed gets no attempt until it is listed again."""
     recorder = PolicyRecorder(obligations__only_draining_binds=True)
 
     def request_after(change: str) -> int:
@@ -96,8 +97,8 @@
     golden.check(recorder.lines, "rule_3_gone")
 
 
-def test_rule_3_nothing_to_a_draining_endpoint(golden: GoldenFiles):
-    """The draining endpoint is the least loaded one, and then the last one.  Nothing new is sent to it."""
+def test_rule_3_draining_endpoint_gets_no_new_attempt(golden: GoldenFiles):
+    """A draining endpoint is the least loaded one, and then the only one.  No new attempt is sent to it."""
     recorder = PolicyRecorder()
     recorder.list_endpoints("a", "b")
     recorder.request(1)
@@ -110,8 +111,8 @@
     golden.check(recorder.lines, "rule_3")
 
 
-def test_rule_4_endpoint_that_warms_up(golden: GoldenFiles):
-    """An endpoint that warms up reports itself empty.  It gets no more than this proxy's part of its slow-start budget."""
+def test_rule_4_warming_endpoint_gets_at_most_its_budget(golden: GoldenFiles):
+    """An endpoint that warms up reports no load.  This proxy sends it no more than its share of the slow-start budget."""
     recorder = PolicyRecorder(
         **SLOW_START,
         instances=2,
@@ -128,9 +129,9 @@
     golden.check(recorder.lines, "rule_4")
 
 
-def test_rule_3_without_a_poll_in_time(golden: GoldenFiles):
-    """The host stood still, so no poll for the endpoint list went out in time.  The proxy counts as notified, and sends nothing
-    until a list has come; an empty list leaves nobody to send to."""
+def test_rule_3_nothing_is_sent_when_no_poll_was_made_in_time(golden: GoldenFiles):
+    """The host stalled, so that no poll for the endpoint list was sent in time.  The proxy counts as notified and sends nothing
+    until it has a list; an empty list leaves no endpoint to send to."""
     recorder = PolicyRecorder(discovery="subscribe", obligations__must_ask_in=8000.0)
     recorder.list_endpoints("a", scope=ListScope.CACHED)
     recorder.request(1, class_index=2)
@@ -139,14 +140,14 @@
     recorder.advance_to(9000.0)
     recorder.list_endpoints("a", scope=ListScope.CHANGES)  # the poll is answered
     recorder.request(3, class_index=2)
-    recorder.list_endpoints(scope=ListScope.COMPLETE)  # an empty list: nobody to send to
+    recorder.list_endpoints(scope=ListScope.COMPLETE)  # an empty list: no endpoint is left
     recorder.request(4, class_index=2)
     recorder.advance_to(9900.0)
-    golden.check(recorder.lines, "rule_3_unheard")
+    golden.check(recorder.lines, "rule_3_no_poll_in_time")
 
 
-def test_rule_4_many_proxies(golden: GoldenFiles):
-    """200 proxies share one slow-start budget, each part far below one request: what all of them send, by second."""
+def test_rule_4_many_proxies_share_one_slow_start_budget(golden: GoldenFiles):
+    """200 proxies share one slow-start budget, each share far below one request; records what all of them send per second."""
     recorder = PolicyRecorder()
     sent = [0] * 8
     for ordinal in range(200):
--- a/tests/policy/test_settings_update.py
+++ b/tests/policy/test_settings_update.py
@@ -1,4 +1,4 @@
-"""Settings that change while requests are in flight."""
+"""Changes of the settings while requests are in flight."""
 
 import dataclasses
 
@@ -8,8 +8,8 @@
 from tests.support.policy_recorder import PolicyRecorder
 
 
-def test_open_requests_keep_their_rules(golden: GoldenFiles):
-    """Attempt limit and idempotency change while requests are out.  Each ends under what it was taken under."""
+def test_open_requests_keep_the_settings_they_were_accepted_under(golden: GoldenFiles):
+    """Attempt limit and idempotency change while requests are in flight.  Each request ends under those it was accepted under."""
     recorder = PolicyRecorder(limits__most_postings=2)
     recorder.list_endpoints("a", "b", "c", "d")
     recorder.request(1)
@@ -29,4 +29,4 @@
     for attempt_number in range(4):
         recorder.end_attempt(4, attempt_number, AttemptOutcome.UNREACHABLE)
     recorder.advance_to(2000.0)
-    golden.check(recorder.lines, "settings_open_txns")
+    golden.check(recorder.lines, "settings_of_open_requests")
