--- a/sloeferry/bench_adapter/__init__.py
+++ b/sloeferry/bench_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The host for the simulator's bench: its frames in, policy calls; policy commands back, its frames out."""
+"""The policy host for the simulator's bench: turns the bench's frames into policy calls, and policy commands into frames."""
--- a/sloeferry/bench_adapter/__main__.py
+++ b/sloeferry/bench_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Serves the bench on standard input and output: python -m sloeferry.bench_adapter."""
+"""Serves the bench on standard input and output: `python -m sloeferry.bench_adapter`."""
 
 import sys
 from typing import BinaryIO
@@ -9,13 +9,13 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers each frame of `source`, until it ends; raises ProtocolError."""
+    """Answer each frame of `source` until it ends; raise ProtocolError on malformed input."""
     adapter = Adapter()
     length_bytes = protocol.UINT32.size
-    while head := source.read(length_bytes):
-        if len(head) < length_bytes:
-            raise ProtocolError(f"input ends {len(head)} bytes into a frame's length")
-        size = protocol.UINT32.unpack(head)[0]
+    while length_field := source.read(length_bytes):
+        if len(length_field) < length_bytes:
+            raise ProtocolError(f"input ends {len(length_field)} bytes into a frame's length")
+        size = protocol.UINT32.unpack(length_field)[0]
         body = source.read(size)
         if len(body) < size:
             raise ProtocolError(f"input ends {len(body)} bytes into a frame of {size}")
--- a/sloeferry/policy/extension_points.py
+++ b/sloeferry/policy/extension_points.py
@@ -24,9 +24,9 @@
     ) -> float | None:
         """Return the Retry-After of the first extension point that rejects the request, or None."""
         for extension in self._installed:
-            delay = extension.rejection_delay_ms(now, request_class, tenant_index, is_retry, has_waited)
-            if delay is not None:
-                return delay
+            delay_ms = extension.rejection_delay_ms(now, request_class, tenant_index, is_retry, has_waited)
+            if delay_ms is not None:
+                return delay_ms
         return None
 
     def may_retry(self, now: float, request: Any) -> bool:
--- a/sloeferry/policy/interface.py
+++ b/sloeferry/policy/interface.py
@@ -1,9 +1,10 @@
-"""The interface between the decisions and their host.
+"""The interface between the policy and its host.
 
-A host (the bench's adapter, or the dispatcher of a real proxy) makes one `Policy` for each instance, calls it as
-`PolicyInterface` says and carries out what the policy asks of it through `PolicyHost`.  Between two calls nothing happens.
+A host (the bench's adapter, or the dispatcher of a real proxy) creates one `Policy` per instance, calls it according to
+`PolicyInterface` and carries out the commands that the policy gives through `PolicyHost`.  The policy runs only during these
+calls.
 
-Times are float milliseconds of the host's monotonic clock.  Request ids, endpoint ids and keys stay as the host gives them;
+Times are float milliseconds of the host's monotonic clock.  Request ids, endpoint ids and keys are opaque values of the host;
 request classes, tenants, zones and machine kinds are indexes into the settings.
 """
 
@@ -22,21 +23,21 @@
 
 
 class AttemptOutcome(enum.Enum):
-    """How an attempt or a health check ended."""
+    """The result of an attempt or a health check."""
 
     SERVED = "served"
-    ERROR = "error"  # a response that is not the request's
-    REJECTED = "rejected"  # by the endpoint, which promises that it never ran
+    ERROR = "error"  # the endpoint answered with an error instead of the request's response
+    REJECTED = "rejected"  # by the endpoint, which guarantees that the request never ran
     TIMED_OUT = "timed out"
-    UNREACHABLE = "unreachable"  # no connection, or the request was not written completely: it never ran
+    UNREACHABLE = "unreachable"  # no connection, or the request was not written completely, so it never ran
     CONNECTION_LOST = "connection lost"
     CANCELLED = "cancelled"
     NEVER_SENT = "never sent"
-    UNKNOWN = "unknown"  # it may have run, and nothing tells of the endpoint
+    UNKNOWN = "unknown"  # it may have run; says nothing about the endpoint
 
 
 class EndpointState(enum.Enum):
-    """What the endpoint list says of an endpoint."""
+    """The state of an endpoint according to the endpoint list."""
 
     GONE = "gone"
     READY = "ready"
@@ -44,71 +45,71 @@
 
 
 class ListScope(enum.Enum):
-    """What came of a poll or a watch."""
+    """The scope of a list from a poll or a watch, or the reason why there is none."""
 
-    COMPLETE = "complete"  # all endpoints; one that is not named is gone
+    COMPLETE = "complete"  # all endpoints; one that is not listed is gone
     CHANGES = "changes"
-    CACHED = "cached"  # all endpoints, as an earlier process last held them
+    CACHED = "cached"  # all endpoints, as an earlier process last knew them
     POLL_FAILED = "poll failed"
-    WATCH_ENDED = "watch ended"  # the watch that had told its list
+    WATCH_ENDED = "watch ended"  # a watch that had sent its list ended
 
 
 class EndpointEntry(NamedTuple):
     """One entry of the endpoint list."""
 
     endpoint_id: EndpointId
-    zone: Hashable  # an index into the settings, or a name that they do not know
-    machine_kind: Hashable  # the same
+    zone: Hashable  # an index into the settings, or a name that is not in them
+    machine_kind: Hashable  # like `zone`
     cell: int
     state: EndpointState
-    started_at: float  # ms; 0: long ago
+    started_at: float  # ms; 0: unknown, long ago
 
 
-# Commands, as the dispatcher queues them for whoever carries a request
+# Commands, as the dispatcher queues them for the carrier of a request
 
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Begin an attempt."""
+    """Send an attempt to an endpoint."""
 
-    attempt_number: int  # of its request, from 0
+    attempt_number: int  # per request, from 0
     endpoint_id: EndpointId
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Call an attempt off."""
+    """Cancel an attempt."""
 
     attempt_number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Complete:
-    """Answer with this response of an endpoint."""
+    """Answer the request with an endpoint's response."""
 
     response: Any
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Answer that the request had no effect; trying again is harmless."""
+    """Answer that the request had no effect, so that a retry is harmless."""
 
-    retry_after_ms: float  # 0: nothing is said of it
+    retry_after_ms: float  # 0: none is sent
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Answer that the request may have had an effect."""
+    """Answer that the request failed and may have had an effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class Abandon:
-    """No decision follows: the client has gone, or none came in time.  A client that is still there is told 504."""
+    """End a request without a decision: the client has disconnected, or there was none in time, which is answered with 504."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendHealthCheck:
-    """Ask an endpoint for its load, or whether it answers at all."""
+    """Ask an endpoint for its load, or only for a response."""
 
     endpoint_id: EndpointId
 
@@ -122,19 +123,19 @@
 
 
 class PolicyHost(Protocol):
-    """What a policy asks of its host.  Each call takes effect now, in order."""
+    """The commands that a policy gives to its host; each call takes effect at once, in order."""
 
     def send_attempt(self, request_id: int, endpoint_id: EndpointId) -> None:
-        """Begin the request's next attempt; its attempts are numbered 0, 1, 2 ... in the order of these calls."""
+        """Send the request's next attempt; its attempts are numbered 0, 1, 2 ... in the order of these calls."""
 
     def cancel_attempt(self, request_id: int, attempt_number: int) -> None:
-        """Call that attempt off."""
+        """Cancel that attempt."""
 
     def reject(self, request_id: int, retry_after_ms: float) -> None:
-        """Give the final answer that nothing has run and that trying again is harmless."""
+        """Send the final answer that the request had no effect and that a retry is harmless."""
 
     def fail(self, request_id: int) -> None:
-        """Give the final answer that the request may have run."""
+        """Send the final answer that the request failed and may have run."""
 
     def send_health_check(self, endpoint_id: EndpointId) -> None:
         """Ask that endpoint for its load."""
@@ -147,24 +148,24 @@
 
 
 class PolicyInterface(Protocol):
-    """What a host tells a policy.
+    """The events that a host passes to a policy.
 
-    The host on sockets reads more of it: `rules`, `table`, `requests` and `polling.staleness` (the send guard, the endpoint
-    events), `timers` (whether a wake-up is still needed) and `fleet.process_count` (a takeover).
+    The host on sockets also uses its attributes `rules`, `table`, `requests` and `polling.staleness` (in the send guard and the
+    endpoint events), `timers` (for obsolete wake-ups) and `fleet.process_count` (in a takeover).
     """
 
     def update_settings(self, settings: Settings) -> None:
-        """Other settings hold from now on."""
+        """Apply other settings from now on."""
 
     def rejection_delay_ms(
         self, now: float, class_index: int, tenant_index: int, is_retry: bool, has_waited: bool
     ) -> float | None:
-        """Before a request is taken on: None if it may be, else the Retry-After of its rejection."""
+        """Return None if a request may be accepted, or else the Retry-After of its rejection."""
 
     def endpoints_listed(self, now: float, scope: ListScope, entries: Sequence[EndpointEntry], answers_poll: bool = True) -> None:
-        """A list came, or a poll failed.
+        """Process an endpoint list, or a poll that failed.
 
-        `answers_poll`: not so if a watch told it that is about to end, while the poll for another is still out.
+        `answers_poll` is false if the list came from a watch that is about to end while a poll is still unanswered.
         """
 
     def request_arrived(
@@ -178,13 +179,13 @@
         cost_hint: float | None,
         is_retry: bool,
     ) -> None:
-        """A request is taken on; `affinity_key` 0 and `cost_hint` None: none is known."""
+        """Accept a request; an `affinity_key` of 0 and a `cost_hint` of None mean that it has none."""
 
     def response_started(self, now: float, request_id: int, attempt_number: int) -> None:
-        """An attempt's response has begun to go out to the client."""
+        """Note that an attempt's response is being sent to the client."""
 
     def body_outgrew_buffer(self, now: float, request_id: int, attempt_number: int) -> None:
-        """More of the request's body has gone out with this attempt than is held: no other attempt can follow."""
+        """Note that more of the request's body was sent than is buffered, so that no other attempt can follow this one."""
 
     def attempt_ended(
         self,
@@ -196,39 +197,39 @@
         took_ms: float,
         load_report: Sequence[float],
     ) -> None:
-        """An attempt has ended; `is_answered`: its request has its final answer."""
+        """Process the end of an attempt; `is_answered` if its request thereby has its final answer."""
 
     def health_check_ended(
         self, now: float, endpoint_id: EndpointId, outcome: AttemptOutcome, took_ms: float, load_report: Sequence[float]
     ) -> None:
-        """A health check has ended."""
+        """Process the end of a health check."""
 
     def client_left(self, now: float, request_id: int) -> None:
-        """The client has gone: the request needs no answer."""
+        """Process the disconnection of a client; its request needs no answer."""
 
     def timer_fired(self, now: float, token: int) -> None:
-        """A wake-up is due."""
+        """Run the timer whose wake-up is due."""
 
 
 class ExtensionPoint(Protocol):
-    """Another subsystem's part in the decisions, free of I/O; the host installs it in `Policy.extensions`."""
+    """Another subsystem's part in the policy's decisions, free of I/O; the host installs it in `Policy.extensions`."""
 
     def rejection_delay_ms(
         self, now: float, request_class: "RequestClass", tenant_index: int, is_retry: bool, has_waited: bool
     ) -> float | None:
-        """Before a request is taken on: None if it may be, else the Retry-After of its rejection.
+        """Return None if a request may be accepted, or else the Retry-After of its rejection.
 
-        `has_waited`: it has waited to be admitted for as long as it may.
+        `has_waited` if it has waited in the queue for the longest time allowed.
         """
 
     def may_retry(self, now: float, request: "Request") -> bool:
-        """Before each attempt after the first."""
+        """Return whether a further attempt may be sent; called before each attempt after the first."""
 
     def request_accepted(self, now: float, request: "Request") -> None:
-        """Told once of each request."""
+        """Note that a request was accepted; called once per request."""
 
     def request_ended(self, request: "Request", is_served: bool) -> None:
-        """Told once of each request."""
+        """Note that a request has ended; called once per request."""
 
     def is_overloaded(self) -> bool:
-        """Whether how long things take tells of this proxy now, not of the endpoints."""
+        """Return whether latencies currently reflect the load of this proxy instead of the endpoints."""
--- a/sloeferry/policy/policy.py
+++ b/sloeferry/policy/policy.py
@@ -1,8 +1,9 @@
-"""All decisions of one proxy.  A host calls `Policy` as `PolicyInterface` says; it acts through `PolicyHost`.
+"""The load-balancing decisions of one proxy.
 
-A request passes four stages, each of which passes it on, keeps it or gives it up: fresh load reports
-(`load_refresh_stage.py`), admission (`admission.py`), the choice of an endpoint (`endpoint_selection.py`) and the attempt
-(`retry_policy.py`).  Whatever sends, rejects or fails goes through `safety_rules.py`.
+A host calls `Policy` according to `PolicyInterface`, and the policy acts through `PolicyHost`.  A request passes four stages,
+each of which passes it on, keeps it or gives it up: load refresh (`load_refresh_stage.py`), admission (`admission.py`),
+endpoint selection (`endpoint_selection.py`) and the attempt (`retry_policy.py`).  Every attempt, rejection and failure goes
+through `safety_rules.py`.
 """
 
 from collections.abc import Hashable, Sequence
@@ -28,12 +29,12 @@
 from sloeferry.policy.safety_rules import SafetyRules
 from sloeferry.policy.timers import Timers
 
-NO_LIST = (ListScope.POLL_FAILED, ListScope.WATCH_ENDED)
-RETRY_SLACK_TICKS = 2  # a retry whose time left is as long as a first try's is taken for a first try
+SCOPES_WITHOUT_LIST = (ListScope.POLL_FAILED, ListScope.WATCH_ENDED)
+RETRY_SLACK_TICKS = 2  # a client's retry with as much time left as a first request is treated as a first request
 
 
 class Policy:
-    """The decisions of one instance: takes the host's events, one after the other."""
+    """Decides for one instance, event by event of its host."""
 
     def __init__(
         self,
@@ -47,7 +48,7 @@
         self.rng = Random(seed)
         self.timers = Timers(host)
         self.fleet = FleetShare(settings)
-        self.extensions = ExtensionPoints()  # the host installs other subsystems' decisions here
+        self.extensions = ExtensionPoints()  # the host installs those of other subsystems
         self.classes = RequestClasses(settings)
         self.timers.max_stall_ms = self.classes.shortest_objective_ms
         self.tick_ms = settings.tick_ms
@@ -67,7 +68,7 @@
         self._build_stages(settings, host, models)
 
     def _build_stages(self, settings: Settings, host: PolicyHost, models: Models) -> None:
-        """What a request passes, the last stage first."""
+        """Build the stages that a request passes, the last one first."""
         rng, timers, extensions = self.rng, self.timers, self.extensions
         self.health_checks = HealthChecks(settings, host, timers, models.table, models.arrivals, models.reporting, rng)
         self.rules = SafetyRules(settings, host, timers, self.polling.staleness, models)
@@ -93,24 +94,24 @@
     # Settings
 
     def update_settings(self, settings: Settings) -> None:
-        """Other settings, classes and tenants at the indexes that they had (`Settings.aligned_with`).
+        """Apply other settings, in which classes and tenants keep their indexes (`Settings.aligned_with`).
 
-        Open requests keep the classes under which they were taken; what was learned goes on.  What a part copied in its
-        constructor stays as it was: where load reports come from and whether health checks are allowed, costs, affinity
-        keys, whether only draining binds, this instance's place in the fleet, the tick.
+        Open requests keep the classes under which they were accepted, and learned state is kept.  Settings that a component
+        copied in its constructor remain unchanged: the source of load reports and whether health checks are allowed, costs,
+        affinity keys, whether only draining binds, this instance's position in the fleet, and the tick.
         """
         self.settings = settings
         self.classes.update(settings)
         self.timers.max_stall_ms = self.classes.shortest_objective_ms
-        for part in (self.slow_start, self.rules, self.requests, self.retries, self.attribution, self.polling):
-            part.update(settings)
+        for component in (self.slow_start, self.rules, self.requests, self.retries, self.attribution, self.polling):
+            component.update(settings)
         self.latency.refresh()
 
     # The endpoint list
 
     def endpoints_listed(self, now: float, scope: ListScope, entries: Sequence[EndpointEntry], answers_poll: bool = True) -> None:
-        """A list came, or a poll failed (`PolicyInterface`)."""
-        if scope not in NO_LIST:
+        """Process an endpoint list or a failed poll (`PolicyInterface`)."""
+        if scope not in SCOPES_WITHOUT_LIST:
             if entries:
                 self.health_checks.start(now)
             self.table.update(scope, entries)
@@ -123,12 +124,12 @@
     def rejection_delay_ms(
         self, now: float, class_index: int, tenant_index: int, is_retry: bool, has_waited: bool
     ) -> float | None:
-        """Before a request is taken on: None if it may be, else the Retry-After of its rejection."""
+        """Return None if a request may be accepted, or else the Retry-After of its rejection."""
         request_class = self.classes.all[class_index]
-        delay = self.extensions.rejection_delay_ms(now, request_class, tenant_index, is_retry, has_waited)
-        if delay is not None:
+        delay_ms = self.extensions.rejection_delay_ms(now, request_class, tenant_index, is_retry, has_waited)
+        if delay_ms is not None:
             self.arrivals.record_arrival(now)
-        return delay
+        return delay_ms
 
     def request_arrived(
         self,
@@ -141,7 +142,7 @@
         cost_hint: float | None,
         is_retry: bool,
     ) -> None:
-        """A request is taken on (`PolicyInterface`)."""
+        """Accept a request (`PolicyInterface`)."""
         request_class = self.classes.all[class_index]
         key = affinity_key if self._has_affinity_keys else 0
         size = request_class.relative_size(cost_hint)
@@ -152,22 +153,22 @@
         self.arrivals.record_arrival(now)
         request_class.longest_time_left_ms = max(request_class.longest_time_left_ms, time_left_ms)
         if is_retry and time_left_ms < request_class.longest_time_left_ms - RETRY_SLACK_TICKS * self.tick_ms:
-            # The client's first try began that much earlier.
+            # The client sent its first request that much earlier.
             request.objective_at = now + time_left_ms - (request_class.deadline_ms - request_class.objective_ms)
         self.requests.add(request, now)
         self.load_refresh.take(request, now)
 
     def response_started(self, now: float, request_id: int, attempt_number: int) -> None:
-        """An attempt's response has begun to go out: nothing else can be done for its request.  Only the bench tells it."""
+        """Close the request, since its response is being sent and no other can follow.  Only the bench calls this."""
         self.client_left(now, request_id)
 
     def client_left(self, now: float, request_id: int) -> None:
-        """The client has gone: the request needs no answer."""
+        """Close the request of a client that has disconnected; it needs no answer."""
         if request := self.requests.by_id.get(request_id):
             self.requests.close(request)
 
     def body_outgrew_buffer(self, now: float, request_id: int, attempt_number: int) -> None:
-        """No other attempt can follow; and how long this one takes is the client's doing (`PolicyInterface`)."""
+        """Allow no further attempt and exclude this one from the success rates, since its duration depends on the client."""
         if request := self.requests.by_id.get(request_id):
             request.max_attempts = 0  # no further attempt
             attempt = request.attempts[attempt_number]
@@ -186,7 +187,7 @@
         took_ms: float,
         load_report: Sequence[float],
     ) -> None:
-        """An attempt has ended (`PolicyInterface`)."""
+        """Process the end of an attempt (`PolicyInterface`)."""
         request = self.requests.by_id.get(request_id)
         if request is None or attempt_number >= len(request.attempts):
             return
@@ -203,7 +204,7 @@
     def health_check_ended(
         self, now: float, endpoint_id: EndpointId, outcome: AttemptOutcome, took_ms: float, load_report: Sequence[float]
     ) -> None:
-        """A health check has ended (`PolicyInterface`)."""
+        """Process the end of a health check (`PolicyInterface`)."""
         endpoint = self.table.by_id.get(endpoint_id)
         if endpoint is None:
             return
@@ -213,5 +214,5 @@
     # Timers
 
     def timer_fired(self, now: float, token: int) -> None:
-        """A wake-up is due."""
+        """Run the timer whose wake-up is due."""
         self.timers.fire(now, token)
--- a/tests/bench_adapter/test_adapter.py
+++ b/tests/bench_adapter/test_adapter.py
@@ -1,4 +1,4 @@
-"""The bench's frames in both directions, and plain words on what is no frame."""
+"""The bench's frames in both directions, and the errors for malformed frames."""
 
 import io
 import struct
@@ -11,22 +11,22 @@
 from sloeferry.bench_adapter.protocol import ProtocolError
 from sloeferry.bench_adapter.replies import BenchHost, FrameBuilder
 
-FIRST, SECOND = bytes.fromhex("0a124a07931f"), bytes.fromhex("0a9011f2bc1f")  # ids of endpoints
+FIRST, SECOND = bytes.fromhex("0a124a07931f"), bytes.fromhex("0a9011f2bc1f")  # endpoint ids
 SETTINGS = b"schemes.count=1\nschemes.0.idempotency=retryable\nschemes.0.sla_time=330000\nx=y\n"
 RECORD_BYTES = 40
 REPLY_BYTES = 24
 REPLY_HEADER_BYTES = 8
-SEND_ATTEMPT = 65  # its code in a reply
+SEND_ATTEMPT = 65  # command code
 
 
 def frame_of(clock_us: int, records: Sequence[bytes], tail: bytes = b"") -> bytes:
-    """A frame of these records."""
+    """Return a frame with these records and its length field."""
     body = struct.pack("<QI", clock_us, len(records)) + b"".join(record.ljust(RECORD_BYTES, b"\0") for record in records) + tail
     return struct.pack("<I", len(body)) + body
 
 
 def start_records(instance: int, endpoints: Sequence[bytes]) -> tuple[list[bytes], bytes]:
-    """What starts an instance with these endpoints, and the tail that belongs to it."""
+    """Return the records that start an instance with these endpoints, and their tail."""
     rows = b"".join(struct.pack("<6sHHHBfQ", endpoint_id, 0, 0, 0, 1, 1.0, 0) for endpoint_id in endpoints)
     records = [
         struct.pack("<HH", 12, instance),
@@ -37,8 +37,8 @@
     return records, rows + SETTINGS
 
 
-def test_frames_both_ways():
-    """A request comes in a frame, and its attempt goes out in one."""
+def test_request_in_a_frame_is_answered_with_an_attempt():
+    """A request arrives in one frame, and the reply to that frame holds its attempt."""
     sink = io.BytesIO()
     records, tail = start_records(3, [FIRST])
     request = struct.pack("<HIHHQIIB", 3, 77, 0, 0, 0, 800000, 0, 0)
@@ -55,8 +55,8 @@
 
 
 @pytest.mark.parametrize("at_ms", [1000.0011, 1000.0019, 1000.002, 123456789.0004])
-def test_timers_are_never_early(at_ms: float):
-    """The bench's clock counts microseconds: a timer is rounded up."""
+def test_wakeup_times_are_rounded_up(at_ms: float):
+    """The bench's clock has a resolution of one microsecond; rounding down would fire a timer early."""
     adapter = Adapter()
     records, tail = start_records(0, [FIRST, SECOND])
     adapter.handle_frame(frame_of(1000001, records, tail)[4:])
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    ("frame", "words"),
+    ("frame", "message"),
     [
         (b"\0\0", "2 bytes into a frame's length"),
         (struct.pack("<I", 40) + b"x", "input ends 1 bytes into a frame of 40"),
@@ -83,7 +83,7 @@
     ],
     ids=lambda value: value if isinstance(value, str) else "",
 )
-def test_what_is_no_frame(frame: bytes, words: str):
-    """What is no frame is named in plain words."""
-    with pytest.raises(ProtocolError, match=words):
+def test_malformed_frame_is_rejected_with_its_cause(frame: bytes, message: str):
+    """A malformed frame raises a ProtocolError that names what is wrong."""
+    with pytest.raises(ProtocolError, match=message):
         serve(io.BytesIO(frame), io.BytesIO())
