--- a/sloeferry/policy/admission.py
+++ b/sloeferry/policy/admission.py
@@ -16,7 +16,7 @@
 MIN_SUCCESS_PROBABILITY = 0.05
 # A request is held for a quarter of its latency objective, scaled by its weight relative to the mean.
 MAX_HOLD_RATIO, MAX_RELATIVE_WEIGHT = 1 / 4, 2.0
-MAX_MISSES_PER_REVIEW = 3  # after that many held requests without a suitable endpoint, the search goes on at the next event
+MAX_MISSES_PER_REVIEW = 3  # the next review goes on after that many held requests without a suitable endpoint
 MAX_SEARCHES_WHEN_LATE = 9
 REVIEWS_PER_OBJECTIVE = 20
 AT_FAULT_PAUSE_OBJECTIVES = 4  # latency objectives until the next attempt of a class or tenant that is at fault
--- a/sloeferry/policy/endpoint_polling.py
+++ b/sloeferry/policy/endpoint_polling.py
@@ -12,9 +12,9 @@
 from sloeferry.policy.interface import ListScope, PolicyHost
 from sloeferry.policy.timers import Timers
 
-# Upper bound of the poll interval from which the backoff is computed.
+# The backoff is a part of the longest time allowed between two polls, or of this time if that is shorter.
 MAX_BACKOFF_BASE_MS = 10000.0
-BACKOFF_BASE_RATIO = 1 / 16  # of the poll interval
+BACKOFF_BASE_RATIO = 1 / 16  # of that time
 MAX_BACKOFF_DOUBLINGS = 3
 # Longest mean backoff, as a part of the time after which a change counts as notified.  Including the longest wait for an
 # answer before and after it (discovery takes less than a quarter of MAX_BACKOFF_BASE_MS), a continuing outage is detected
--- a/sloeferry/policy/health_checks.py
+++ b/sloeferry/policy/health_checks.py
@@ -37,12 +37,12 @@
         self._reporting = reporting
         self._rng = rng
         self._cost = settings.costs.health_check
-        self._is_periodic_started = False
+        self._has_started = False
 
     def start(self, now: float) -> None:
         """Start the periodic health checks once the first endpoints are known."""
-        if self._reporting.may_health_check and not self._is_periodic_started:
-            self._is_periodic_started = True
+        if self._reporting.may_health_check and not self._has_started:
+            self._has_started = True
             self._timers.schedule(now + self._rng.random() * CHECK_INTERVAL_MS, self._check_periodically, 0)
 
     def send(self, endpoint: Endpoint, now: float) -> None:
@@ -68,7 +68,7 @@
         else:
             active = self._table.active.values()
             due = [each for each in active if each.consecutive_failures or each.health_checks_out]
-        # One timer for all endpoints: with one per endpoint, hundreds of proxies did little else than fire timers.
+        # One timer for all endpoints: with one per endpoint, hundreds of proxies do little else than fire timers.
         self._timers.schedule(now + interval_ms, self._check_periodically, turn + 1)
         for endpoint in due:
             self.send(endpoint, now)
@@ -88,7 +88,7 @@
         self._tokens = min(self._tokens + self.per_request, self.MAX_SAVED_REQUESTS * self.per_request)
 
     def refund(self, checks: int) -> None:
-        """Return the tokens of health checks that a request does not need because an endpoint is known to be idle."""
+        """Credit the tokens of health checks that a request does not need because an endpoint is known to be idle."""
         self._tokens += checks
 
     def may_spend(self) -> bool:
--- a/sloeferry/policy/overload_control.py
+++ b/sloeferry/policy/overload_control.py
@@ -19,9 +19,9 @@
 from sloeferry.config.settings import Settings
 from sloeferry.policy.policy import Policy
 
-TARGET_TIME_RATIO = 0.35  # of the objective: time in the proxy on which the limit is based
-LAG_THRESHOLD_RATIO = 1 / 16  # of the objective: sampling interval of the event-loop lag, and the lag that is too high
-WINDOW_RATIO = 1.0  # of the objective: window of the smallest lag
+TARGET_TIME_RATIO = 0.35  # of the objective: time that a request may spend in the proxy while there is a limit
+LAG_THRESHOLD_RATIO = 1 / 16  # of the objective: both the sampling interval and the upper threshold of the event-loop lag
+WINDOW_RATIO = 1.0  # of the objective: window over which the smallest lag and the rates are measured
 STALL_RATIO = 0.5  # of the objective: a higher lag comes from a stall, after which most waiting requests are late
 MAX_QUEUE_WAIT_RATIO = 0.4  # of the shortest deadline: after this wait a request is rejected even without a token
 MIN_CONCURRENCY_LIMIT = 4  # open requests
@@ -73,7 +73,7 @@
         self.queue_timeout_ms = QUEUE_TIMEOUT_RATIO * self._objective_ms
         self.max_queue_wait_ms = MAX_QUEUE_WAIT_RATIO * min(each.deadline_ms for each in classes.all if not each.is_removed)
         self._max_priority_weight = max(each.priority_weight for each in classes.all) or 1.0
-        self._tells_retry_after = settings.limits.sends_retry_after
+        self._sends_retry_after = settings.limits.sends_retry_after
         self._quota_weights = [tenant.quota_weight for tenant in settings.tenants] or [1.0]
         new_tenants = len(self._quota_weights) - len(self.open_requests_by_tenant)
         self.open_requests_by_tenant += [0] * new_tenants
@@ -143,7 +143,7 @@
         if not self.is_stalled and not has_waited and self._has_capacity(request_class, tenant_index, is_retry):
             return None
         self._rejected_in_window += 1
-        if not self._tells_retry_after:
+        if not self._sends_retry_after:
             return 0.0
         objectives = min(MAX_RETRY_AFTER_OBJECTIVES, 1 + self._rejections_per_served)
         return self._objective_ms * objectives * (0.5 + self._policy.rng.random())
--- a/sloeferry/policy/policy.py
+++ b/sloeferry/policy/policy.py
@@ -48,7 +48,7 @@
         self.rng = Random(seed)
         self.timers = Timers(host)
         self.fleet = FleetShare(settings)
-        self.extensions = ExtensionPoints()  # the host installs those of other subsystems
+        self.extensions = ExtensionPoints()  # filled by the host
         self.classes = RequestClasses(settings)
         self.timers.max_stall_ms = self.classes.shortest_objective_ms
         self.tick_ms = settings.tick_ms
--- a/sloeferry/policy/request_table.py
+++ b/sloeferry/policy/request_table.py
@@ -22,7 +22,7 @@
 
     def update(self, settings: Settings) -> None:
         """Apply the setting that sends clients a Retry-After."""
-        self._tells_retry_after = settings.limits.sends_retry_after
+        self._sends_retry_after = settings.limits.sends_retry_after
 
     def add(self, request: Request, now: float) -> None:
         """Add an accepted request, which must get a final answer before its deadline."""
@@ -43,7 +43,7 @@
         if retry_after_ms is None:
             is_at_fault = request.is_at_fault()
             retry_after_ms = request.request_class.objective_ms if is_at_fault else request.typical_latency_ms()
-        self._rules.answer_unserved(request, retry_after_ms * self._tells_retry_after)
+        self._rules.answer_unserved(request, retry_after_ms * self._sends_retry_after)
         self.close(request)
 
     def close(self, request: Request, is_served: bool = False) -> None:
--- a/sloeferry/policy/safety_rules.py
+++ b/sloeferry/policy/safety_rules.py
@@ -63,7 +63,7 @@
         return now < possible_runs[0].sent_at + request_class.deduplication_window_ms - self._tick_ms
 
     def would_deduplicate(self, request: Request, endpoint: Endpoint) -> bool:
-        """Return whether the endpoint would deduplicate this request, or needs not to (rule 2)."""
+        """Return whether the endpoint would deduplicate this request, or does not have to (rule 2)."""
         possible_runs, request_class = request.attempts_that_may_have_run(), request.request_class
         group = request_class.deduplication_group
         is_harmless = request_class.idempotency is Idempotency.IDEMPOTENT or group is DeduplicationGroup.ALL
--- a/tests/policy/test_endpoint_polling.py
+++ b/tests/policy/test_endpoint_polling.py
@@ -34,7 +34,8 @@
 
 
 def test_polls_of_a_restarted_fleet_are_spread_out(golden: GoldenFiles):
-    """Forty proxies restart at once.  Their first polls spread over a quarter of the poll interval, further ones at random."""
+    """Forty proxies restart at once.  Their first polls spread over a quarter of the longest time allowed between two polls,
+    further ones at random."""
     lines: list[str] = []
     for name, times in zip(("first", "further"), poll_times(seed=7), strict=True):
         counts = [sum(begin <= at < begin + 500.0 for at in times) for begin in range(0, 6000, 500)]
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -1,4 +1,4 @@
-"""When endpoints get health checks."""
+"""Health checks for requests: before one is sent to an endpoint, and while it takes long there."""
 
 from tests.support.golden import GoldenFiles
 from tests.support.policy_recorder import PolicyRecorder
