--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -1,23 +1,24 @@
-"""Which endpoint a request goes to where the least loaded one is the wrong one."""
+"""Endpoint selection where the endpoint with the lowest load estimate is not the best one."""
 
 from sloeferry.policy.interface import AttemptOutcome, EndpointEntry, EndpointState, ListScope
 from tests.support.golden import GoldenFiles
 from tests.support.policy_recorder import PolicyRecorder
 
-HOME, OTHER = ("h1", "h2"), ("w1", "w2")  # endpoints of two zones
+LOCAL, REMOTE = ("h1", "h2"), ("w1", "w2")  # endpoint ids of the local and of a remote zone
 
 
-def test_zone_out_of_reach_for_this_proxy(golden: GoldenFiles):
-    """The home zone serves others and reports itself idle, but two in three of this proxy's requests are lost on the way there.
-    The other zone, busier and dearer, gets them, one now and then tries the way, and all are at home again after its end."""
+def test_zone_behind_a_bad_path(golden: GoldenFiles):
+    """Guards against a bad path that no load report shows: the local zone serves other proxies and reports itself idle, but two
+    in three of this proxy's requests to it are lost.  They go to the remote zone, which is busier and more expensive, except for
+    occasional attempts on the bad path, and all return to the local zone once the path has recovered."""
     recorder = PolicyRecorder(tariffs__cross_zone=0.03, load_info__via="probe", limits__probing=False)
-    recorder.list_endpoints(*((name, 0) for name in HOME), *((name, 1) for name in OTHER))
-    sent: list[tuple[int, str]] = []  # when, to which endpoint
-    lost: list[tuple[int, int]] = []  # times out at, request id
+    recorder.list_endpoints(*((name, 0) for name in LOCAL), *((name, 1) for name in REMOTE))
+    sent: list[tuple[int, str]] = []  # (sent at, endpoint id)
+    lost: list[tuple[int, int]] = []  # (times out at, request id)
     for request_id, at in enumerate(range(0, 28000, 40)):
         recorder.advance_to(float(at))
-        for name in HOME + OTHER:
-            recorder.report_load(name, 0 if name in HOME else 1)
+        for name in LOCAL + REMOTE:
+            recorder.report_load(name, 0 if name in LOCAL else 1)
         while lost and lost[0][0] <= at:
             _, lost_id = lost.pop(0)
             recorder.end_attempt(lost_id, 0, AttemptOutcome.TIMED_OUT, is_answered=False, took_ms=1000.0)
@@ -26,23 +27,25 @@
             continue
         endpoint_id = next(line for line in reversed(recorder.lines) if f"post {request_id}/0" in line).split()[-1]
         sent.append((at, endpoint_id))
-        if endpoint_id in HOME and 4000 <= at < 14000 and request_id % 3:
+        if endpoint_id in LOCAL and 4000 <= at < 14000 and request_id % 3:
             lost.append((at + 1000, request_id))
         else:
             recorder.end_attempt(request_id, 0, AttemptOutcome.SERVED, took_ms=150.0)
     recorder.lines = []
-    for begin in range(0, 28000, 4000):
-        endpoints = [endpoint_id for at, endpoint_id in sent if begin <= at < begin + 4000]
-        to_other = sum(endpoint_id in OTHER for endpoint_id in endpoints)
-        recorder.lines.append(f"{begin // 1000:2d} to {begin // 1000 + 4} s: {len(endpoints)} sent, {to_other} to the other zone")
+    for start in range(0, 28000, 4000):
+        endpoints = [endpoint_id for at, endpoint_id in sent if start <= at < start + 4000]
+        to_remote = sum(endpoint_id in REMOTE for endpoint_id in endpoints)
+        recorder.lines.append(
+            f"{start // 1000:2d} to {start // 1000 + 4} s: {len(endpoints)} sent, {to_remote} to the other zone"
+        )
     ejected = [each.endpoint_id for each in recorder.policy.table.ready if each.ejected_until > recorder.now]
     recorder.record(f"backends that rest: {ejected}")
-    golden.check(recorder.lines, "blame_way")
+    golden.check(recorder.lines, "path_loss_to_local_zone")
 
 
-def test_endpoints_without_room_for_connections(golden: GoldenFiles):
-    """Endpoint a takes one connection and no second, b to d take none at all.  The open one is used though a holds more than
-    the others report, and a is not ejected for the connection that it refuses."""
+def test_endpoint_at_its_connection_limit(golden: GoldenFiles):
+    """Guards against ejecting an endpoint at its connection limit: a accepts one connection and refuses a second, b to d refuse
+    all.  The open connection is used although a has more requests in flight than the others report, and a is not ejected."""
     recorder = PolicyRecorder(tariffs__probe=0.0)
     recorder.list_endpoints("a", "b", "c", "d")
     attempted: list[str] = []
@@ -54,17 +57,17 @@
     first = recorder.last_word()
     recorder.request(101)
     is_also_at_a = recorder.last_word() == "a"
-    shares = [attempted[begin : begin + 10].count("a") for begin in range(0, len(attempted) - 9, 10)]
+    shares = [attempted[start : start + 10].count("a") for start in range(0, len(attempted) - 9, 10)]
     recorder.lines = [f"of each ten postings to a: {shares}"]
     recorder.record(f"then to {first}, and while that is out to {'a' if is_also_at_a else 'another or none'}")
     if is_also_at_a:
         recorder.end_attempt(101, 0, AttemptOutcome.UNREACHABLE, is_answered=False)
     recorder.record(f"a rests: {recorder.policy.table.by_id['a'].ejected_until > recorder.now}")
-    golden.check(recorder.lines, "blame_seat")
+    golden.check(recorder.lines, "open_connections_preferred")
 
 
 def end_attempts(recorder: PolicyRecorder, request_id: int) -> list[str]:
-    """Endpoint a serves, others cannot be reached, until the request is sent nowhere else; where its attempts went."""
+    """End the request's attempts, served at endpoint a and unreachable elsewhere, and return the endpoints they went to."""
     attempted: list[str] = []
     while recorder.was_sent(request_id):
         attempt_number = recorder.last_attempt[request_id]
@@ -78,19 +81,20 @@
     return attempted
 
 
-def test_machine_kind_and_heavy_requests(golden: GoldenFiles):
-    """One of two kinds of machine is far faster.  What few responses taught of it is believed of all its kind; a request whose
-    hint says that it takes most of its latency objective goes there though it holds more, a light one does not."""
+def test_machine_kind_and_long_requests(golden: GoldenFiles):
+    """Guards against ignoring the machine kind: one of two kinds is far faster, which a few responses show for all endpoints of
+    that kind.  A request whose cost hint is most of its latency objective goes to one of them even at a higher load, a short one
+    doesn't."""
     recorder = PolicyRecorder(load_info__via="answers")
     policy = recorder.policy
     fast, slow = ("q1", "q2", "q3"), ("s1", "s2", "s3")
-    unheard = "q3"  # its kind alone speaks for it
+    without_report = "q3"  # its slowdown comes from its machine kind alone
     entries = [EndpointEntry(name, 0, int(name in slow), 0, EndpointState.READY, 0.0) for name in fast + slow]
     policy.endpoints_listed(0.0, ListScope.COMPLETE, entries)
     for request_id in range(60):
         policy.request_arrived(recorder.now, request_id, 0, 0, 0, 1000.0, 100.0, False)
         endpoint_id = recorder.last_word()
-        if endpoint_id == unheard:
+        if endpoint_id == without_report:
             recorder.end_attempt(request_id, 0, AttemptOutcome.UNKNOWN, is_answered=True)
         else:
             recorder.end_attempt(request_id, 0, AttemptOutcome.SERVED, 0, took_ms=50.0 if endpoint_id in fast else 90.0)
@@ -104,4 +108,4 @@
     policy.latency.level_slowdowns[1:3] = (1.1, 1.2)
     for request_id, cost_ms in ((100, 100.0), (101, 500.0)):
         policy.request_arrived(recorder.now, request_id, 0, 0, 0, 1000.0, cost_ms, False)
-    golden.check(recorder.lines, "blame_make")
+    golden.check(recorder.lines, "machine_kind_and_long_requests")
--- a/tests/policy/test_endpoint_table.py
+++ b/tests/policy/test_endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoint table: what is kept of an endpoint."""
+"""The endpoint table: the lifetime of its entries."""
 
 from sloeferry.policy.interface import AttemptOutcome
 from tests.support.golden import GoldenFiles
@@ -7,8 +7,9 @@
 UNANSWERED_REQUEST = 7
 
 
-def test_gone_endpoints_are_forgotten(golden: GoldenFiles):
-    """Endpoints come under ever new ids.  What has left, with no attempt out there, is kept nowhere."""
+def test_gone_endpoints_are_dropped(golden: GoldenFiles):
+    """Guards against memory that grows with every new endpoint id: a gone endpoint without attempts in flight is dropped
+    everywhere."""
     recorder = PolicyRecorder()
     for request_id in range(50):
         recorder.list_endpoints(f"b{request_id}", f"b{request_id + 1}")
@@ -22,4 +23,4 @@
         f"{len(policy.table.by_id)} {len(policy.table.ready)} {len(policy.table.active)} backends, "
         f"{len(policy.requests.by_id)} txn, {len(policy.timers)} timers"
     )
-    golden.check(recorder.lines, "forgotten")
+    golden.check(recorder.lines, "gone_endpoints_are_dropped")
--- a/tests/policy/test_latency_model.py
+++ b/tests/policy/test_latency_model.py
@@ -1,12 +1,13 @@
-"""How long a request is expected to take: what is learned of it, and how that fades."""
+"""The expected latency of attempts: what it is learned from, and its decay."""
 
 from sloeferry.policy.interface import AttemptOutcome
 from tests.support.golden import GoldenFiles
 from tests.support.policy_recorder import PolicyRecorder
 
 
-def test_late_start(golden: GoldenFiles):
-    """All that was sent to busy endpoints came late while the proxy started.  It goes on sending there."""
+def test_late_attempts_at_startup(golden: GoldenFiles):
+    """Guards against a proxy that stops sending for good: all attempts at busy endpoints were late while it started, and the
+    slowdown learned from them would reject every later request."""
     recorder = PolicyRecorder(limits__probing=True)
     recorder.list_endpoints("a", "b")
     policy = recorder.policy
@@ -18,12 +19,12 @@
     for name in "ab":
         recorder.report_load(name, 1)
     recorder.request(1)
-    golden.check(recorder.lines, "late_start")
+    golden.check(recorder.lines, "late_attempts_at_startup")
 
 
-def test_crowded_endpoint_teaches_what_it_took(golden: GoldenFiles):
-    """A request sent although all endpoints look busy was expected to take as long as the queue there.  What it took is learned,
-    so that the expectation does not stand for ever."""
+def test_latency_of_an_overloaded_endpoint_is_learned(golden: GoldenFiles):
+    """Guards against a permanently wrong expectation: a request is sent although all endpoints look overloaded, and the latency
+    expected for that load is corrected by the measured one."""
     recorder = PolicyRecorder(instances=40, tariffs__probe=1.0, limits__probing=True)
     recorder.list_endpoints("a")
     recorder.policy.candidates.refresh(recorder.now)
@@ -32,11 +33,11 @@
     recorder.request(0)
     recorder.end_attempt(0, 0, AttemptOutcome.SERVED, 4, took_ms=900.0)
     recorder.record(f"a tenth end within {recorder.policy.latency.spread.quantile(0.1):.2f} of what is expected")
-    golden.check(recorder.lines, "crowded_teaches")
+    golden.check(recorder.lines, "latency_of_overloaded_endpoint")
 
 
-def test_learned_slowdown_fades(golden: GoldenFiles):
-    """An endpoint was found four times slower than others.  That is believed ever less, or it would never be used again."""
+def test_learned_slowdown_decays(golden: GoldenFiles):
+    """Guards against never using an endpoint again: one was found four times slower than others, and its slowdown decays."""
     recorder = PolicyRecorder()
     recorder.list_endpoints("a", "b")
     endpoint = recorder.policy.table.by_id["a"]
@@ -45,4 +46,4 @@
     for now in (0.0, 4000.0, 16000.0, 40000.0):
         recorder.advance_to(now)
         recorder.record(f"pace {recorder.policy.latency.slowdown(endpoint, now):.2f}")
-    golden.check(recorder.lines, "pace")
+    golden.check(recorder.lines, "learned_slowdown_decays")
--- a/tests/policy/test_load_estimate.py
+++ b/tests/policy/test_load_estimate.py
@@ -1,4 +1,4 @@
-"""The load estimate: the latest report plus own sends begun after it, and what stands in where there is none."""
+"""The load estimate: the latest report plus own sends after it, and the mean load where there is no valid report."""
 
 from collections.abc import Iterable
 
@@ -8,15 +8,15 @@
 from tests.support.policy_recorder import PolicyRecorder
 
 
-def record_estimates(recorder: PolicyRecorder, form: str, endpoints: Iterable[Endpoint] | None = None) -> None:
-    """The load estimate of each endpoint, in that number format."""
+def record_estimates(recorder: PolicyRecorder, number_format: str, endpoints: Iterable[Endpoint] | None = None) -> None:
+    """Record the load estimate of each endpoint, in that number format."""
     policy = recorder.policy
     shown = policy.table.by_id.values() if endpoints is None else endpoints
-    recorder.record(" ".join(f"{each.endpoint_id}={policy.load.estimate(each, recorder.now):{form}}" for each in shown))
+    recorder.record(" ".join(f"{each.endpoint_id}={policy.load.estimate(each, recorder.now):{number_format}}" for each in shown))
 
 
 def test_report_plus_own_sends(golden: GoldenFiles):
-    """The latest report plus own sends begun after it; without a fresh report, the mean of fresh ones plus own attempts out."""
+    """The estimate is the latest report plus own sends after it; without a fresh report, the mean of fresh ones is used."""
     recorder = PolicyRecorder()
     recorder.list_endpoints("a", "b", "c")
     policy = recorder.policy
@@ -29,11 +29,11 @@
     recorder.advance_to(2001.0)
     policy.candidates.refresh(recorder.now)
     record_estimates(recorder, "g")
-    golden.check(recorder.lines, "estimate")
+    golden.check(recorder.lines, "report_plus_own_sends")
 
 
-def test_old_reports_fade(golden: GoldenFiles):
-    """One endpoint reported itself empty and nothing since.  That must not draw every request: its estimate goes to the mean."""
+def test_old_reports_decay(golden: GoldenFiles):
+    """Guards against sending every request to the endpoint that last reported itself idle: its estimate decays to the mean."""
     recorder = PolicyRecorder()
     recorder.list_endpoints("a", "b", "c")
     recorder.report_load("a", 0)
@@ -45,12 +45,13 @@
         recorder.advance_by(span_ms)
         policy.candidates.refresh(recorder.now)
         record_estimates(recorder, ".2f")
-    golden.check(recorder.lines, "fading")
+    golden.check(recorder.lines, "old_reports_decay")
 
 
-def test_one_report_is_not_the_fleets_load(golden: GoldenFiles):
-    """One of forty proxies sends a request now and then, and its last report was high.  That report is not the fleet's load;
-    where no health check may be sent, the proxy still sends its part of one request an endpoint."""
+def test_one_report_does_not_stand_for_the_fleet(golden: GoldenFiles):
+    """Guards against a proxy that stops sending after one high report: one of forty proxies sends a request now and then.  Its
+    last report doesn't stand for the fleet's load, and it still sends its share of one request per endpoint without health
+    checks."""
     recorder = PolicyRecorder(instances=40, tariffs__probe=1.0, limits__probing=True)
     recorder.list_endpoints(*(f"b{index}" for index in range(60)))
     for request_id, in_flight in enumerate((1, 0, 1, 6)):
@@ -60,16 +61,16 @@
     recorder.policy.candidates.refresh(recorder.now)
     recorder.record(f"mean {recorder.policy.load.mean_load[True]:.1f}")
     recorder.policy.load.mean_load = [9.0, 9.0]
-    recorder.policy.table.candidates_chosen_at = recorder.now + 500.0  # all look full, and nothing newer comes
+    recorder.policy.table.candidates_chosen_at = recorder.now + 500.0  # all look loaded, and no newer report arrives
     for request_id in range(4, 8):
         recorder.request(request_id)
     recorder.advance_by(400.0)
-    golden.check(recorder.lines, "one_report")
+    golden.check(recorder.lines, "one_report_from_many_endpoints")
 
 
-def test_endpoints_that_warm_up_hold_less(golden: GoldenFiles):
-    """Half of the fleet has just started and nobody has heard of it.  Of the load that all share an endpoint that warms up holds
-    less, so it is tried; how long it takes meanwhile says nothing of the queues elsewhere."""
+def test_load_of_endpoints_that_warm_up(golden: GoldenFiles):
+    """Guards against avoiding endpoints that warm up: half of the fleet has just started and sent no report yet.  An endpoint
+    that warms up gets a smaller share of the load, so that it is tried, and its latency leaves the load levels unchanged."""
     recorder = PolicyRecorder(
         instances=40,
         tariffs__probe=1.0,
@@ -87,7 +88,7 @@
     policy = recorder.policy
     policy.candidates.refresh(recorder.now)
     record_estimates(recorder, ".1f", policy.table.ready[4:8])
-    recorder.report_load("c5", 3)  # more than its part: no word on what the others hold
+    recorder.report_load("c5", 3)  # more than its share: says nothing about the load of warm endpoints
     policy.table.candidates_chosen_at = -1.0
     policy.candidates.refresh(recorder.now)
     recorder.record(f"mean {policy.load.mean_load[True]:.1f}")
@@ -97,4 +98,4 @@
         is_cold = recorder.last_word()[0] == "c" and recorder.now < 56000.0
         recorder.end_attempt(request_id, 0, AttemptOutcome.SERVED, 0, took_ms=600.0 if is_cold else 190.0)
     recorder.record(f"stretch {policy.latency.level_slowdowns[0]:.1f}, usual {policy.classes.all[0].typical_latency_ms():.0f}")
-    golden.check(recorder.lines, "cold_part")
+    golden.check(recorder.lines, "load_of_warming_endpoints")
