--- a/tests/policy/test_fault_attribution.py
+++ b/tests/policy/test_fault_attribution.py
@@ -1,4 +1,4 @@
-"""What is at fault: a request class, a tenant or an endpoint.  Each test tempts to blame the wrong one."""
+"""Fault attribution to a request class, a tenant or an endpoint, in cases where a wrong one looks at fault."""
 
 from sloeferry.policy.interface import AttemptOutcome
 from tests.support.golden import GoldenFiles
@@ -8,14 +8,14 @@
 
 
 def record_tenants(recorder: PolicyRecorder, text: str = "") -> None:
-    """The success rate of each tenant, with a star where it is at fault."""
+    """Record the success rate of each tenant, with a star where it is at fault."""
     recorder.policy.candidates.refresh(recorder.now)
     trackers = recorder.policy.classes.tenant_trackers
     recorder.record(text + " ".join(f"{each.rate:.2f}{'*' if each.is_at_fault else ''}" for each in trackers))
 
 
-def play_request(recorder: PolicyRecorder, request_id: int, tenant_index: int, took_ms: float) -> None:
-    """A request that is served after so long, if it is sent; the clock runs on by 10 ms."""
+def run_request(recorder: PolicyRecorder, request_id: int, tenant_index: int, took_ms: float) -> None:
+    """Start a request, advance the clock by 10 ms and serve the request with the given latency if it was sent."""
     recorder.request(request_id, tenant_index=tenant_index)
     is_sent = recorder.was_sent(request_id)
     recorder.advance_by(10.0)
@@ -24,32 +24,32 @@
 
 
 def end_each_attempt(recorder: PolicyRecorder, request_id: int, outcome: AttemptOutcome) -> None:
-    """Each attempt of the request ends so, until there is no other."""
+    """End each attempt of the request with this outcome, until no other is sent."""
     attempt_number = 0
     while recorder.last_attempt.get(request_id, -1) == attempt_number:
         recorder.end_attempt(request_id, attempt_number, outcome, 0, is_answered=False)
         attempt_number += 1
 
 
-class PartlySilentBackends:
-    """Endpoints a and b never answer requests of an even id, which time out after a second; all else is served."""
+class PartlyUnresponsiveBackends:
+    """Backends of which a and b never answer requests with an even id, which time out after a second; all others are served."""
 
     def __init__(self, recorder: PolicyRecorder):
         self._recorder = recorder
         self._lines_read = 0
-        self._out: list[tuple[float, int, int]] = []  # times out at, request id, attempt number
-        self.attempts: dict[int, list[tuple[float, str]]] = {0: [], 1: []}  # of each class: when, to which endpoint
+        self._in_flight: list[tuple[float, int, int]] = []  # (times out at, request id, attempt number)
+        self.attempts: dict[int, list[tuple[float, str]]] = {0: [], 1: []}  # per class: (sent at, endpoint id)
 
     def advance_to(self, now: float) -> None:
-        """The clock runs on; attempts that are out for a second time out."""
+        """Advance the clock and end the attempts that time out."""
         self._recorder.advance_to(now)
-        while self._out and self._out[0][0] <= now:
-            _, request_id, attempt_number = self._out.pop(0)
+        while self._in_flight and self._in_flight[0][0] <= now:
+            _, request_id, attempt_number = self._in_flight.pop(0)
             self._end(request_id, attempt_number, AttemptOutcome.TIMED_OUT, 1000.0)
         self._lines_read = len(self._recorder.lines)
 
-    def answer_what_was_sent(self) -> None:
-        """Ends attempts that were cancelled or are served, also those that this brings about."""
+    def end_attempts(self) -> None:
+        """End the attempts that were cancelled or are served, including those that this triggers."""
         while self._lines_read < len(self._recorder.lines):
             words = self._recorder.lines[self._lines_read].split()
             self._lines_read += 1
@@ -61,16 +61,16 @@
                 self._serve(request_id, attempt_number, words[-1])
 
     def _cancel(self, request_id: int, attempt_number: int) -> None:
-        left = [entry for entry in self._out if entry[1:] != (request_id, attempt_number)]
-        if len(left) < len(self._out):
-            self._out = left
+        remaining = [entry for entry in self._in_flight if entry[1:] != (request_id, attempt_number)]
+        if len(remaining) < len(self._in_flight):
+            self._in_flight = remaining
             self._end(request_id, attempt_number, AttemptOutcome.CANCELLED, 400.0)
 
     def _serve(self, request_id: int, attempt_number: int, endpoint_id: str) -> None:
         now = self._recorder.now
         self.attempts[request_id % 2].append((now, endpoint_id))
         if request_id % 2 == 0 and endpoint_id in "ab":
-            self._out.append((now + 1000.0, request_id, attempt_number))
+            self._in_flight.append((now + 1000.0, request_id, attempt_number))
         else:
             in_flight = 2 if endpoint_id in "cd" else 1
             self._recorder.end_attempt(request_id, attempt_number, AttemptOutcome.SERVED, in_flight, took_ms=100.0)
@@ -79,13 +79,13 @@
         self._recorder.end_attempt(request_id, attempt_number, outcome, is_answered=False, took_ms=took_ms)
 
 
-def test_one_tenant_is_slow_everywhere(golden: GoldenFiles):
-    """Tenant 1's requests are overdue at every endpoint.  They are rejected at once with a Retry-After, but for one at a time;
-    no endpoint counts as slow for it; and when they are fast again all go as before."""
+def test_one_tenant_is_slow_at_all_endpoints(golden: GoldenFiles):
+    """Guards against endpoints that count as slow because of one tenant: tenant 1's requests are overdue at every endpoint.  All
+    but one at a time are rejected at once with a Retry-After, and all are sent again once they are fast."""
     recorder = PolicyRecorder(**TENANTS, limits__retry_after=True)
     recorder.list_endpoints("a", "b", "c")
     for request_id in range(200, 220):
-        play_request(recorder, request_id, request_id % 2 * 2, 40.0)
+        run_request(recorder, request_id, request_id % 2 * 2, 40.0)
     for request_id in range(14):
         recorder.request(request_id, tenant_index=1)  # none of these is answered
         recorder.advance_by(40.0)
@@ -109,11 +109,11 @@
     record_tenants(recorder, "in time by customer: ")
     for request_id in (30, 31):
         recorder.request(request_id, tenant_index=1)
-    golden.check(recorder.lines, "blame_customer")
+    golden.check(recorder.lines, "slow_tenant")
 
 
-def test_all_slow_at_once_is_nobodys_fault(golden: GoldenFiles):
-    """Everything is slow at once.  No tenant is at fault, whichever was looked at first."""
+def test_no_tenant_is_at_fault_when_all_are_slow(golden: GoldenFiles):
+    """Guards against a fault that depends on the order of reviews: all requests are slow at once, and no tenant is at fault."""
     recorder = PolicyRecorder(**TENANTS)
     recorder.list_endpoints("a", "b")
     for request_id in range(30):
@@ -122,11 +122,12 @@
     recorder.advance_by(900.0)
     recorder.lines = []
     record_tenants(recorder, "in time by customer: ")
-    golden.check(recorder.lines, "blame_no_kind")
+    golden.check(recorder.lines, "all_tenants_slow")
 
 
-def test_every_kind_at_fault_is_nobodys_fault(golden: GoldenFiles):
-    """Every class and every tenant looks at fault at once.  None of them is, and all go on."""
+def test_all_kinds_are_cleared_when_all_look_at_fault(golden: GoldenFiles):
+    """Guards against rejecting all requests: every class and every tenant looks at fault at once.  All are cleared, and their
+    requests are sent."""
     recorder = PolicyRecorder(**TENANTS)
     recorder.list_endpoints("a", "b", "c")
     classes = recorder.policy.classes
@@ -140,11 +141,12 @@
     record_tenants(recorder, f"dragging: {[tracker.is_at_fault for tracker in trackers]} ")
     for request_id in range(6):
         recorder.request(request_id, tenant_index=request_id % 3)
-    golden.check(recorder.lines, "blame_all_drag")
+    golden.check(recorder.lines, "every_kind_at_fault")
 
 
-def test_silent_endpoints_are_not_one_class_fault(golden: GoldenFiles):
-    """Endpoints fall silent for all.  A class that was lost there more often by chance is not ejected there alone."""
+def test_unresponsive_endpoints_are_not_ejected_for_one_class(golden: GoldenFiles):
+    """Guards against an ejection for one class where the endpoint answers none: endpoints become unresponsive, and a class that
+    lost more attempts there by chance is not ejected for itself alone."""
     lines: list[str] = []
     for is_checked in (False, True):
         recorder = PolicyRecorder(limits__probing=True)
@@ -160,11 +162,12 @@
         recorder.end_attempt(1, 0, AttemptOutcome.TIMED_OUT, took_ms=490.0)
         is_ejected = endpoint.is_ejected_for(first_class, recorder.now)
         lines.append(f"asked in vain {is_checked}: the scheme rests there alone {is_ejected}")
-    golden.check(lines, "blame_silent")
+    golden.check(lines, "unresponsive_endpoints_and_one_class")
 
 
-def test_rare_class_lags_behind(golden: GoldenFiles):
-    """One class began to be lost a moment ago, and of another too few have ended since.  The two cannot be compared yet."""
+def test_rare_class_is_not_compared_too_early(golden: GoldenFiles):
+    """Guards against comparing loss rates too early: one class began to lose attempts a moment ago, and too few of another have
+    ended since then."""
     lines: list[str] = []
     usual, rare = PolicyRecorder().policy.classes.all[:2]
     for at in range(50):
@@ -174,12 +177,13 @@
         if at % 3 == 0 or at > 30:
             lost = f"lost {usual.loss_rate:.2f} and {rare.loss_rate:.2f}"
             lines.append(f"at {at}: {lost}; the rare one tells of it {rare.can_be_compared_with(usual)}")
-    golden.check(lines, "blame_rare")
+    golden.check(lines, "rare_class_loss_rate")
 
 
-def test_requests_that_err_everywhere(golden: GoldenFiles):
-    """Every second request errs wherever it goes.  After a while only one in five of these is retried, no endpoint is ejected
-    for them, and the others go as before.  Then endpoint a alone errs, and its errors count against it again."""
+def test_requests_that_fail_at_all_endpoints(golden: GoldenFiles):
+    """Guards against ejecting endpoints for requests that fail everywhere: every second request ends with an error at each
+    endpoint.  After a while only one in five of these is retried, no endpoint is ejected, and the others are served as before.
+    Then endpoint a alone returns errors, and they count against it again."""
     recorder = PolicyRecorder(limits__most_postings=4)
     recorder.list_endpoints("a", "b", "c", "d")
     attempts_sent: list[int] = []
@@ -206,28 +210,28 @@
                 recorder.end_attempt(request_id, attempt_number, outcome, 0, is_answered=not is_at_a)
     sent_to = [line.split()[-1] for line in recorder.lines if "post" in line and "to" in line]
     recorder.lines = recorder.lines[:2]
-    recorder.record(f"then sent to a, by tens: {[sent_to[begin : begin + 10].count('a') for begin in range(0, 40, 10)]}")
-    golden.check(recorder.lines, "blame_errors")
+    recorder.record(f"then sent to a, by tens: {[sent_to[start : start + 10].count('a') for start in range(0, 40, 10)]}")
+    golden.check(recorder.lines, "requests_failing_everywhere")
 
 
-def test_one_class_unanswered_by_some(golden: GoldenFiles):
-    """Endpoints a and b leave class 0 unanswered and serve class 1.  They are ejected for class 0 alone, what is overdue there
-    is soon retried elsewhere, and neither the class nor the endpoints are at fault for the rest."""
+def test_one_class_unanswered_by_some_endpoints(golden: GoldenFiles):
+    """Guards against blaming the class or the endpoints as a whole: a and b leave class 0 unanswered and serve class 1.  They are
+    ejected for class 0 alone, overdue attempts are soon retried elsewhere, and class 1 is still sent to them."""
     recorder = PolicyRecorder(schemes__0__expiry=1000.0)
-    recorder.policy.classes.all[1].can_be_compared_with = lambda other: True  # enough of it has ended since
+    recorder.policy.classes.all[1].can_be_compared_with = lambda other: True  # enough of its attempts have ended
     recorder.list_endpoints("a", "b", "c", "d")
-    backends = PartlySilentBackends(recorder)
+    backends = PartlyUnresponsiveBackends(recorder)
     for at in range(0, 12000, 20):
         backends.advance_to(float(at))
         request_id = at // 20
         recorder.request(request_id, class_index=request_id % 2)
-        backends.answer_what_was_sent()
+        backends.end_attempts()
     recorder.lines = [
-        f"scheme {class_index}, {begin // 1000} to {begin // 1000 + 3} s: of "
-        f"{sum(begin <= at < begin + 3000 for at, _ in attempts)} postings "
-        f"{sum(begin <= at < begin + 3000 and endpoint_id in 'ab' for at, endpoint_id in attempts)} to a and b"
+        f"scheme {class_index}, {start // 1000} to {start // 1000 + 3} s: of "
+        f"{sum(start <= at < start + 3000 for at, _ in attempts)} postings "
+        f"{sum(start <= at < start + 3000 and endpoint_id in 'ab' for at, endpoint_id in attempts)} to a and b"
         for class_index, attempts in backends.attempts.items()
-        for begin in range(0, 12000, 3000)
+        for start in range(0, 12000, 3000)
     ]
     recorder.record(f"dragging: {[each.tracker.is_at_fault for each in recorder.policy.classes.all]}")
-    golden.check(recorder.lines, "blame_scheme_at_some")
+    golden.check(recorder.lines, "class_unanswered_by_some_endpoints")
