--- a/sloeferry/policy/endpoint_staleness.py
+++ b/sloeferry/policy/endpoint_staleness.py
@@ -136,34 +136,34 @@
         limit_ms = self.limits.notification_limit_ms if self._is_polled else self.limits.moved_notification_limit_ms
         self._limit(StalenessCause.DISCOVERY_MOVED, limit_ms)
 
-    def poll_waiting(self, began: float, tried: float) -> bool:
+    def poll_waiting(self, began_at: float, tried_at: float) -> bool:
         """Record a poll that is still waiting, and return whether that shows an outage of discovery.
 
-        The poll began at `began`.  At `tried`, its connection attempt began and then failed, or its request was written and has
-        waited for longer than a reachable discovery lets a request wait.
+        The poll began at `began_at`.  At `tried_at`, its connection attempt began and then failed, or its request was written and
+        has waited for longer than a reachable discovery lets a request wait.
         """
-        if not self._may_be_outage or began - self._outage_since > self._outage_gap_ms:
+        if not self._may_be_outage or began_at - self._outage_since > self._outage_gap_ms:
             return False
         # Notifications stopped because discovery has been out of reach since: no change was missed so far.
-        self.trusted_until = max(self.trusted_until, tried)
+        self.trusted_until = max(self.trusted_until, tried_at)
         self.cause = StalenessCause.DISCOVERY_UNREACHABLE
-        self.usable_until = self._allowed_until(self.trusted_until, began)
+        self.usable_until = self._allowed_until(self.trusted_until, began_at)
         return True
 
-    def poll_failed(self, now: float, end: PollEnd, began: float, tried: float) -> None:
-        """Record the end of a poll that returned no list; `began` and `tried` are those of `poll_waiting`."""
-        if end in (PollEnd.UNREACHABLE, PollEnd.UNANSWERED) and self.poll_waiting(began, tried):
+    def poll_failed(self, now: float, end: PollEnd, began_at: float, tried_at: float) -> None:
+        """Record the end of a poll that returned no list; `began_at` and `tried_at` are those of `poll_waiting`."""
+        if end in (PollEnd.UNREACHABLE, PollEnd.UNANSWERED) and self.poll_waiting(began_at, tried_at):
             self._outage_since, self._outage_gap_ms = now, self.limits.notification_limit_ms
             return
         self._may_be_outage = False
         if self.cause is StalenessCause.WATCH_ENDED and now <= self.usable_until:
             self.cause = StalenessCause.POLL_FAILED
-            self.usable_until = self._allowed_until(self.trusted_until, began)
+            self.usable_until = self._allowed_until(self.trusted_until, began_at)
 
     # The deadline
 
-    def _allowed_until(self, since: float, began: float) -> float:
-        settings_deadline = began + FAILED_POLL_FACTOR * self.poll_within_ms if self._is_polled else inf
+    def _allowed_until(self, since: float, began_at: float) -> float:
+        settings_deadline = began_at + FAILED_POLL_FACTOR * self.poll_within_ms if self._is_polled else inf
         return min(since + self.limits.notification_limit_ms, settings_deadline)
 
     def _limit(self, cause: StalenessCause, limit_ms: float) -> None:
--- a/sloeferry/policy/key_affinity.py
+++ b/sloeferry/policy/key_affinity.py
@@ -41,7 +41,7 @@
         self._counts[key] += 1
         self._total += 1
         if self._total > COUNTED_REQUESTS:
-            self._counts = Counter({k: n / 2 for k, n in self._counts.items() if n > 1})
+            self._counts = Counter({each: number / 2 for each, number in self._counts.items() if number > 1})
             self._total = sum(self._counts.values())
 
     def affine_endpoints(self, key: Hashable, endpoints: Sequence[Endpoint]) -> Sequence[Endpoint]:
--- a/sloeferry/policy/latency_model.py
+++ b/sloeferry/policy/latency_model.py
@@ -24,7 +24,7 @@
 OVERDUE_QUANTILE, MIN_OVERDUE_FACTOR = 0.9, 3.0
 MIN_ENDPOINT_SAMPLES = 6  # attempts from which on an endpoint's measured slowdown replaces the minimum assumed in its warm-up
 SLOWDOWN_HALF_LIFE_MS = 4 * REPORT_MAX_AGE_MS
-RUSH_SAMPLING_INTERVAL = 3  # at high arrival rates one attempt in three is a sufficient sample
+HIGH_RATE_SAMPLING_INTERVAL = 3  # at high arrival rates one attempt in three is a sufficient sample
 
 
 class LatencyModel:
@@ -46,7 +46,7 @@
         self._extensions = extensions
         self._is_report_age_unknown = reporting.is_report_age_unknown
         self._checks_load_per_request = bool(reporting.health_checks_per_request)
-        self._sample = 0
+        self._sample_index = 0
         self.level_ratios = [Histogram(1.0, LEVEL_SAMPLES) for _ in LOAD_LEVELS]
         self.level_slowdowns = [1.0 + level for level in LOAD_LEVELS]  # latency at each load level, relative to the typical one
         self.spread = Histogram(1.0, SPREAD_SAMPLES, [0.5, 0.7, 1.0, 1.4, 2.0])  # of measured to expected latency
@@ -99,15 +99,15 @@
         outcome: AttemptOutcome = AttemptOutcome.SERVED,
     ) -> None:
         """Update the latencies of the request's class, of the endpoint and of all attempts from one served or given up."""
-        self._sample = (self._sample + 1) % RUSH_SAMPLING_INTERVAL
+        self._sample_index = (self._sample_index + 1) % HIGH_RATE_SAMPLING_INTERVAL
         if (
-            self._sample
+            self._sample_index
             and self._arrivals.is_faster_than_health_checks()
             or self._extensions.is_overloaded()
             or request.is_at_fault()
         ):
             return
-        typical, level, endpoint = (
+        typical_ms, level, endpoint = (
             request.typical_latency_ms(),
             bisect(LOAD_LEVEL_BOUNDS, attempt.estimate_when_sent),
             attempt.endpoint,
@@ -115,15 +115,15 @@
         unadjusted_ms = took_ms
         if request.affinity_key:  # normalises the latency to that of a request without a key
             is_affine = endpoint in self._affinity.affine_endpoints(request.affinity_key, ready)
-            self._affinity.learn(is_affine, took_ms / (typical * self.level_slowdowns[level]))
+            self._affinity.learn(is_affine, took_ms / (typical_ms * self.level_slowdowns[level]))
             took_ms /= self._affinity.affine_ratio if is_affine else 1.0
-        endpoint.learn(took_ms / (typical * self.level_slowdowns[level]), self.spread, now)
+        endpoint.learn(took_ms / (typical_ms * self.level_slowdowns[level]), self.spread, now)
         if self._slow_start.warm_up_fraction(endpoint, now) < 1.0:  # its latency says nothing about load levels elsewhere
             return
         if outcome is AttemptOutcome.SERVED if self._is_report_age_unknown else level == 0:
             latency_ms = took_ms * self.level_slowdowns[0] / self.level_slowdowns[level] / request.relative_size
             request.request_class.idle_latency.add(latency_ms)
-        self.level_ratios[level].add(took_ms / typical)
+        self.level_ratios[level].add(took_ms / typical_ms)
         self.spread.add(unadjusted_ms / attempt.expected_ms)
         self.refresh()
 
--- a/sloeferry/policy/outlier_detection.py
+++ b/sloeferry/policy/outlier_detection.py
@@ -103,9 +103,8 @@
         """
         endpoint.consecutive_errors += 1
         if any(attempt.outcome is AttemptOutcome.ERROR for attempt in request.attempts[:-1]):
-            self.retry_recovery_ratio -= (
-                self.retry_recovery_ratio / RECOVERY_SMOOTHING_REQUESTS
-            )  # errors at two endpoints: the request is at fault
+            # After errors at two endpoints the request is at fault.
+            self.retry_recovery_ratio -= self.retry_recovery_ratio / RECOVERY_SMOOTHING_REQUESTS
         elif self.retry_recovery_ratio > HIGH_RECOVERY_RATIO:
             self.count_as_in_flight(request, endpoint, now)
         has_too_many_errors = self.error_rate**endpoint.consecutive_errors < MAX_COINCIDENCE_PROBABILITY
--- a/tests/policy/test_mixed_fleet.py
+++ b/tests/policy/test_mixed_fleet.py
@@ -60,31 +60,31 @@
         self.policy = Policy(self, fleet.now, ordinal, build_settings(values))
 
     def send_attempt(self, request_id: int, endpoint_id: str) -> None:
-        """`PolicyHost`."""
+        """Implement `PolicyHost`."""
         attempt_number = self._last_attempt[request_id] = self._last_attempt.get(request_id, -1) + 1
         self._fleet.attempt_arrives(self, request_id, attempt_number, endpoint_id)
 
     def reject(self, request_id: int, retry_after_ms: float) -> None:
-        """`PolicyHost`."""
+        """Implement `PolicyHost`."""
         self._fleet.retry_after_count += retry_after_ms > 0
         self.answer(request_id)
 
     def fail(self, request_id: int) -> None:
-        """`PolicyHost`."""
+        """Implement `PolicyHost`."""
         self.answer(request_id)
 
     def cancel_attempt(self, request_id: int, attempt_number: int) -> None:
-        """`PolicyHost`."""
+        """Implement `PolicyHost`."""
 
     def poll_endpoints(self) -> None:
-        """`PolicyHost`."""
+        """Implement `PolicyHost`."""
 
     def schedule_wakeup(self, at: float, token: int) -> None:
-        """`PolicyHost`."""
+        """Implement `PolicyHost`."""
         self._fleet.schedule(at, self.policy.timer_fired, token)
 
     def send_health_check(self, endpoint_id: str) -> None:
-        """`PolicyHost`."""
+        """Implement `PolicyHost`."""
         report = (self._fleet.in_flight[endpoint_id],)
         ended = self.policy.health_check_ended
         self._fleet.schedule(self._fleet.now + 1, ended, endpoint_id, AttemptOutcome.SERVED, 1.0, report)
