--- a/sloeferry/dispatch/__init__.py
+++ b/sloeferry/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""What joins the decisions to the network: requests in, commands out, ends of attempts in."""
+"""Connects the policy to the network: passes requests and attempt results in and commands out."""
--- a/sloeferry/dispatch/attempt_end.py
+++ b/sloeferry/dispatch/attempt_end.py
@@ -1,4 +1,4 @@
-"""How far an attempt came and why it ended, and what that means for the policy (safety rule 2)."""
+"""Progress and end of an attempt, and the outcome that the policy derives from them (safety rule 2)."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class AttemptProgress(enum.IntEnum):
-    """How far an attempt came; later members came further."""
+    """The progress of an attempt; a greater value is further progress."""
 
     NOTHING_WRITTEN = 0
     PARTLY_WRITTEN = 1
@@ -15,7 +15,7 @@
 
 
 class AttemptEnd(enum.Enum):
-    """Why an attempt ended."""
+    """The reason why an attempt ended."""
 
     SERVED = "served"
     ERROR = "error response"
@@ -23,10 +23,10 @@
     CONNECTION_LOST = "connection lost"
     TIMED_OUT = "timed out"
     CANCELLED = "cancelled"
-    # Not sent by this proxy's own doing: refused by the send guard, no descriptor, no address, a dial that this machine could
-    # not make, a client that broke off its body.  Never with COMPLETELY_WRITTEN.
-    ABORTED_LOCALLY = "not wanted"
-    MALFORMED = "malformed response"  # one that cannot be read or does not end, on a connection that stands
+    # Not caused by the endpoint: refused by the send guard, no file descriptor, no address, a local connect error, or a client
+    # that cut off its request body.  Never combined with COMPLETELY_WRITTEN.
+    ABORTED_LOCALLY = "aborted locally"
+    MALFORMED = "malformed response"  # unparsable or unterminated, on a connection that is still open
 
 
 _OUTCOME_WHEN_WRITTEN = {
@@ -41,10 +41,9 @@
 
 
 def attempt_outcome(progress: AttemptProgress, end: AttemptEnd) -> AttemptOutcome:
-    """Rule 2 by bytes: a request never written completely has not run; one written completely may have.
+    """Return the outcome of an attempt by its written bytes: only a completely written request may have run (safety rule 2).
 
-    A connection that did not come up in time is the endpoint's fault; an attempt not sent by this proxy's own doing tells
-    nothing of it.
+    A connection that was not established in time counts against the endpoint; an attempt aborted locally does not.
     """
     is_written = progress >= AttemptProgress.COMPLETELY_WRITTEN
     if end is AttemptEnd.ABORTED_LOCALLY or end is AttemptEnd.CANCELLED and not is_written:
--- a/sloeferry/dispatch/command_host.py
+++ b/sloeferry/dispatch/command_host.py
@@ -1,4 +1,4 @@
-"""The policy's host on sockets: its commands in queues, its wake-ups on a heap.  No decisions here."""
+"""Implements the policy's host on sockets: queues its commands and keeps its timers in a heap, without decisions of its own."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -19,36 +19,36 @@
 
 
 class CommandHost:
-    """What the policy asks for (`PolicyHost`), for whoever carries it out."""
+    """Implements `PolicyHost`: queues the policy's commands for the tasks that execute them."""
 
     def __init__(self, request_wakeup: Callable[[float], None]):
-        """`request_wakeup` is called with the time (ms) by which `run_due_timers` has to be called."""
+        """Set up empty queues; `request_wakeup` receives the time (ms) by which `run_due_timers` has to be called."""
         self._request_wakeup = request_wakeup
         self._timers: list[tuple[float, int]] = []  # (due, token), a heap
         self.next_timer_at: float | None = None
-        self.requests: dict[int, RequestContext] = {}  # not answered yet, or with an attempt out
+        self.requests: dict[int, RequestContext] = {}  # unanswered, or with an attempt in flight
         self.health_check_commands = CommandQueue()
         self.poll_commands = CommandQueue()
-        self.on_send_attempt: Callable[[RequestContext], None] | None = None  # told before each attempt, where set
-        self.on_reject: Callable[[], None] | None = None  # told before each rejection, where set
+        self.on_send_attempt: Callable[[RequestContext], None] | None = None  # if set, called before each attempt
+        self.on_reject: Callable[[], None] | None = None  # if set, called before each rejection
 
     # Requests
 
     def finish(self, context: RequestContext, command: RequestCommand) -> None:
-        """The request has its final answer."""
+        """Mark the request as answered and queue its final command."""
         context.is_answered = True
         context.push(command)
         self.remove_if_complete(context)
 
     def remove_if_complete(self, context: RequestContext) -> None:
-        """Forgets a request that is answered and has no attempt out."""
+        """Remove a request that is answered and has no attempt in flight."""
         if context.is_answered and not context.attempts_in_flight:
             self.requests.pop(context.request_id, None)
 
     # PolicyHost
 
     def send_attempt(self, request_id: int, endpoint_id: EndpointId) -> None:
-        """`PolicyHost`."""
+        """Queue the request's next attempt (`PolicyHost`)."""
         context = self.requests[request_id]
         if self.on_send_attempt:
             self.on_send_attempt(context)
@@ -57,38 +57,38 @@
         context.attempts_in_flight += 1
 
     def cancel_attempt(self, request_id: int, attempt_number: int) -> None:
-        """`PolicyHost`."""
+        """Queue the cancellation of an attempt (`PolicyHost`)."""
         self.requests[request_id].push(CancelAttempt(attempt_number))
 
     def reject(self, request_id: int, retry_after_ms: float) -> None:
-        """`PolicyHost`."""
+        """Finish a request with a rejection (`PolicyHost`)."""
         if self.on_reject:
             self.on_reject()
         if request_id in self.requests:
             self.finish(self.requests[request_id], Reject(retry_after_ms))
 
     def fail(self, request_id: int) -> None:
-        """`PolicyHost`."""
+        """Finish a request with a failure (`PolicyHost`)."""
         if request_id in self.requests:
             self.finish(self.requests[request_id], Fail())
 
     def send_health_check(self, endpoint_id: EndpointId) -> None:
-        """`PolicyHost`."""
+        """Queue a health check (`PolicyHost`)."""
         self.health_check_commands.push(SendHealthCheck(endpoint_id))
 
     def poll_endpoints(self) -> None:
-        """`PolicyHost`."""
+        """Queue a poll of discovery (`PolicyHost`)."""
         self.poll_commands.push(PollEndpoints())
 
     def schedule_wakeup(self, at: float, token: int) -> None:
-        """`PolicyHost`."""
+        """Add a timer to the heap, and request an earlier wake-up if it is the first one due (`PolicyHost`)."""
         heappush(self._timers, (at, token))
         if self.next_timer_at is None or at < self.next_timer_at:
             self.next_timer_at = at
             self._request_wakeup(at)
 
     def run_due_timers(self, policy: Policy) -> None:
-        """Fires what is due."""
+        """Fire all timers that are due."""
         now, timers = environment.monotonic_ms(), policy.timers
         try:
             while self._timers and self._timers[0][0] <= now:
@@ -98,7 +98,7 @@
                 else:
                     policy.timer_fired(now, token)
         finally:
-            # What was set for requests that have been answered wakes nobody: it is most of all timers.
+            # Timers of requests answered since are dropped without a wake-up; they are the majority of all timers.
             while self._timers and timers.is_moot(self._timers[0][1]):
                 timers.discard(heappop(self._timers)[1])
             self.next_timer_at = self._timers[0][0] if self._timers else None
--- a/sloeferry/dispatch/dispatcher.py
+++ b/sloeferry/dispatch/dispatcher.py
@@ -1,7 +1,7 @@
-"""Joins the policy to the network: requests in, commands out, ends of attempts in.  No decisions here.
+"""Connects the policy to the network: passes requests and attempt results in and commands out, without decisions of its own.
 
-Whoever carries a request awaits the commands of its `RequestContext` and reports how each attempt ended; health checks and
-polls have a queue each that stands for as long as the program runs.
+The task of a request awaits the commands of its `RequestContext` and reports the end of each attempt.  Health checks and polls
+have one queue each for the lifetime of the process.
 """
 
 import asyncio
@@ -26,38 +26,38 @@
 
 
 class Dispatcher:
-    """One instance of the policy, and what the network tells it."""
+    """Owns one policy and reports network events to it."""
 
     def __init__(self, seed: int, settings: Settings, request_wakeup: Callable[[float], None]):
-        """`request_wakeup` is called with the time (ms) by which `run_due_timers` has to be called."""
+        """Build the policy; `request_wakeup` receives the time (ms) by which `run_due_timers` has to be called."""
         self.host = CommandHost(request_wakeup)
         self.requests = self.host.requests
         self._last_request_id = 0
         self.policy = Policy(self.host, environment.monotonic_ms(), seed, settings, ON_SOCKETS)
         self.overload = OverloadController(self.policy)
         self.policy.extensions.install(self.overload)
-        self._is_beating = False
+        self._is_measuring_lag = False
         self.loop_monitor = LoopMonitor(settings)
         self.guard = SendGuard(self.policy, SOCKET_SLACK_MS)
         self.endpoint_events = EndpointEvents(self.policy, self.guard, self.loop_monitor)
         self.host.on_reject = self._note_rejection
 
     def update_config(self, config: InstanceConfig) -> None:
-        """Other settings, between two events: what is taken on from now on is under these."""
+        """Apply another configuration between two events; it holds for requests accepted from now on."""
         self.policy.update_settings(config.settings)
         self.overload.update()
         self.loop_monitor.update(config.settings)
 
     def set_process_count(self, count: int) -> None:
-        """So many processes are this one proxy for now: each keeps to its part of what the rules allow it."""
+        """Set the number of processes that form this proxy: each uses its part of the budgets of the safety rules."""
         self.policy.fleet.process_count = count
 
     # Requests
 
     def rejection_delay_ms(self, class_index: int, tenant_index: int, is_retry: bool, has_waited: bool = False) -> float | None:
-        """Asked before anything else is done for a request: the Retry-After if it is rejected, else None.
+        """Return the Retry-After of a request to be rejected on arrival, or None to accept it.
 
-        `has_waited`: it has waited to be admitted for as long as it may.
+        `has_waited`: the request has spent the longest permitted time in the admission queue.
         """
         now = environment.monotonic_ms()
         return self.policy.rejection_delay_ms(now, class_index, tenant_index, is_retry, has_waited)
@@ -65,12 +65,12 @@
     def accept_request(
         self, class_index: int, tenant_index: int, time_left_ms: float, is_retry: bool, affinity_key: Hashable = 0
     ) -> RequestContext:
-        """A request has come.  What the loop is late comes off its time, or answers would be late, too."""
+        """Accept a request.  The loop's lateness is deducted from its time left, or responses would be late, too."""
         now = environment.monotonic_ms()
         time_left_ms -= min(self.policy.timers.lateness_ms, time_left_ms / 2)
         self._last_request_id += 1
-        if not self._is_beating:
-            self._schedule_beat(now)
+        if not self._is_measuring_lag:
+            self._schedule_lag_measurement(now)
         context = RequestContext(self._last_request_id, now + time_left_ms, now)
         self.requests[context.request_id] = context
         try:
@@ -78,30 +78,30 @@
                 now, context.request_id, class_index, tenant_index, affinity_key, time_left_ms, None, is_retry
             )
         except Exception:
-            del self.requests[context.request_id]  # nobody will answer it
+            del self.requests[context.request_id]  # the policy won't answer it
             raise
         return context
 
     def body_outgrew_buffer(self, context: RequestContext, attempt_number: int) -> None:
-        """More of its body has gone out with this attempt than is held; its time runs from its last byte on."""
+        """Report that an attempt sent more body bytes than are buffered; the deadline is suspended until the last byte."""
         self.policy.body_outgrew_buffer(environment.monotonic_ms(), context.request_id, attempt_number)
         context.deadline = inf
 
     def body_received(self, context: RequestContext, time_left_ms: float) -> None:
-        """The last byte of such a body has come: so much time is left."""
+        """Set the deadline after the last byte of a body that outgrew the buffer."""
         context.deadline = environment.monotonic_ms() + time_left_ms
 
     def client_left(self, context: RequestContext) -> None:
-        """Ends a request without a decision: its client has gone, or no decision came in time."""
+        """End a request without a decision of the policy: the client has disconnected, or no decision was made in time."""
         if not context.is_answered:
             self.host.finish(context, Abandon())
             self.policy.client_left(environment.monotonic_ms(), context.request_id)
 
     def abandon(self, context: RequestContext) -> list[Any]:
-        """Nobody carries out its commands any more: its client's connection ends from this side.
+        """End a request whose client connection the proxy closes, so that its commands are no longer executed.
 
-        An attempt that was commanded and not begun would count as in flight for ever.  Returns the responses that nobody
-        passes on.
+        A commanded attempt that has not begun is ended here; otherwise it would count as in flight forever.  Return the
+        responses that were not forwarded.
         """
         context.is_abandoned = True
         self.client_left(context)
@@ -118,10 +118,10 @@
     # Attempts and health checks
 
     def may_begin_attempt(self, context: RequestContext, attempt_number: int, endpoint_id: EndpointId) -> bool:
-        """Whether an attempt may still begin: asked right before its first byte.
+        """Return whether an attempt may begin, immediately before its first byte.
 
-        The one place that sees to it that nothing is sent for a client who has left, and that the window in which a repeat
-        is known has not ended meanwhile (rule 2).
+        This is the only check that the client is still connected, and that the deduplication window for a repeated request is
+        still open (safety rule 2).
         """
         if not context.is_answered and context.has_client_left and context.has_client_left():
             self.client_left(context)
@@ -131,11 +131,11 @@
         return self.guard.record_refusal(refusal or self.guard.endpoint_refusal(now, endpoint_id))
 
     def may_begin_health_check(self, endpoint_id: EndpointId) -> bool:
-        """Rule 3, once more before a health check's first byte: a dial takes time, and the list may have changed."""
+        """Check safety rule 3 before a health check's first byte, since the list may have changed during the connect."""
         return self.guard.record_refusal(self.guard.endpoint_refusal(environment.monotonic_ms(), endpoint_id))
 
     def attempt_begins(self, context: RequestContext, attempt_number: int, endpoint_id: EndpointId) -> None:
-        """An attempt's first byte is about to be written: the send guard audits it by facts of its own."""
+        """Have the send guard audit an attempt whose first byte is about to be written."""
         self.guard.audit_attempt(environment.monotonic_ms(), context, attempt_number, endpoint_id)
 
     def attempt_ended(
@@ -148,9 +148,9 @@
         load_report: Sequence[float] = (),
         response: Any = None,
     ) -> bool:
-        """An attempt has ended; whether its response is the request's."""
+        """Report the end of an attempt; return whether its response answers the request."""
         context.attempts_in_flight -= 1
-        took_ms = max(took_ms / 2, took_ms - self.policy.timers.lateness_ms)  # so much was this loop's doing
+        took_ms = max(took_ms / 2, took_ms - self.policy.timers.lateness_ms)  # excludes the delay of this event loop
         is_served = end is AttemptEnd.SERVED and not context.is_answered
         if is_served:
             self.host.finish(context, Complete(response))
@@ -175,41 +175,41 @@
         took_ms: float,
         load_report: Sequence[float] = (),
     ) -> None:
-        """A health check has ended."""
+        """Report the end of a health check."""
         outcome = attempt_outcome(progress, end)
         self.policy.health_check_ended(environment.monotonic_ms(), endpoint_id, outcome, took_ms, load_report)
 
-    # The loop
+    # Event loop
 
     def record_loop_iteration(self) -> asyncio.Task[None] | None:
-        """Notes a turn of the loop; the task that catches up after a stall, until whose end nothing may be sent."""
-        catching_up = self.loop_monitor.record_iteration()
+        """Record a loop iteration; return the catch-up task after a stall, before whose end nothing may be sent."""
+        catch_up_task = self.loop_monitor.record_iteration()
         self.endpoint_events.log_staleness(self.loop_monitor.last_iteration_at)
-        return catching_up
+        return catch_up_task
 
     def run_due_timers(self) -> None:
-        """Fires the policy's timers that are due."""
+        """Fire the policy's timers that are due."""
         self.host.run_due_timers(self.policy)
 
-    def _schedule_beat(self, now: float) -> None:
-        self._is_beating = True
+    def _schedule_lag_measurement(self, now: float) -> None:
+        self._is_measuring_lag = True
         due = now + self.overload.beat_interval_ms
-        self.policy.timers.schedule(due, self._beat, due)
+        self.policy.timers.schedule(due, self._measure_lag, due)
 
-    def _beat(self, now: float, due: float) -> None:
-        """How late this loop is, measured whatever else is due; it stops once nothing is left to measure."""
+    def _measure_lag(self, now: float, due: float) -> None:
+        """Measure the event-loop lag at an interval, apart from all other timers, while requests are open or load is shed."""
         self.overload.beat(now, now - due)
-        self._is_beating = bool(self.requests) or self.overload.is_shedding()
-        if self._is_beating:
-            self._schedule_beat(now)
+        self._is_measuring_lag = bool(self.requests) or self.overload.is_shedding()
+        if self._is_measuring_lag:
+            self._schedule_lag_measurement(now)
 
     def _note_rejection(self) -> None:
-        """Counts the policy's own rejections while the list is stale, beside attempts refused at their first byte."""
+        """Count a rejection by the policy while the list is stale, as attempts refused at their first byte are counted."""
         if not self.endpoint_events.staleness.usable(environment.monotonic_ms()):
             self.guard.count_refusal(Refusal.LIST_STALE)
 
     # For operators
 
     def guard_figures(self) -> dict[str, Any]:
-        """The send guard's counters and the list's age now."""
+        """Return the send guard's counters and the current age of the endpoint list."""
         return self.guard.figures() | {"list": self.endpoint_events.figures()}
--- a/sloeferry/dispatch/endpoint_events.py
+++ b/sloeferry/dispatch/endpoint_events.py
@@ -1,4 +1,4 @@
-"""What the network hears of the endpoint list, as facts for the policy."""
+"""Translates discovery's messages and connection events into endpoint events for the policy."""
 
 from collections.abc import Collection, Sequence
 from typing import Any, NamedTuple
@@ -15,30 +15,30 @@
 
 
 class ListedEndpoint(NamedTuple):
-    """One entry of discovery's list, decoded."""
+    """A decoded entry of discovery's endpoint list."""
 
     endpoint_id: str
-    zone: int | str  # an index into the settings; the name itself where the settings do not know it
+    zone: int | str  # index into the settings, or the name if the settings lack it
     machine_kind: int | str
     cell: int
     state: EndpointState
     capacity_share: float
-    started_at_unix_ms: float  # 0: long ago
+    started_at_unix_ms: float  # 0 means long ago
 
 
 class EndpointEvents:
-    """Passes lists, the ends of polls and watches, and signs of life on to the policy."""
+    """Passes endpoint lists, keep-alives, and the ends of polls and watches on to the policy."""
 
     def __init__(self, policy: Policy, guard: SendGuard, monitor: LoopMonitor):
         self._policy = policy
         self._guard = guard
         self._monitor = monitor
         self._start_times = StartTimes(environment.monotonic_ms(), environment.unix_time() * 1000)
-        self._stale_since: float | None = None  # since when nothing is sent for want of a list
+        self._stale_since: float | None = None  # since when nothing is sent because the list is stale
 
     @property
     def staleness(self) -> ListStaleness:
-        """The age of the list."""
+        """The age and usability of the endpoint list."""
         return self._policy.polling.staleness
 
     # Lists
@@ -51,10 +51,10 @@
         newly_started: Collection[EndpointId] = (),
         answers_poll: bool = True,
     ) -> None:
-        """A list came, complete or only changes.
+        """Apply a received list, complete or with changes only.
 
-        `newly_started`: those whose start was told as a change while the watch stood; `answers_poll`: not so if a former
-        watch told it, and the poll for another goes on.
+        `newly_started`: endpoints whose start was reported as a change on an open watch.  `answers_poll` is false if an earlier
+        watch delivered the list and the poll for the next watch continues.
         """
         now = environment.monotonic_ms()
         entries = [self._entry(now, endpoint, endpoint.endpoint_id in newly_started) for endpoint in endpoints]
@@ -71,8 +71,8 @@
         scope = ListScope.COMPLETE if is_complete else ListScope.CHANGES
         self._policy.endpoints_listed(now, ListScope.CACHED if is_cached else scope, entries, answers_poll)
 
-    def _entry(self, now: float, endpoint: ListedEndpoint, is_news: bool) -> EndpointEntry:
-        started_at = self._start_times.started_at(now, endpoint.endpoint_id, endpoint.started_at_unix_ms, is_news)
+    def _entry(self, now: float, endpoint: ListedEndpoint, is_newly_started: bool) -> EndpointEntry:
+        started_at = self._start_times.started_at(now, endpoint.endpoint_id, endpoint.started_at_unix_ms, is_newly_started)
         return EndpointEntry(
             endpoint.endpoint_id, endpoint.zone, endpoint.machine_kind, endpoint.cell, endpoint.state, started_at
         )
@@ -82,53 +82,53 @@
             if endpoint := self._policy.table.by_id.get(endpoint_id):
                 endpoint.started_at = started_at
 
-    # Facts about the list's age (policy/endpoint_staleness.py)
+    # Events that determine the list's age (policy/endpoint_staleness.py)
 
     def watch_confirmed(self) -> None:
-        """The watch that stands said something, a list or a sign of life."""
+        """Confirm the list: the open watch delivered a list or a keep-alive."""
         self.staleness.confirmed(self._monitor.earliest_write_time())
 
     def poll_failed(self, end: PollEnd, began: float, tried: float) -> None:
-        """A poll that brought no list has ended; `tried`: when its last dial began, or its request was written."""
+        """Report a poll that ended without a list; `tried` is when its last connect began or its request was written."""
         self.staleness.poll_failed(environment.monotonic_ms(), end, began, tried)
 
     def poll_waiting(self, began: float, tried: float) -> None:
-        """A poll's dial failed, and it dials again; or its answer takes longer than discovery lets one wait."""
+        """Report a poll that connects again after a failure, or whose response is later than discovery's time limit."""
         self.staleness.poll_waiting(began, tried)
 
     def watch_ended(self) -> None:
-        """A watch that had told its list has ended."""
+        """Report the end of a watch that had delivered its list."""
         self.staleness.watch_ended(environment.monotonic_ms())
 
     def watch_silent(self, since: float) -> None:
-        """A watch is given up that has said nothing since then."""
+        """Report a watch that is closed because it has been silent since then."""
         self.staleness.watch_silent(since)
 
     def watch_still_open(self) -> None:
-        """Answers a poll for a watch that stands: all it said has been passed on."""
+        """Answer the policy's poll while a watch is open, all of whose messages have been passed on."""
         self.list_received(False, ())
 
     def watch_unavailable(self, has_watch_ended: bool) -> None:
-        """There is no watch any more: the one that stood has ended, or the poll for one brought no list."""
+        """Report that no watch is open: the last one has ended, or the poll for one returned no list."""
         scope = ListScope.WATCH_ENDED if has_watch_ended else ListScope.POLL_FAILED
         self._policy.endpoints_listed(environment.monotonic_ms(), scope, ())
 
     def discovery_time_received(self, unix_ms: float) -> None:
-        """Discovery's own word of what time it is."""
+        """Apply discovery's own clock reading."""
         self._start_times.discovery_time(environment.monotonic_ms(), unix_ms)
 
     def discovery_moved(self) -> None:
-        """Discovery is elsewhere from now on."""
+        """Report that discovery's address has changed."""
         self.staleness.moved(environment.monotonic_ms())
 
     def is_watch_overdue(self) -> bool:
-        """Whether a watch fell silent and no list has come since."""
+        """Return whether a watch fell silent and no list has been received since."""
         return self.staleness.is_watch_overdue
 
     # For operators
 
     def log_staleness(self, now: float) -> None:
-        """A line when the list becomes stale, and one when a newer one has come: no line a request tells of either."""
+        """Log once when the list becomes stale and once when it is usable again, since no log line of a request shows it."""
         staleness = self.staleness
         if not staleness.usable(now) and self._stale_since is None:
             self._stale_since = staleness.usable_until
@@ -146,7 +146,7 @@
             self._stale_since = None
 
     def figures(self) -> dict[str, Any]:
-        """The age of the list."""
+        """Return the usability and age of the endpoint list for operators."""
         now = environment.monotonic_ms()
         return {
             "usable": self.staleness.usable(now),
--- a/sloeferry/dispatch/limits.py
+++ b/sloeferry/dispatch/limits.py
@@ -1,3 +1,3 @@
-"""Limits of the platform's protocol that more than one part of the proxy keeps to."""
+"""Protocol limits that several parts of the proxy share."""
 
-SOCKET_SLACK_MS = 50.0  # by which each limit is longer on sockets than in the simulator
+SOCKET_SLACK_MS = 50.0  # added to each time limit on sockets, as opposed to the simulator
--- a/sloeferry/dispatch/loop_monitor.py
+++ b/sloeferry/dispatch/loop_monitor.py
@@ -1,7 +1,7 @@
-"""Notices that the event loop stood still, and has what came meanwhile read before anything is sent.
+"""Detects event-loop stalls, and has pending discovery data read before anything is sent.
 
-After a stall (the process was stopped, or starved) a list may lie unread that counts as notified when it was written (safety
-rule 3): sent by the list as it was known before, an attempt would go to an endpoint that drains.
+After a stall (the process was stopped, or starved of CPU) a newer endpoint list may be unread in the socket, and it counts as
+notified from the moment it was written (safety rule 3).  An attempt sent by the older list could reach a draining endpoint.
 """
 
 import asyncio
@@ -14,30 +14,31 @@
 
 
 def stall_threshold_ms(settings: Settings) -> float:
-    """For how long the loop may stand still before what is known is looked at again: half of what a drain may go unheard.
+    """Return the loop stall after which discovery data is read again: half of the drain grace on sockets.
 
-    Without the slack on sockets a grace of nought would have it look for ever, and nothing be sent.
+    The socket slack keeps the threshold above 0 if the drain grace is 0; otherwise every iteration would count as a stall, and
+    nothing would ever be sent.
     """
     return (settings.obligations.drain_grace_ms + SOCKET_SLACK_MS) / 2
 
 
 class LoopMonitor:
-    """When the loop last turned, and the catching up after a stall."""
+    """Tracks event-loop iterations and runs the catch-up after a stall."""
 
     def __init__(self, settings: Settings):
         self.last_iteration_at = environment.monotonic_ms()
         self.iteration_before_stall_at = self.last_iteration_at
         self.catch_up_task: asyncio.Task | None = None
-        # Set by the network: returns once what discovery wrote meanwhile is read and taken in.
+        # Set by the network layer: returns once all that discovery wrote during the stall is read and applied.
         self.catch_up: Callable[[], Coroutine[Any, Any, None]] | None = None
         self.update(settings)
 
     def update(self, settings: Settings) -> None:
-        """Takes over for how long the loop may stand still."""
+        """Apply the stall threshold of the given settings."""
         self._threshold_ms = stall_threshold_ms(settings)
 
     def record_iteration(self) -> asyncio.Task | None:
-        """The loop turns, which is said again and again; the task that catches up after a stall, while it runs."""
+        """Record an iteration of the loop, called at short intervals; return the catch-up task while one runs."""
         now = environment.monotonic_ms()
         if self.catch_up and not self.catch_up_task and now - self.last_iteration_at > self._threshold_ms:
             self.iteration_before_stall_at = self.last_iteration_at
@@ -50,7 +51,7 @@
         self.catch_up_task = None
 
     def earliest_write_time(self) -> float:
-        """Since when what is read now may have been written: after a stall, any time since the loop last turned."""
+        """Return the earliest time at which data read now can have been written: after a stall, the last iteration before it."""
         if self.catch_up_task:
             return self.iteration_before_stall_at
         now = environment.monotonic_ms()
--- a/sloeferry/dispatch/request_context.py
+++ b/sloeferry/dispatch/request_context.py
@@ -1,4 +1,4 @@
-"""One request on its way between the network and the policy, and the queue of commands for whoever carries it."""
+"""The state of one request between the network and the policy, with the queue of the policy's commands for it."""
 
 import asyncio
 from collections import deque
@@ -7,16 +7,16 @@
 
 
 class CommandQueue:
-    """Commands of the policy, in order, for one task."""
+    """An ordered queue of the policy's commands for one task."""
 
     def __init__(self):
         self.commands: deque[Any] = deque()
         self._waiter: asyncio.Future | None = None
-        # Called once when a command comes while the task that carries the request runs an attempt (`network/request_carrier.py`).
+        # Called once when a command arrives while the task of the request runs an attempt (`network/request_carrier.py`).
         self.on_command: Callable[[], None] | None = None
 
     def push(self, command: Any) -> None:
-        """Adds a command and wakes whoever waits for it."""
+        """Append a command and wake the task that waits for one."""
         self.commands.append(command)
         if self._waiter and not self._waiter.done():
             self._waiter.set_result(None)
@@ -25,7 +25,7 @@
             on_command()
 
     async def next(self) -> Any:
-        """The next command, once there is one."""
+        """Wait for the next command and return it."""
         while not self.commands:
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
@@ -33,7 +33,7 @@
 
 
 class RequestContext(CommandQueue):
-    """A request that was taken on, until its last attempt has ended.  Times in ms of the monotonic clock."""
+    """The state of an accepted request until its last attempt has ended; times in ms of the monotonic clock."""
 
     def __init__(self, request_id: int, deadline: float, arrived_at: float):
         super().__init__()
@@ -43,6 +43,6 @@
         self.is_answered = False
         self.attempts_in_flight = 0
         self.attempts_sent = 0
-        self.version_headers: dict[int, bytes] | None = None  # header lines by attempt number, where attempts carry them
+        self.version_headers: dict[int, bytes] | None = None  # header lines by attempt number, if attempts carry them
         self.is_abandoned = False  # its client's connection has ended
         self.has_client_left: Callable[[], bool] | None = None
--- a/sloeferry/dispatch/send_guard.py
+++ b/sloeferry/dispatch/send_guard.py
@@ -1,9 +1,9 @@
-"""The one guard of sending: asked right before the first byte of each attempt and health check.
+"""Checks the safety rules immediately before the first byte of each attempt and health check.
 
-Whatever a request has waited for since its endpoint was chosen (the admission queue, a body, a dial, a failed attempt), its
-attempt begins only if nothing forbids it now.  Refusals are counted by cause.  `audit_attempt` holds each attempt against the
-safety rules once more, by facts of its own: what it counts is a defect, and is logged.  Free of I/O; times are float
-milliseconds, monotonic.
+Time may have passed since the endpoint was chosen (in the admission queue, for a body, a connect or a failed attempt), so this
+module is the one place that checks the rules at the moment of sending.  Refusals are counted by cause.  `audit_attempt` checks
+each attempt a second time, against state that it keeps independently: a violation is a defect of the proxy, and is counted and
+logged.  The module does no I/O; times are float milliseconds of the monotonic clock.
 """
 
 import enum
@@ -16,11 +16,11 @@
 from sloeferry.policy.interface import EndpointId, EndpointState
 from sloeferry.policy.policy import Policy
 
-MAX_LEAVING_ENDPOINTS = 4096  # endpoints remembered as draining or gone, the newest
+MAX_LEAVING_ENDPOINTS = 4096  # draining or gone endpoints remembered; the oldest is dropped
 
 
 class Refusal(enum.Enum):
-    """Why an attempt must not begin."""
+    """The reason why an attempt must not begin."""
 
     REQUEST_OVER = "request over"
     CLIENT_GONE = "client gone"
@@ -31,7 +31,7 @@
 
 
 class Violation(enum.Enum):
-    """What an attempt that was written has broken, or the end of a client's connection."""
+    """The safety rule broken by a written attempt or by a closed client connection."""
 
     ANSWERED = "sent for a request that had its answer"
     DEADLINE = "sent past its deadline"
@@ -42,20 +42,20 @@
 
 
 class SendGuard:
-    """Guards the attempts of one proxy.  `slack_ms` is by how much limits are longer on sockets."""
+    """Checks and audits the attempts of one proxy; `slack_ms` is the time added to each limit on sockets."""
 
     def __init__(self, policy: Policy, slack_ms: float):
         self._policy = policy
         self._slack_ms = slack_ms
         self.refusals: Counter[Refusal] = Counter()
-        self.stale_refusals: Counter[str] = Counter()  # by what made the list stale
+        self.stale_refusals: Counter[str] = Counter()  # by the cause of the staleness
         self.violations: Counter[Violation] = Counter()
-        self._leaving_since: dict[EndpointId, float] = {}  # when an endpoint was listed as draining, or gone
+        self._leaving_since: dict[EndpointId, float] = {}  # when an endpoint was first listed as draining or gone
 
-    # Facts
+    # State for the audit
 
     def endpoint_listed(self, now: float, endpoint_id: EndpointId, is_ready: bool) -> None:
-        """What a list says of an endpoint."""
+        """Record whether a list shows an endpoint as ready."""
         if is_ready:
             self._leaving_since.pop(endpoint_id, None)
             return
@@ -66,7 +66,7 @@
     # Before the first byte
 
     def endpoint_refusal(self, now: float, endpoint_id: EndpointId) -> Refusal | None:
-        """Why nothing new may be sent to this endpoint now (rule 3); None if it may."""
+        """Return why nothing new may be sent to this endpoint now (safety rule 3), or None."""
         if not self._policy.rules.is_list_usable(now):
             return Refusal.LIST_STALE
         endpoint = self._policy.table.by_id.get(endpoint_id)
@@ -75,7 +75,7 @@
         return None
 
     def request_refusal(self, now: float, context: RequestContext, attempt_number: int) -> Refusal | None:
-        """Why nothing more may be sent for this request (rules 1 and 2); None if it may."""
+        """Return why nothing more may be sent for this request (safety rules 1 and 2), or None."""
         if context.is_answered:
             return Refusal.REQUEST_OVER
         if now >= context.deadline:
@@ -89,14 +89,14 @@
         return request is None or self._policy.rules.may_repeat(request, now, attempt_number)
 
     def record_refusal(self, refusal: Refusal | None) -> bool:
-        """Counts a refusal; True if there is none."""
+        """Count a refusal, if there is one, and return whether there is none."""
         if refusal is None:
             return True
         self.count_refusal(refusal)
         return False
 
     def count_refusal(self, refusal: Refusal) -> None:
-        """Something was not sent for that reason."""
+        """Count something that was not sent for that reason."""
         self.refusals[refusal] += 1
         if refusal is Refusal.LIST_STALE:
             self.stale_refusals[self._policy.polling.staleness.cause.value] += 1
@@ -104,7 +104,7 @@
     # Audit
 
     def audit_attempt(self, at: float, context: RequestContext, attempt_number: int, endpoint_id: EndpointId) -> Violation | None:
-        """What an attempt whose first byte is written at `at` breaks, None if nothing; a violation is counted and logged."""
+        """Return the rule that an attempt with its first byte written at `at` breaks, or None; count and log a violation."""
         grace_ms = self._policy.settings.obligations.drain_grace_ms + self._slack_ms
         violation = None
         if context.is_answered:
@@ -129,12 +129,12 @@
         return violation
 
     def record_unanswered_close(self, context: RequestContext) -> None:
-        """A client's connection ends from this side, its client there, its request complete and without an answer."""
+        """Record that the proxy closed a connection whose client is present and whose complete request has no answer."""
         self.violations[Violation.CLOSED_UNANSWERED] += 1
         logger.error("send guard violation: cause={!r} request={}", Violation.CLOSED_UNANSWERED.value, context.request_id)
 
     def figures(self) -> dict[str, Any]:
-        """The counters, for operators."""
+        """Return the counters for operators."""
         return {
             "refused": {refusal.value: self.refusals[refusal] for refusal in Refusal},
             "refused_stale": dict(self.stale_refusals),
--- a/tests/dispatch/test_endpoint_events.py
+++ b/tests/dispatch/test_endpoint_events.py
@@ -1,4 +1,4 @@
-"""What discovery's events confirm, and from when."""
+"""The time from which a message of discovery confirms the endpoint list."""
 
 from unittest import mock
 
@@ -11,9 +11,9 @@
 
 
 @pytest.mark.parametrize("is_timer_first", [False, True], ids=["network first", "timer first"])
-def test_read_after_a_stall(is_timer_first: bool):
-    """The process stood still.  What it reads once it goes on may have been written at any time since its last turn, and confirms
-    nothing after that, whichever of timer and network comes first."""
+def test_data_read_after_stall_confirms_only_last_iteration(is_timer_first: bool):
+    """Data read after a stall of the process may have been written at any time since the last loop iteration.  It confirms the
+    list no later than that, whether the timer or the network runs first."""
     settings = build_settings({"schemes.count": 1, "schemes.0.sla_time": 300.0, "discovery": "subscribe"})
     clock_seconds = [1000.0]
     with mock.patch.object(environment, "monotonic", lambda: clock_seconds[0]):
--- a/tests/dispatch/test_send_guard.py
+++ b/tests/dispatch/test_send_guard.py
@@ -1,4 +1,4 @@
-"""The send guard: what it refuses right before a first byte, and what it calls a violation afterwards."""
+"""Refusals of the send guard before an attempt's first byte, and violations that its audit finds."""
 
 import types
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def recorder() -> PolicyRecorder:
-    """A policy with two endpoints, on a list that was confirmed at its beginning."""
+    """Return a policy with two endpoints and a list that was confirmed at time 0."""
     recorder = PolicyRecorder(limits=ON_SOCKETS, discovery="subscribe", obligations__drain_grace=GRACE_MS)
     recorder.list_endpoints("a", "b")
     recorder.policy.polling.staleness.confirmed(0.0)
@@ -24,22 +24,22 @@
 
 @pytest.fixture
 def guard(recorder: PolicyRecorder) -> SendGuard:
-    """Its send guard."""
+    """Return the send guard of that policy."""
     return SendGuard(recorder.policy, SLACK_MS)
 
 
 def context(request_id: int = 0, deadline: float = 1000.0, is_answered: bool = False) -> types.SimpleNamespace:
-    """A request on its way."""
+    """Return a request context with the attributes that the send guard reads."""
     return types.SimpleNamespace(request_id=request_id, deadline=deadline, is_answered=is_answered, has_client_left=None)
 
 
-def test_refusals(recorder: PolicyRecorder, guard: SendGuard):
-    """Each cause by itself; refused sends are counted by cause, and by what made a list stale."""
+def test_refusals_are_counted_by_cause(recorder: PolicyRecorder, guard: SendGuard):
+    """Each cause refuses on its own; refusals are counted by cause, and for a stale list by the cause of its staleness."""
     now = 10.0
     assert (guard.request_refusal(now, context(), 0) or guard.endpoint_refusal(now, "a")) is None
     assert guard.request_refusal(now, context(is_answered=True), 0) == Refusal.REQUEST_OVER
     assert guard.request_refusal(now, context(deadline=10.0), 0) == Refusal.DEADLINE
-    assert guard.endpoint_refusal(now, "nobody") == Refusal.ENDPOINT_LEAVING
+    assert guard.endpoint_refusal(now, "unlisted") == Refusal.ENDPOINT_LEAVING
     recorder.list_endpoints(("a", 0, EndpointState.DRAINING), scope=ListScope.CHANGES)
     assert guard.endpoint_refusal(now, "a") == Refusal.ENDPOINT_LEAVING
     stale = recorder.policy.polling.staleness.usable_until + 1
@@ -51,16 +51,16 @@
     assert guard.figures()["refused_stale"] == {"watched": 1}
 
 
-def test_no_second_attempt_of_an_unsafe_request(recorder: PolicyRecorder, guard: SendGuard):
-    """A non-idempotent request whose earlier attempt may have run is not begun again, however it came to that."""
+def test_non_idempotent_request_that_may_have_run_is_not_repeated(recorder: PolicyRecorder, guard: SendGuard):
+    """A second attempt of a non-idempotent request is refused and audited as a violation if the first may have run."""
     recorder.request(1, class_index=2)
     recorder.policy.requests.by_id[1].attempts[0].end(20.0, AttemptOutcome.CONNECTION_LOST)
     assert guard.request_refusal(30.0, context(1), 1) == Refusal.REPEAT_WINDOW
     assert guard.audit_attempt(30.0, context(1), 1, "a") == Violation.REPEATED
 
 
-def test_violations(recorder: PolicyRecorder, guard: SendGuard):
-    """By facts of the guard's own: when an endpoint was told to leave, the list's deadline, the request's."""
+def test_audit_finds_violations(recorder: PolicyRecorder, guard: SendGuard):
+    """The audit uses the time when an endpoint was listed as leaving and the deadlines of the list and the request."""
     usable_until = recorder.policy.polling.staleness.usable_until
     guard.endpoint_listed(100.0, "a", False)
     for at, request, endpoint_id, violation in (
@@ -77,8 +77,8 @@
     assert sum(guard.figures()["violations"].values()) == 4
 
 
-def test_old_leavers_are_forgotten(guard: SendGuard):
-    """Endpoints that left long ago are forgotten, the oldest first."""
+def test_oldest_leaving_endpoints_are_forgotten(guard: SendGuard):
+    """The number of remembered leaving endpoints is limited; the oldest are dropped first."""
     for at in range(MAX_LEAVING_ENDPOINTS + 5):
         guard.endpoint_listed(float(at), at, False)
     assert (len(guard._leaving_since), min(guard._leaving_since)) == (MAX_LEAVING_ENDPOINTS, 5)
--- a/tests/dispatch/test_stale_list.py
+++ b/tests/dispatch/test_stale_list.py
@@ -1,7 +1,7 @@
-"""Each path by which a request or health check reaches a backend, with the list gone stale on the way: nothing is sent.
+"""Nothing is sent on any path of a request or health check if the endpoint list becomes stale before the first byte.
 
-However the list went stale (tests/policy/test_endpoint_staleness.py has each way), the paths read one deadline; here it is
-brought forward.
+All paths read the same deadline of the list, whatever the cause of the staleness; the tests move it forward.  The causes are
+tested in tests/policy/test_endpoint_staleness.py.
 """
 
 import asyncio
@@ -17,17 +17,17 @@
 
 
 def make_stale(harness: InstrumentedHarness) -> None:
-    """The list counts as stale from now on."""
+    """Make the list count as stale from now on."""
     harness.dispatcher.endpoint_events.staleness.usable_until = 0.0
 
 
 def was_refused(harness: InstrumentedHarness) -> bool:
-    """Whether the send guard refused anything for a stale list."""
+    """Return whether the send guard refused anything because of a stale list."""
     return harness.dispatcher.guard.refusals[Refusal.LIST_STALE] > 0
 
 
-def test_first_attempt(play_story: PlayStory):
-    """A request comes when the list is stale already.  It is rejected at once."""
+def test_request_on_stale_list_is_rejected(play_story: PlayStory):
+    """A request that arrives while the list is stale is rejected at once."""
 
     async def story(harness: InstrumentedHarness) -> None:
         make_stale(harness)
@@ -37,8 +37,8 @@
     play_story(story, "stale_first", InstrumentedHarness({"b": response()}))
 
 
-def test_after_connecting(play_story: PlayStory):
-    """The list goes stale while the connection to the backend comes up."""
+def test_list_becomes_stale_while_connecting(play_story: PlayStory):
+    """The list becomes stale while the connection to the backend is established; the attempt is refused."""
 
     async def story(harness: InstrumentedHarness) -> None:
         connect = sockets.connect
@@ -56,7 +56,7 @@
 
 
 def stale_before_first_byte(body: str = "") -> Story:
-    """The list goes stale while the attempt waits right before its first byte."""
+    """Return a scenario in which the list becomes stale while an attempt waits immediately before its first byte."""
 
     async def story(harness: InstrumentedHarness) -> None:
         with harness.before_first_byte() as gate:
@@ -70,13 +70,13 @@
     return story
 
 
-def test_after_a_wait(play_story: PlayStory):
-    """The list goes stale while the attempt waits right before its first byte, as after a stall."""
+def test_list_becomes_stale_before_first_byte(play_story: PlayStory):
+    """The list becomes stale while the attempt waits immediately before its first byte, as it does after a stall."""
     play_story(stale_before_first_byte(), "stale_wait", InstrumentedHarness({"b": response()}))
 
 
-def test_retry(play_story: PlayStory):
-    """The list goes stale while the first attempt is out, which fails.  There is no retry, though it would be safe."""
+def test_list_becomes_stale_before_retry(play_story: PlayStory):
+    """The list becomes stale while the first attempt is in flight and about to fail; there is no retry, though it would be safe."""
 
     async def story(harness: InstrumentedHarness) -> None:
         await harness.request("safe")
@@ -90,13 +90,13 @@
     play_story(story, "stale_retry", harness)
 
 
-def test_upload(play_story: PlayStory):
-    """The list goes stale before the first byte of a streamed body."""
+def test_list_becomes_stale_before_streamed_body(play_story: PlayStory):
+    """The list becomes stale before the first byte of a request with a streamed body."""
     play_story(stale_before_first_byte(body="x" * 200_000), "stale_upload", InstrumentedHarness({"b": response()}))
 
 
-def test_health_check(play_story: PlayStory):
-    """A health check was commanded, and the list goes stale before it is written."""
+def test_list_becomes_stale_before_health_check(play_story: PlayStory):
+    """The list becomes stale between the command and the first byte of a health check."""
 
     async def story(harness: InstrumentedHarness) -> None:
         dispatcher = harness.dispatcher
@@ -109,8 +109,8 @@
     play_story(story, "stale_probe", InstrumentedHarness({"b": response()}, probing=True))
 
 
-def test_hedge(play_story: PlayStory):
-    """A hedged request is due beside an attempt that is out.  None is begun by a stale list."""
+def test_list_becomes_stale_before_hedged_request(play_story: PlayStory):
+    """The list becomes stale while an attempt is in flight; no hedged request is sent when one is due."""
     release = asyncio.Event()
 
     async def story(harness: InstrumentedHarness) -> None:
