--- a/sloeferry/dispatch/dispatcher.py
+++ b/sloeferry/dispatch/dispatcher.py
@@ -193,12 +193,12 @@
 
     def _schedule_lag_measurement(self, now: float) -> None:
         self._is_measuring_lag = True
-        due = now + self.overload.beat_interval_ms
+        due = now + self.overload.lag_sample_interval_ms
         self.policy.timers.schedule(due, self._measure_lag, due)
 
     def _measure_lag(self, now: float, due: float) -> None:
         """Measure the event-loop lag at an interval, apart from all other timers, while requests are open or load is shed."""
-        self.overload.beat(now, now - due)
+        self.overload.record_loop_lag(now, now - due)
         self._is_measuring_lag = bool(self.requests) or self.overload.is_shedding()
         if self._is_measuring_lag:
             self._schedule_lag_measurement(now)
--- a/tests/dispatch/test_stale_list.py
+++ b/tests/dispatch/test_stale_list.py
@@ -76,7 +76,7 @@
 
 
 def test_list_becomes_stale_before_retry(play_story: PlayStory):
-    """The list becomes stale while the first attempt is in flight and about to fail; there is no retry, though it would be safe."""
+    """The list becomes stale before the first attempt in flight fails; there is no retry, although it would be safe."""
 
     async def story(harness: InstrumentedHarness) -> None:
         await harness.request("safe")
