--- a/sloeferry/lifecycle/__init__.py
+++ b/sloeferry/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""What a process is to its clients and operators: its start, its state, reloads, drains, takeovers and its end."""
+"""Manages the lifecycle of a proxy process: startup, state, reload, drain, takeover and shutdown."""
--- a/sloeferry/lifecycle/proxy_process.py
+++ b/sloeferry/lifecycle/proxy_process.py
@@ -1,4 +1,4 @@
-"""One proxy, from its start to its end: builds the parts, serves, and leaves on SIGTERM."""
+"""Builds the parts of one proxy process, serves, and shuts down on SIGTERM."""
 
 import asyncio
 import math
@@ -29,8 +29,8 @@
 from sloeferry.network.load_reports import LoadReportReader
 from sloeferry.network.task_set import TaskSet
 
-RESERVED_DESCRIPTORS = 32  # that are no connection to a client or backend
-BIND_TIMEOUT_SECONDS = 2.0  # that an earlier process may take to let go of an address
+RESERVED_DESCRIPTORS = 32  # for files and sockets other than client and backend connections
+BIND_TIMEOUT_SECONDS = 2.0  # an earlier process may hold the address this long
 BIND_ATTEMPTS = 40
 
 
@@ -40,10 +40,10 @@
     def __init__(self, loop: asyncio.AbstractEventLoop):
         self._loop = loop
         self._handle: asyncio.TimerHandle | None = None
-        self.dispatcher: Dispatcher | None = None  # set once it is built
+        self.dispatcher: Dispatcher | None = None  # set after the dispatcher is built
 
     def wake_at(self, at: float) -> None:
-        """Calls it by that time (ms) instead of later; rounded up, so that no timer is early."""
+        """Schedule the call at that time (ms) and replace a pending one; round the delay up, so that no timer fires early."""
         if self._handle:
             self._handle.cancel()
         delay_ms = max(0, math.ceil(at - environment.monotonic_ms()))
@@ -55,7 +55,7 @@
             return
         try:
             self.dispatcher.run_due_timers()
-        except Exception as error:  # one decision that failed must not stop the clock of all others
+        except Exception as error:  # a failed decision must not stop the timers of other requests
             logger.opt(exception=True).error("timer failed: error={!r}", error)
         next_timer_at = self.dispatcher.host.next_timer_at
         if next_timer_at is not None:
@@ -63,18 +63,18 @@
 
 
 class ProxyProcess:
-    """The parts of one proxy."""
+    """Holds the parts of one proxy process."""
 
     def __init__(self, config: InstanceConfig, environ: Mapping[str, str]):
         loop = self._loop = asyncio.get_running_loop()
         timer = PolicyTimer(loop)
         self.dispatcher = timer.dispatcher = Dispatcher(config.seed, config.settings, timer.wake_at)
-        # Half for either side, each with a budget of its own: a request needs a place on both, and strangers that crowd in
-        # at the listener must not cost a connection to a backend, nor those keep a client out.
+        # Clients and backends get separate budgets of half the descriptors, since a request needs one of each: a flood of client
+        # connections must not use up the backends' descriptors, nor the reverse.
         limit = (config.max_descriptors - RESERVED_DESCRIPTORS) // 2
         client_budget, backend_budget, buffers = DescriptorBudget(limit), DescriptorBudget(limit), Buffers()
         self.lifecycle = Lifecycle()
-        self._takeover = _find_takeover(loop, config, environ)
+        self._takeover = _create_takeover(loop, config, environ)
         if self._takeover and self._takeover.snapshot:
             endpoints = self._takeover.snapshot.endpoints
             config = replace(config, cached_endpoints=endpoints or config.cached_endpoints)
@@ -109,7 +109,7 @@
     async def run(
         self, has_pending_reload: Callable[[], bool], on_built: Callable[[Dispatcher], None] = lambda dispatcher: None
     ) -> None:
-        """Serves until SIGTERM; `on_built` is called once all is built and nothing has come yet."""
+        """Serve until SIGTERM; `on_built` is called after all parts are built and before the first connection."""
         features = _read_features(self._environ)
         try:
             await self._startup(features, has_pending_reload, on_built)
@@ -130,31 +130,31 @@
         self._loop.add_signal_handler(signal.SIGINT, self._stopping.set)
         self._loop.add_signal_handler(signal.SIGHUP, self.reload)
         self._start_tasks(features)
-        if has_pending_reload():  # the file may be newer than what was read
+        if has_pending_reload():  # the file may have changed since it was read
             self.reload()
         on_built(self.dispatcher)
         self.clients.listener.open()
         logger.info("{} listens on {}:{}", config.name, *config.listen)
 
     def _start_tasks(self, features: Any) -> None:
-        work = [
+        coroutines = [
             self.health_checker.run(),
             self.pool.sweep(),
             self.discovery.run(),
             self.clients.sweeper.sweep(),
             self.clients.sweeper.look_at_loop_and_requests(),
         ]
-        self._tasks = [self._loop.create_task(each) for each in work]
+        self._tasks = [self._loop.create_task(each) for each in coroutines]
         if features and features.versions.tell:
             self._install_recorder(features)
         if self._takeover:
             self._takeover.attach(self.dispatcher, self.lifecycle, self.discovery, self.clients, self.pool)
             self._tasks.append(self._loop.create_task(self._takeover.run()))
-        for task in self._tasks:  # none of them ends by itself
+        for task in self._tasks:  # none of them ends in normal operation
             task.add_done_callback(lambda task: self._stopping.set())
 
     def _install_recorder(self, features: Any) -> None:
-        from sloeferry.decision_log.recorder import DecisionRecorder  # where nobody asks for it, it is not imported
+        from sloeferry.decision_log.recorder import DecisionRecorder  # imported only if enabled
 
         recorder = DecisionRecorder(self.dispatcher, self._config, features.versions.carry)
         self.reload.recorder = self.discovery.recorder = recorder
@@ -172,7 +172,7 @@
         logger.info("shutdown ends: send_guard={}", self.dispatcher.guard_figures())
 
     def close(self) -> None:
-        """Ends what is open."""
+        """Release the takeover folder and close all sockets."""
         if self._takeover:
             self._takeover.close()
         self.admin.close()
@@ -180,20 +180,20 @@
         self.pool.close()
 
 
-def _find_takeover(loop: asyncio.AbstractEventLoop, config: InstanceConfig, environ: Mapping[str, str]) -> Takeover | None:
-    """Where the platform holds the clients' socket, one process may take over from another."""
+def _create_takeover(loop: asyncio.AbstractEventLoop, config: InstanceConfig, environ: Mapping[str, str]) -> Takeover | None:
+    """Return the takeover if the platform holds the listening socket and there is a usable folder, else None."""
     folder = environ.get("TMPDIR")
     if config.inherited_listener_fd is None or not folder:
         return None
     try:
         return Takeover(loop, config, folder)
-    except OSError as error:  # no folder to share: it serves alone
+    except OSError as error:  # without a shared folder the process serves alone
         logger.warning("no takeover, TMPDIR cannot be used: error={!r}", error)
         return None
 
 
 def _read_features(environ: Mapping[str, str]) -> Any:
-    """The operators' own file, where there is one: what it does not turn on is not imported."""
+    """Return the switches in the operators' file, or None without one; subsystems that are off are not imported."""
     if not (path := environ.get("SLOEFERRY_OPERATOR")):
         return None
     from sloeferry.config.features import read_features
@@ -202,11 +202,11 @@
 
 
 async def _bind(bind: Callable[[Address], OSError | None], key: str, address: Address) -> None:
-    """Takes an address; an earlier process may take some time to let go of it.  Raises ConfigError."""
+    """Bind an address, with retries while an earlier process holds it; raise ConfigError after the timeout."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + BIND_TIMEOUT_SECONDS
+    deadline = loop.time() + BIND_TIMEOUT_SECONDS
     while error := bind(address):
-        if loop.time() > until:
+        if loop.time() > deadline:
             host, port = address
             raise ConfigError(key, f"{host}:{port} can't be had: {error.strerror}")
         await asyncio.sleep(BIND_TIMEOUT_SECONDS / BIND_ATTEMPTS)
@@ -218,5 +218,5 @@
     on_built: Callable[[Dispatcher], None] = lambda dispatcher: None,
     has_pending_reload: Callable[[], bool] = lambda: False,
 ) -> None:
-    """One proxy, until it has left."""
+    """Run one proxy process until it has shut down."""
     await ProxyProcess(config, environ).run(has_pending_reload, on_built)
--- a/sloeferry/lifecycle/reload.py
+++ b/sloeferry/lifecycle/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: another configuration, while the process serves."""
+"""Reloads the configuration on SIGHUP while the process serves."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import replace
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from sloeferry.decision_log.recorder import DecisionRecorder
 
-# What a process keeps from its start to its end, by the words of its log lines.  Compared with the file read before: a value
-# that stays changed is not warned of again.
+# Values that stay fixed for the lifetime of a process, by the key in the log line.  They are compared with the file read last, so
+# that a changed value is logged once.
 FIXED_CONFIG: dict[str, Callable[[InstanceConfig], Any]] = {
     "name": lambda config: config.name,
     "listen": lambda config: config.listen,
@@ -21,8 +21,8 @@
     "sockets": lambda config: config.max_descriptors,
     "memory": lambda config: config.memory_limit_bytes,
 }
-# Settings by which parts were built: where load reports come from and what is in them, which of how many proxies this is, where.
-# Costs, health checks, affinity keys, the tick, zones and kinds are fixed as well, without a line (docs/operations.md).
+# Settings used only when the parts are built: source and fields of load reports, the number and index of proxies, the zone.
+# Costs, health checks, affinity keys, the tick, zones and machine kinds are fixed, too, but not logged (docs/operations.md).
 FIXED_SETTINGS: dict[str, Callable[[Settings], Any]] = {
     "discovery": lambda settings: settings.discovery_mode,
     "load_info.via": lambda settings: settings.load_reports.source,
@@ -34,16 +34,16 @@
 
 
 class Reloadable(Protocol):
-    """A part of the proxy that acts on the configuration."""
+    """A part of the proxy that uses the configuration."""
 
     def update_config(self, config: InstanceConfig) -> None:
-        """Another configuration holds from now on."""
+        """Apply another configuration from now on."""
 
 
 class ConfigReload:
-    """Reads and checks the file completely before anything of it acts, between two events.
+    """Reads and validates the whole file, then applies it between two events.
 
-    A file that cannot be used changes nothing, and nothing in it may end the program.
+    An unusable file changes nothing, and no content of the file may end the process.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self.recorder: DecisionRecorder | None = None
 
     def __call__(self) -> None:
-        """Reloads."""
+        """Read the configuration again and apply it, or log why it is unusable."""
         try:
             config = read_instance_config(self._environ, self._config)
         except Exception as error:
--- a/sloeferry/lifecycle/snapshot.py
+++ b/sloeferry/lifecycle/snapshot.py
@@ -1,8 +1,8 @@
-"""What a policy has learned, as plain data for the next process, and back.  Free of I/O.
+"""Converts the learned state of a policy to plain data for the next process, and restores it, without I/O.
 
-What was learned is named by request class and endpoint id, never by index: the next process may have other settings.  Times
-are those of this machine's monotonic clock (float ms), which all its processes share.  The keys are those of snapshots that
-earlier releases wrote, and are spelt here alone.
+Entries are keyed by request class name and endpoint id, never by index, since the next process may have other settings.  Times
+are float milliseconds of the machine's monotonic clock, which all its processes share.  The keys are those of snapshots written
+by earlier releases; no other module spells them.
 """
 
 from collections.abc import Mapping
@@ -15,17 +15,17 @@
 from sloeferry.policy.policy import Policy
 from sloeferry.policy.request_classes import LATENCY_SAMPLES, RequestClass
 
-START_TOLERANCE_MS = 500.0  # starts so near are one start, read off two processes' clocks
+START_TOLERANCE_MS = 500.0  # two processes may date the same start this far apart
 NEVER = -inf
 
-# The key of each figure in a snapshot, and the attribute that holds it.
-REQUEST_CLASS_FIGURES = {
+# The key of each value in a snapshot, and the attribute that holds it.
+REQUEST_CLASS_ATTRIBUTES = {
     "lost": "loss_rate",
     "hint": "mean_cost_hint",
     "hints": "cost_hint_count",
     "most_left": "longest_time_left_ms",
 }
-ENDPOINT_FIGURES = {
+ENDPOINT_ATTRIBUTES = {
     "others": "others_in_flight",
     "heard": "reported_at",
     "fails": "consecutive_failures",
@@ -33,13 +33,14 @@
     "pace": "slowdown",
     "learned": "learned_at",
 }
-OUTLIER_FIGURES = {"cured": "cured_ratio", "errs": "error_rate", "refused": "unreachable_rate"}
+OUTLIER_ATTRIBUTES = {"cured": "cured_ratio", "errs": "error_rate", "refused": "unreachable_rate"}
 
 
 def take_snapshot(policy: Policy) -> dict[str, Any]:
-    """What the next process starts with: latency, slowdowns, load as last reported, rates of errors and arrivals.
+    """Return the learned latency, slowdowns, last reported load, and rates of errors and arrivals.
 
-    Success rates of kinds and paths, ejections for one class, machine kinds and affinity keys are learned anew.
+    Success rates of kinds and paths, ejections for one class, machine kinds and affinity keys are not included; the next process
+    learns them again.
     """
     names = [each.name for each in policy.settings.request_classes]
     return {
@@ -50,49 +51,49 @@
         "spread": policy.latency.spread.to_list(),
         "gap": policy.arrivals.mean_gap_ms,
         "mean_gain": policy.classes.mean_weight,
-        **{key: getattr(policy.outliers, name) for key, name in OUTLIER_FIGURES.items()},
+        **{key: getattr(policy.outliers, name) for key, name in OUTLIER_ATTRIBUTES.items()},
         "backends": {each.endpoint_id: _endpoint(each) for each in policy.table.active.values()},
     }
 
 
 def _request_class(request_class: RequestClass) -> dict[str, Any]:
     latency = request_class.idle_latency
-    figures = {key: getattr(request_class, name) for key, name in REQUEST_CLASS_FIGURES.items()}
-    return {"unit": latency.unit, "took": latency.to_list(), **figures}
+    attributes = {key: getattr(request_class, name) for key, name in REQUEST_CLASS_ATTRIBUTES.items()}
+    return {"unit": latency.unit, "took": latency.to_list(), **attributes}
 
 
 def _endpoint(endpoint: Endpoint) -> dict[str, Any]:
     return {
-        **{key: _finite_or_none(getattr(endpoint, name)) for key, name in ENDPOINT_FIGURES.items()},
+        **{key: _finite_or_none(getattr(endpoint, name)) for key, name in ENDPOINT_ATTRIBUTES.items()},
         "launched": endpoint.started_at,
-        "others": endpoint.others_in_flight + endpoint.own_in_flight,  # to the next process its own attempts are others'
+        "others": endpoint.others_in_flight + endpoint.own_in_flight,  # the next process sees this one's attempts as others'
         "slow": endpoint.latency_ratios.to_list(),
         "sent": list(endpoint.recent_sends),
     }
 
 
 def restore_snapshot(policy: Policy, snapshot: Mapping[str, Any]) -> None:
-    """Takes over what an earlier process had learned; the endpoint list has been taken over before.
+    """Apply the learned state of an earlier process, after its endpoint list has been applied.
 
-    All of it is read before any of it acts: what is not as it should be raises ValueError, KeyError or TypeError, and
-    changes nothing.
+    The whole snapshot is read before any of it is applied: a malformed one raises ValueError, KeyError or TypeError and changes
+    nothing.
     """
     assignments: list[tuple[Any, dict[str, Any]]] = []
-    for promised, request_class in zip(policy.settings.request_classes, policy.classes.all, strict=True):
-        if recorded := snapshot["schemes"].get(promised.name):
+    for class_settings, request_class in zip(policy.settings.request_classes, policy.classes.all, strict=True):
+        if recorded := snapshot["schemes"].get(class_settings.name):
             assignments.append((request_class, _read_request_class(recorded)))
     assignments.append((policy.latency, _read_latency(policy, snapshot)))
-    assignments.append((policy.outliers, _read_figures(snapshot, OUTLIER_FIGURES)))
+    assignments.append((policy.outliers, _read_attributes(snapshot, OUTLIER_ATTRIBUTES)))
     assignments.append((policy.arrivals, {"mean_gap_ms": _number(snapshot["gap"])}))
     assignments.append((policy.classes, {"mean_weight": _number(snapshot["mean_gain"])}))
     sends: list[tuple[Endpoint, list[tuple[float, float]]]] = []
     for endpoint_id, recorded in snapshot["backends"].items():
         endpoint = policy.table.by_id.get(endpoint_id)
         if endpoint is None or abs(endpoint.started_at - _number(recorded["launched"])) > START_TOLERANCE_MS:
-            continue  # gone, or started anew: nothing of it holds
+            continue  # gone or restarted, so its entry is obsolete
         ratios = Histogram(1.0, ENDPOINT_SAMPLES).restore(recorded["slow"])
         sends.append((endpoint, [(_number(at), _number(work)) for at, work in recorded["sent"]]))
-        assignments.append((endpoint, {"latency_ratios": ratios, **_read_figures(recorded, ENDPOINT_FIGURES)}))
+        assignments.append((endpoint, {"latency_ratios": ratios, **_read_attributes(recorded, ENDPOINT_ATTRIBUTES)}))
     for target, values in assignments:
         for name, value in values.items():
             setattr(target, name, value)
@@ -105,31 +106,31 @@
 
 def _read_request_class(recorded: Mapping[str, Any]) -> dict[str, Any]:
     latency = Histogram(_number(recorded["unit"]), LATENCY_SAMPLES, (), MANY_BINS_BELOW_UNIT).restore(recorded["took"])
-    return {"idle_latency": latency, **_read_figures(recorded, REQUEST_CLASS_FIGURES)}
+    return {"idle_latency": latency, **_read_attributes(recorded, REQUEST_CLASS_ATTRIBUTES)}
 
 
 def _read_latency(policy: Policy, snapshot: Mapping[str, Any]) -> dict[str, Any]:
     if len(snapshot["curve"]) != len(policy.latency.level_ratios):
-        raise ValueError("curve: another number of levels")
+        raise ValueError("curve: different number of levels than in this policy")
     return {
         "level_ratios": [Histogram(1.0, LEVEL_SAMPLES).restore(bins) for bins in snapshot["curve"]],
         "spread": Histogram(1.0, SPREAD_SAMPLES).restore(snapshot["spread"]),
     }
 
 
-def _read_figures(recorded: Mapping[str, Any], figures: Mapping[str, str]) -> dict[str, float]:
-    return {name: _number(recorded[key]) for key, name in figures.items()}
+def _read_attributes(recorded: Mapping[str, Any], attributes: Mapping[str, str]) -> dict[str, float]:
+    return {name: _number(recorded[key]) for key, name in attributes.items()}
 
 
-def _finite_or_none(figure: float) -> float | None:
-    """JSON has no infinity: a time that never was is told as null."""
-    return None if figure == NEVER else figure
+def _finite_or_none(value: float) -> float | None:
+    """Return None for the time that stands for "never", since JSON has no infinity."""
+    return None if value == NEVER else value
 
 
 def _number(recorded: Any) -> float:
-    """A finite number, or the time that never was; raises ValueError where it is neither."""
+    """Return a finite number, or the time for "never" for None; raise ValueError for anything else."""
     if recorded is None:
         return NEVER
     if isinstance(recorded, bool) or not isinstance(recorded, (int, float)) or not isfinite(recorded):
-        raise ValueError(f"{recorded!r} is no number")
+        raise ValueError(f"{recorded!r} is neither a finite number nor null")
     return recorded
--- a/sloeferry/lifecycle/snapshot_store.py
+++ b/sloeferry/lifecycle/snapshot_store.py
@@ -1,8 +1,8 @@
-"""The folder that a proxy's processes share: what the one before had learned, and who is there beside this one.
+"""Stores snapshots and detects peer processes in a folder that all processes of a proxy share.
 
-A process shows itself by a file that it keeps locked: the kernel lets go of the lock however the process ends, so nobody is
-taken for alive who is not.  A snapshot is written beside the last one and put in its place complete; whoever reads it checks
-all of it, and does without what is not as it should be.
+Each process holds a lock on a file of its own.  The kernel releases the lock however the process ends, so a dead process never
+counts as alive.  A snapshot is written to a separate file that atomically replaces the last one; the reader verifies all of it
+and rejects a damaged one.
 """
 
 import contextlib
@@ -14,35 +14,35 @@
 from typing import Any, NamedTuple
 
 FORMAT_VERSION = 2
-MAX_SNAPSHOT_BYTES = 4 << 20  # more is neither written nor read
-DIGEST_LINE_BYTES = 66  # a SHA-256 in hexadecimal and the end of its line, rounded up
-MAX_AGE_MS = 60_000.0  # an older snapshot tells nothing of a minute that is gone
+MAX_SNAPSHOT_BYTES = 4 << 20  # larger snapshots are neither written nor read
+DIGEST_LINE_BYTES = 66  # a hexadecimal SHA-256 and its line end, rounded up
+MAX_AGE_MS = 60_000.0  # learned state older than this is obsolete
 PROCESS_FILE = "process-"
 SNAPSHOT_FILE = "snapshot"
-READY, NOT_READY = b"ready", b"apart"  # what a process's file says; of one length
+READY, NOT_READY = b"ready", b"apart"  # contents of a process's file, of equal length
 BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
 
 
 class Snapshot(NamedTuple):
-    """What one process left to the next."""
+    """State that one process passes to the next."""
 
-    endpoints: dict[str, Any]  # the endpoint list, in discovery's form
-    learned: dict[str, Any]  # `lifecycle/snapshot.py`
+    endpoints: dict[str, Any]  # the endpoint list, in discovery's format
+    learned: dict[str, Any]  # see `lifecycle/snapshot.py`
 
 
 class SnapshotError(Exception):
-    """Why a snapshot cannot be used."""
+    """Raised when there is no usable snapshot."""
 
 
 class PeerProcesses(NamedTuple):
-    """The other processes of this proxy."""
+    """The numbers of other processes of this proxy."""
 
     alive: int
-    ready: int  # of them, those that serve
+    ready: int  # those of them that serve
 
 
 def boot_id() -> str:
-    """What tells this run of the machine from others; wall clocks may be stepped meanwhile.  Empty where nothing does."""
+    """Return the id of the machine's current boot, or "" if it is unavailable; a wall clock may be stepped, this id is not."""
     try:
         with open(BOOT_ID_PATH, encoding="ascii") as file:
             return file.read().strip()
@@ -51,18 +51,18 @@
 
 
 class SnapshotStore:
-    """One process's place in the folder.  Raises OSError where the folder cannot be used."""
+    """The shared folder, as one process uses it; raises OSError if the folder cannot be used."""
 
     def __init__(self, path: str, name: str, site: str):
-        """`name` of the proxy and `site`, a digest of what its settings call by index: others' files are not its own."""
+        """Open the subfolder for the proxy's `name` and `site`, a digest of the lists that its settings refer to by index."""
         digest = hashlib.sha256(f"{name} {site}".encode()).hexdigest()[:16]
         self.path = os.path.join(path, "sloeferry-" + digest)
         self._name = name
         self._site = site
         os.makedirs(self.path, exist_ok=True)
-        self._process_id = secrets.token_hex(8)  # not the process's number: that may be another's in the next container
-        self.last_error: Exception | None = None  # why the last snapshot could not be written
-        # The monotonic clock goes on from process to process, until the machine starts anew.
+        self._process_id = secrets.token_hex(8)  # not the pid, which another container may use as well
+        self.last_error: Exception | None = None  # of the last write; None if it succeeded
+        # Processes of the same boot share the monotonic clock; it restarts with the machine.
         self._boot_id = boot_id()
         self._process_path = os.path.join(self.path, PROCESS_FILE + self._process_id)
         self._is_shown_ready: bool | None = None
@@ -72,22 +72,22 @@
         while True:
             fd = os.open(self._process_path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
             fcntl.flock(fd, fcntl.LOCK_EX)
-            # Between the two calls another may have found it unlocked, and taken it for one left by the dead.
+            # Between the two calls a peer may have found the file unlocked, and deleted it as a leftover of a dead process.
             exists = os.path.exists(self._process_path)
             if exists and os.path.samestat(os.fstat(fd), os.stat(self._process_path)):
                 return fd
             os.close(fd)
 
-    # Who is there
+    # Peers
 
     def publish_ready(self, is_ready: bool) -> None:
-        """Tells the others whether this process serves."""
+        """Publish to the peers whether this process serves."""
         if is_ready != self._is_shown_ready:
             os.pwrite(self._lock_fd, READY if is_ready else NOT_READY, 0)
             self._is_shown_ready = is_ready
 
     def find_peers(self) -> PeerProcesses:
-        """The other processes of this proxy that live."""
+        """Count the other live processes of this proxy, and delete the files of dead ones."""
         alive = ready = 0
         for entry in os.listdir(self.path):
             path = os.path.join(self.path, entry)
@@ -96,10 +96,10 @@
             try:
                 fd = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
             except OSError:
-                continue  # it has just left
+                continue  # its process has just ended
             try:
                 fcntl.flock(fd, fcntl.LOCK_SH | fcntl.LOCK_NB)
-                os.unlink(path)  # nobody holds it: that process has ended
+                os.unlink(path)  # no lock is held, so its process has ended
             except BlockingIOError:
                 alive += 1
                 ready += os.pread(fd, len(READY), 0) == READY
@@ -112,7 +112,7 @@
     # Snapshots
 
     def write(self, now: float, endpoints: dict[str, Any], learned: dict[str, Any]) -> bool:
-        """A snapshot, complete or not at all; whether it is there.  `now` in ms of the machine's monotonic clock."""
+        """Write a snapshot atomically and return whether it succeeded; `now` in ms of the machine's monotonic clock."""
         path = f"{self.path}/{SNAPSHOT_FILE}-{self._process_id}"
         try:
             text = json.dumps(
@@ -128,19 +128,19 @@
                 allow_nan=False,
             ).encode()
             if len(text) > MAX_SNAPSHOT_BYTES:
-                raise ValueError(f"{len(text)} bytes, {MAX_SNAPSHOT_BYTES} at most")
+                raise ValueError(f"{len(text)} bytes exceed the limit of {MAX_SNAPSHOT_BYTES} bytes")
             with open(path, "wb") as file:
                 file.write(hashlib.sha256(text).hexdigest().encode() + b"\n" + text)
             os.replace(path, f"{self.path}/{SNAPSHOT_FILE}")
             self.last_error = None
         except (OSError, ValueError) as error:
             self.last_error = error
-            with contextlib.suppress(OSError):  # a full disk is not to be filled by what is of no use
+            with contextlib.suppress(OSError):  # a partial file would only occupy a full disk
                 os.unlink(path)
         return self.last_error is None
 
     def read(self, now: float) -> Snapshot:
-        """The snapshot of an earlier process; raises SnapshotError where there is none that can be used."""
+        """Return the snapshot of an earlier process; raise SnapshotError if there is no usable one."""
         try:
             with open(f"{self.path}/{SNAPSHOT_FILE}", "rb") as file:
                 digest, _, text = file.read(MAX_SNAPSHOT_BYTES + DIGEST_LINE_BYTES).partition(b"\n")
@@ -148,7 +148,7 @@
             raise SnapshotError(error.strerror) from None
         if hashlib.sha256(text).hexdigest().encode() != digest:
             raise SnapshotError("cut short or changed")
-        snapshot = json.loads(text)  # it is what its writer wrote
+        snapshot = json.loads(text)  # the digest matches, so it is valid JSON
         if (snapshot["v"], snapshot["name"], snapshot["site"]) != (FORMAT_VERSION, self._name, self._site):
             raise SnapshotError("of another version or proxy")
         if snapshot["boot"] != self._boot_id or not 0 <= now - snapshot["now"] < MAX_AGE_MS:
@@ -156,7 +156,7 @@
         return Snapshot(snapshot["known"], snapshot["memory"])
 
     def close(self) -> None:
-        """The process is there no more."""
+        """Delete this process's file and release its lock."""
         with contextlib.suppress(OSError):
             os.unlink(self._process_path)
         os.close(self._lock_fd)
--- a/sloeferry/lifecycle/startup.py
+++ b/sloeferry/lifecycle/startup.py
@@ -1,4 +1,4 @@
-"""The start of a proxy's process: its log, its configuration, its event loop."""
+"""Starts a proxy process: sets up its log, configuration and event loop."""
 
 import asyncio
 import gc
@@ -16,19 +16,19 @@
 
 LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
 GC_THRESHOLDS = (20000, 20, 50)
-UNUSABLE_CONFIG_STATUS = 2
+CONFIG_ERROR_EXIT_STATUS = 2
 
 
 def freeze_startup_objects(dispatcher: Dispatcher) -> None:
-    """What the start made stays; looking through it again takes a stall's time."""
+    """Exempt objects created at startup from garbage collection, since scanning them would stall the event loop."""
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
 
 
 def main(early_reloads: Collection[object] = ()) -> None:
-    """Reads the configuration and serves; exit 2 with one line where it cannot be used.
+    """Read the configuration and serve; exit with status 2 and one line on stderr if the configuration is unusable.
 
-    `early_reloads` holds the SIGHUPs that came before anybody could act on them.
+    `early_reloads` holds the SIGHUPs received before the reload handler was installed.
     """
     try:
         logger.remove()
@@ -39,4 +39,4 @@
             runner.run(serve(config, on_built=freeze_startup_objects, has_pending_reload=lambda: bool(early_reloads)))
     except ConfigError as error:
         print(f"sloeferry: {error}", file=sys.stderr)
-        sys.exit(UNUSABLE_CONFIG_STATUS)
+        sys.exit(CONFIG_ERROR_EXIT_STATUS)
--- a/sloeferry/lifecycle/state.py
+++ b/sloeferry/lifecycle/state.py
@@ -1,9 +1,8 @@
-"""What this process is to its clients and its operators, from one place.  Free of I/O.
+"""Holds the lifecycle state of a process, as the single source for `/ready`, admin calls, SIGTERM and takeover, without I/O.
 
-`/ready`, the operators' calls, SIGTERM and a takeover ask here, so that no two of them disagree.  Four facts make the state:
-whether the first poll of discovery has ended, with a list or without one (READY does not mean that there is a list); whether
-operators drain this process; whether SIGTERM came; how many other processes serve on the same listening socket.  Times in
-float ms, monotonic.
+The state derives from four inputs: whether the first poll of discovery has ended, with or without a list (READY does not imply
+that there is a list); whether operators drain this process; whether SIGTERM was received; and the number of other processes
+that serve on the same listening socket.  Times are float milliseconds of the monotonic clock.
 
 | state | discovery settled | drained by operators | SIGTERM | beside others that serve |
 | --- | --- | --- | --- | --- |
@@ -13,19 +12,20 @@
 | STOPPING | | | yes | no |
 | REPLACED | | | yes | yes |
 
-STARTING goes to READY and never back; a drain begins and ends as operators say; SIGTERM ends all else.
+STARTING changes to READY and never back.  Operators begin and end a drain.  SIGTERM overrides all other states for good.
 """
 
 import enum
 from collections.abc import Callable
 
-# After a drain began: until then new connections may come, and clients go on using what they have; each response tells them
-# to close it, which loses nothing.  From then on idle connections are closed, each of which may cross a request.
+# Time from the start of a drain until idle connections are closed.  Before that, clients may open new connections and use open
+# ones, and each response asks them to close the connection, which loses no request.  Closing an idle connection may race with a
+# request on it.
 CLOSE_IDLE_AFTER_MS = 1200.0
 
 
 class LifecycleState(enum.StrEnum):
-    """The state, as operators are told."""
+    """The state as reported to operators."""
 
     STARTING = "starting"
     READY = "serving"
@@ -36,38 +36,38 @@
 
 
 class Lifecycle:
-    """The facts, and what follows from them."""
+    """Holds the inputs of the state and derives the state and its consequences."""
 
     def __init__(self):
         self.is_discovery_settled = False
-        self.is_stopping = False  # SIGTERM came
+        self.is_stopping = False  # SIGTERM was received
         self._draining_since: float | None = None
         self.other_ready_processes = 0  # of this proxy, on the same listening socket
-        self.change_callbacks: list[Callable[[], None]] = []  # called at once when any of the first three facts changes
+        self.change_callbacks: list[Callable[[], None]] = []  # called at once when any of the first three inputs changes
 
     # Events
 
     def discovery_settled(self) -> None:
-        """The first poll has ended: an endpoint list is at hand, or none is to be had."""
+        """Record the end of the first poll, with an endpoint list or without one."""
         if not self.is_discovery_settled:
             self.is_discovery_settled = True
             self._changed()
 
     def stop(self) -> None:
-        """SIGTERM."""
+        """Record SIGTERM."""
         if not self.is_stopping:
             self.is_stopping = True
             self._changed()
 
     def drain(self, now: float) -> bool:
-        """Operators drain this process; the first call counts.  Whether it is drained now: always."""
+        """Begin a drain, unless one is in progress; return True."""
         if self._draining_since is None:
             self._draining_since = now
             self._changed()
         return True
 
     def resume(self) -> bool:
-        """Operators end the drain.  Whether it is ended: not after SIGTERM, which cannot be taken back."""
+        """End the drain; return False after SIGTERM, which cannot be undone."""
         if self.is_stopping:
             return False
         if self._draining_since is not None:
@@ -76,13 +76,13 @@
         return True
 
     def _changed(self) -> None:
-        for listener in self.change_callbacks:
-            listener()
+        for callback in self.change_callbacks:
+            callback()
 
-    # What follows
+    # Derived state
 
     def state(self, connections: int) -> LifecycleState:
-        """The state; `connections`: how many clients' connections are held."""
+        """Return the state, given the number of open client connections."""
         if self.is_stopping:
             return LifecycleState.REPLACED if self.other_ready_processes else LifecycleState.STOPPING
         if self._draining_since is not None:
@@ -90,25 +90,25 @@
         return LifecycleState.READY if self.is_discovery_settled else LifecycleState.STARTING
 
     def is_ready(self) -> bool:
-        """Whether this process is ready to serve: what operators are told."""
+        """Return whether this process is ready to serve, as reported to operators."""
         return self.is_discovery_settled and not self.closes_connections()
 
     def reports_ready(self) -> bool:
-        """What the platform is told.
+        """Return the readiness reported to the platform.
 
-        It sees one proxy where there are two processes: as long as another serves, one that leaves says yes, and closes the
-        connection that asked.
+        The platform sees several processes as one proxy: a stopping or draining process reports ready while another one serves,
+        and closes the connection of the ready check.
         """
         return self.is_ready() or self.closes_connections() and self.other_ready_processes > 0
 
     def closes_connections(self) -> bool:
-        """Whether each response closes its connection, and idle ones are closed in time."""
+        """Return whether each response closes its connection, and idle connections are eventually closed."""
         return self.is_stopping or self._draining_since is not None
 
     def accepts_connections(self) -> bool:
-        """Whether new connections are taken in: another process on the same socket has them where there is one."""
+        """Return whether to accept new connections; a process that isn't ready leaves them to others that serve on the socket."""
         return self.is_ready() or not self.other_ready_processes
 
     def may_close_idle(self, now: float) -> bool:
-        """Whether a connection that waits for a request may be closed by now, for a drain."""
+        """Return whether a drain has lasted long enough to close idle connections."""
         return self._draining_since is not None and now >= self._draining_since + CLOSE_IDLE_AFTER_MS
--- a/sloeferry/lifecycle/takeover.py
+++ b/sloeferry/lifecycle/takeover.py
@@ -1,7 +1,8 @@
-"""One process takes over from another: who else is there, what it had learned, and what is made of both.
+"""Coordinates the takeover of a proxy by a new process: peer detection, shared budgets, and the learned state.
 
-The two share a listening socket that the platform holds, and a folder.  Each looks there several times a second who else lives
-and who of them serves.  From then on the budgets of the safety rules are divided between them, without a word more.
+The processes share a listening socket held by the platform, and a folder.  Each process checks the folder several times a second
+for its live peers and those of them that serve.  The budgets of the safety rules are divided by the number of processes; the
+processes exchange no other messages.
 """
 
 import asyncio
@@ -24,26 +25,26 @@
     from sloeferry.network.connection_pool import ConnectionPool
     from sloeferry.network.discovery_client import DiscoveryClient
 
-PEER_CHECK_SECONDS = 0.2  # between two looks
-SNAPSHOT_INTERVAL_SECONDS = 1.0  # between two snapshots
-LIST_TIMEOUT_SECONDS = 3.0  # that a new process waits for the list, where it has an older one
+PEER_CHECK_SECONDS = 0.2  # interval between checks of the folder
+SNAPSHOT_INTERVAL_SECONDS = 1.0  # interval between snapshots
+LIST_TIMEOUT_SECONDS = 3.0  # after which a new process beside a serving one uses its cached list
 
 
 def indexed_names_digest(settings: Settings) -> str:
-    """Of what the settings call by index, in the form of earlier releases: their snapshots are to be found."""
+    """Return a digest of the lists that settings refer to by index, computed as in earlier releases to find their snapshots."""
     lists = settings.zones, settings.machine_kinds, settings.load_reports.fields
     zones, kinds, fields = (",".join(names) for names in lists)
     return hashlib.sha256(repr([zones, kinds, settings.discovery_mode, fields]).encode()).hexdigest()
 
 
 class Takeover:
-    """One process's part in a takeover.  Raises OSError where the folder cannot be used."""
+    """The takeover as one process sees it; raises OSError if the folder cannot be used."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: InstanceConfig, folder: str):
         self._loop = loop
         self.store = SnapshotStore(folder, config.name, indexed_names_digest(config.settings))
         self._budget_window_seconds = config.settings.obligations.warm_up_window_ms / 1000
-        self._alive = 0  # other processes
+        self._peer_count = 0  # live peers
         self.snapshot: Snapshot | None = None
         try:
             self.snapshot = self.store.read(environment.monotonic_ms())
@@ -58,7 +59,7 @@
         clients: "ClientServer",
         pool: "ConnectionPool",
     ) -> None:
-        """All is built, nothing has come yet: what the earlier process had learned is taken over."""
+        """Connect the built parts and restore the learned state of the earlier process, before any event is handled."""
         self._dispatcher = dispatcher
         self._lifecycle = lifecycle
         self._discovery = discovery
@@ -69,7 +70,7 @@
             try:
                 restore_snapshot(dispatcher.policy, self.snapshot.learned)
                 logger.info("snapshot restored")
-            except Exception as error:  # it is a help, and no more
+            except Exception as error:  # a snapshot is optional
                 logger.warning("snapshot not restored: error={!r}", error)
         self.snapshot = None
         self.update_peers()
@@ -77,30 +78,30 @@
             self._loop.call_later(LIST_TIMEOUT_SECONDS, discovery.list_is_late)
 
     def update_peers(self) -> None:
-        """Who is there now, and what that changes."""
+        """Publish this process's readiness, count its peers, and apply changes."""
         try:
             self.store.publish_ready(self._lifecycle.is_ready())
             alive, ready = self.store.find_peers()
         except OSError as error:
             warn("takeover folder failed", "error={!r}", error)
             return
-        if alive != self._alive:
+        if alive != self._peer_count:
             logger.info("other processes of this proxy: alive={} ready={}", alive, ready)
-            self._divide(alive)
+            self._divide_budgets(alive)
         self._lifecycle.other_ready_processes = ready
         self._clients.listener.update()
 
-    def _divide(self, alive: int) -> None:
-        if alive > self._alive:
+    def _divide_budgets(self, alive: int) -> None:
+        if alive > self._peer_count:
             self._dispatcher.set_process_count(alive + 1)
-        else:  # what the one that has gone sent last still counts for its budgets
-            self._loop.call_later(self._budget_window_seconds, lambda: self._dispatcher.set_process_count(self._alive + 1))
-        self._alive = alive
+        else:  # the last sends of the ended process still count in the budget window
+            self._loop.call_later(self._budget_window_seconds, lambda: self._dispatcher.set_process_count(self._peer_count + 1))
+        self._peer_count = alive
         for budget in self._budgets:
             budget.divide(alive + 1)
 
     async def run(self) -> None:
-        """Looks, and writes snapshots, for as long as the process runs."""
+        """Check for peers and write snapshots at intervals for as long as the process runs."""
         written_at = 0.0
         while True:
             await asyncio.sleep(PEER_CHECK_SECONDS)
@@ -112,7 +113,7 @@
                 self._write_snapshot(now * 1000)
 
     def _write_snapshot(self, now: float) -> None:
-        """A line when that fails, and one when it no longer does, none for each try between."""
+        """Write a snapshot; log the first failure and the next success, not each failure."""
         has_failed = self.store.last_error is not None
         learned = take_snapshot(self._dispatcher.policy)
         is_written = self.store.write(now, self._discovery.document(), learned)
@@ -122,5 +123,5 @@
             logger.info("snapshot written again")
 
     def close(self) -> None:
-        """The process ends."""
+        """Remove this process from the shared folder."""
         self.store.close()
--- a/tests/dispatch/test_stale_list.py
+++ b/tests/dispatch/test_stale_list.py
@@ -52,7 +52,7 @@
             await harness.request("once")
         harness.record(f"asked {harness.backends.requests_received}, refused {was_refused(harness)}")
 
-    play_story(story, "stale_dial", InstrumentedHarness({"b": response()}))
+    play_story(story, "stale_while_connecting", InstrumentedHarness({"b": response()}))
 
 
 def stale_before_first_byte(body: str = "") -> Story:
@@ -106,7 +106,7 @@
             await wait_until(lambda: ended.called)
         harness.record(f"asked {harness.backends.requests_received}")
 
-    play_story(story, "stale_probe", InstrumentedHarness({"b": response()}, probing=True))
+    play_story(story, "stale_health_check", InstrumentedHarness({"b": response()}, probing=True))
 
 
 def test_list_becomes_stale_before_hedged_request(play_story: PlayStory):
--- a/tests/lifecycle/test_drain.py
+++ b/tests/lifecycle/test_drain.py
@@ -1,4 +1,4 @@
-"""A proxy that operators have drained."""
+"""Drain and resume by admin calls."""
 
 from unittest import mock
 
@@ -7,7 +7,7 @@
 
 
 def test_drain_and_resume(play_story: PlayStory):
-    """Told to drain, the proxy is not ready, serves who comes and closes all connections.  Resumed, it keeps them again."""
+    """A draining proxy is not ready, still serves requests and closes all connections; after resume it keeps connections open."""
 
     async def story(harness: ProxyHarness) -> None:
         idle, used = await harness.connect(), await harness.connect()
@@ -27,4 +27,4 @@
         for _ in range(2):
             await harness.request("safe", connection=kept)
 
-    play_story(story, "desk_drain", ProxyHarness({"b": response()}, has_admin=True))
+    play_story(story, "drain_and_resume", ProxyHarness({"b": response()}, has_admin=True))
--- a/tests/lifecycle/test_reload.py
+++ b/tests/lifecycle/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read again while the proxy serves."""
+"""Reload of the configuration on SIGHUP while the proxy serves."""
 
 import asyncio
 import json
@@ -14,14 +14,14 @@
 from tests.support.instrumented_harness import InstrumentedHarness, wait_until
 from tests.support.proxy_harness import PlayStory, ProxyHarness
 
-Reload = Callable[[Any], Awaitable[None]]  # of a text or a document
+Reload = Callable[[Any], Awaitable[None]]  # takes the file's text, or a document to write as JSON
 
-RELOAD_SECONDS = 0.05  # for the proxy to have read the file
+RELOAD_SECONDS = 0.05  # time for the proxy to read the file
 
 
 @pytest.fixture
 def config_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """The file that SIGHUP has a proxy in this process read."""
+    """Return the file that a proxy in this process reads on SIGHUP."""
     file = tmp_path / "config.json"
     monkeypatch.setenv("BALANCER_CONFIG", str(file))
     return file
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def reload(config_file: Path) -> Reload:
-    """Has the proxy read that text, or that document."""
+    """Return a function that writes a text or document to the file and has the proxy read it."""
 
     async def reload(content: Any) -> None:
         config_file.write_text(content if isinstance(content, str) else json.dumps(content))
@@ -39,9 +39,9 @@
     return reload
 
 
-def test_discovery_moves(play_story: PlayStory, reload: Reload, monkeypatch: pytest.MonkeyPatch):
-    """SIGHUP, again and again.  A file that cannot be used changes nothing; the former discovery tells until the new one stands,
-    whose list is complete; the file goes before the environment."""
+def test_reload_changes_discovery_address(play_story: PlayStory, reload: Reload, monkeypatch: pytest.MonkeyPatch):
+    """An unusable file changes nothing.  The previous discovery server is used until a watch of the new one is open, whose list
+    is complete; the file takes precedence over the environment."""
 
     async def story(harness: ProxyHarness) -> None:
         discovery = harness.discovery
@@ -53,9 +53,9 @@
         discovery.list_endpoints(("b", "leaving"), "c")
         await reload(dict(harness.config, discovery="127.0.0.1:1"))
         await harness.request("safe")
-        former_watches = discovery.watches
+        previous_watches = discovery.watches
         discovery.watches = []
-        harness.backends.scripts = {"d": None}  # all that the new discovery lists
+        harness.backends.scripts = {"d": None}  # the only backend that the new discovery server lists
         new_port = await harness.listen(discovery.serve)
         for _ in range(3):
             await reload(dict(harness.config, discovery=f"127.0.0.1:{new_port}"))
@@ -63,14 +63,14 @@
         await asyncio.sleep(RELOAD_SECONDS)
         await harness.request("safe")
         harness.lines.extend(discovery.polls)
-        harness.backends.writers.extend(former_watches)
+        harness.backends.writers.extend(previous_watches)
 
-    play_story(story, "sockets_reload", ProxyHarness({"b": response(), "c": response(), "d": response()}))
+    play_story(story, "reload_discovery_address", ProxyHarness({"b": response(), "c": response(), "d": response()}))
 
 
 def test_reload_between_head_and_last_byte(play_story: PlayStory, config_file: Path):
-    """SIGHUP between a request's head and its last byte makes its class a deduplicated one, or drops it.  The request came
-    without a key, and is rejected unsent."""
+    """SIGHUP between a request's head and its last byte makes its class a deduplicated one, or removes it.  The request has no
+    idempotency key, and is rejected without an attempt."""
 
     async def story(harness: InstrumentedHarness) -> None:
         heads = [
@@ -93,11 +93,11 @@
             await client.record_received(28)
             client.close()
 
-    play_story(story, "crossing_renewed", InstrumentedHarness({"b": response()}))
+    play_story(story, "reload_before_last_byte", InstrumentedHarness({"b": response()}))
 
 
-def test_settings_change_while_serving(play_story: PlayStory, reload: Reload):
-    """SIGHUP adds a request class and drops another.  A request that is open under it is answered, one that comes is rejected."""
+def test_reload_adds_and_removes_request_classes(play_story: PlayStory, reload: Reload):
+    """SIGHUP adds a request class and removes another: an open request of the latter is answered, a new one is rejected."""
     release = asyncio.Event()
 
     async def story(harness: ProxyHarness) -> None:
@@ -116,4 +116,4 @@
         release.set()
         await open_request
 
-    play_story(story, "settings_while_serving", ProxyHarness({"b": lambda number: release if number == 1 else response()}))
+    play_story(story, "reload_request_classes", ProxyHarness({"b": lambda number: release if number == 1 else response()}))
--- a/tests/lifecycle/test_shutdown.py
+++ b/tests/lifecycle/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: SIGTERM, and what else comes in the same moment."""
+"""Graceful shutdown on SIGTERM, also while other events occur."""
 
 import asyncio
 import contextlib
@@ -18,7 +18,7 @@
 
 
 def test_graceful_shutdown(play_story: PlayStory):
-    """SIGTERM: what is in flight is answered, what still comes too, then the process ends by itself."""
+    """After SIGTERM, requests in flight and new requests are answered, and then the process exits."""
     release = asyncio.Event()
 
     async def story(harness: ProxyHarness) -> None:
@@ -36,11 +36,11 @@
         await harness.proxy_task
         harness.record("the program has ended")
 
-    play_story(story, "sockets_leaving", ProxyHarness({"b": lambda number: release if number == 2 else response()}))
+    play_story(story, "graceful_shutdown", ProxyHarness({"b": lambda number: release if number == 2 else response()}))
 
 
-def test_sigterm_with_all_descriptors_taken(play_story: PlayStory):
-    """SIGTERM while all descriptors are taken and one more client has connected and asked.  It is admitted, not reset."""
+def test_sigterm_with_exhausted_descriptors(play_story: PlayStory):
+    """A client that connected and sent a request while all descriptors were in use is served after SIGTERM, not reset."""
     release = asyncio.Event()
 
     async def story(harness: InstrumentedHarness) -> None:
@@ -56,7 +56,7 @@
             os.kill(os.getpid(), signal.SIGTERM)
             client_listener = harness.clients.listener
             with mock.patch.object(client_listener, "accept", wraps=client_listener.accept) as accept:
-                # The last time that it admits anybody.
+                # The last accept call before the listener is closed.
                 await wait_until(lambda: mock.call(listener.BACKLOG) in accept.call_args_list)
                 release.set()
                 await busy
@@ -66,12 +66,12 @@
         client.close()
         harness.record("the program has ended")
 
-    play_story(story, "crossing_sigterm_full", QuietBackendsHarness({"b": lambda number: release}, descriptors=64))
+    play_story(story, "sigterm_descriptors_exhausted", QuietBackendsHarness({"b": lambda number: release}, descriptors=64))
 
 
-def test_sigterm_and_a_pipelined_request(play_story: PlayStory):
-    """SIGTERM while a request is in flight and the next one of its connection has been read.  That is taken and answered, and the
-    connection ends behind it."""
+def test_sigterm_with_pipelined_request(play_story: PlayStory):
+    """On SIGTERM a request is in flight and the next one of the same connection has been read.  The second is also answered, and
+    the connection is closed after it."""
     release = asyncio.Event()
 
     async def story(harness: InstrumentedHarness) -> None:
@@ -86,19 +86,21 @@
         client.close()
         harness.record(f"client gets: {re.findall(rb'HTTP.*|Connection.*', received)}")
 
-    play_story(story, "crossing_ahead_sigterm", InstrumentedHarness({"b": lambda number: release if number == 1 else response()}))
+    play_story(
+        story, "sigterm_pipelined_request", InstrumentedHarness({"b": lambda number: release if number == 1 else response()})
+    )
 
 
 async def send_all_but_last_byte(harness: InstrumentedHarness, byte_count: int) -> RawClient:
-    """A request that the proxy has begun to read."""
+    """Send a request except for its last byte, and return once the proxy has begun to read it."""
     client = await harness.send_raw(harness.request_head(f"c{byte_count}", body_bytes=byte_count) + b"x" * (byte_count - 1))
     await client.until(lambda connection: connection.stream.has_begun)
     return client
 
 
 def test_last_byte_long_after_sigterm(play_story: PlayStory):
-    """A request's last byte comes when SIGKILL may come before its time is over.  It has its response by then, also where its
-    body is streamed."""
+    """A request's last byte arrives so late after SIGTERM that SIGKILL may precede its deadline.  The response is sent before
+    SIGKILL may come, also for a streamed body."""
 
     async def story(harness: InstrumentedHarness) -> None:
         dispatcher = harness.dispatcher
@@ -118,12 +120,12 @@
         times_left_ms += [call.args[1] for call in body_received.call_args_list]
         harness.record(f"in half of their time: {[time_left <= harness.deadline_ms / 2 for time_left in times_left_ms]}")
 
-    play_story(story, "crossing_killed", QuietBackendsHarness({"b": response()}))
+    play_story(story, "sigterm_late_last_byte", QuietBackendsHarness({"b": response()}))
 
 
-def test_signals_together_while_shedding(play_story: PlayStory, tmp_path: Path, monkeypatch: pytest.MonkeyPatch):
-    """SIGTERM twice and SIGHUP in one moment, while load is shed and a request is queued unread.  It is answered, and the process
-    ends."""
+def test_simultaneous_signals_while_shedding(play_story: PlayStory, tmp_path: Path, monkeypatch: pytest.MonkeyPatch):
+    """SIGTERM twice and SIGHUP arrive at the same time, while load is shed and a request is queued unread.  The request is
+    answered, and the process exits."""
 
     async def story(harness: InstrumentedHarness) -> None:
         config_file = tmp_path / "config.json"
@@ -139,4 +141,4 @@
         client.close()
         harness.record("the program has ended")
 
-    play_story(story, "crossing_signals", InstrumentedHarness({"b": response()}))
+    play_story(story, "sigterm_and_sighup", InstrumentedHarness({"b": response()}))
--- a/tests/lifecycle/test_snapshot.py
+++ b/tests/lifecycle/test_snapshot.py
@@ -1,4 +1,4 @@
-"""What a policy has learned, from one process to the next."""
+"""Transfer of a policy's learned state from one process to the next."""
 
 import dataclasses
 import json
@@ -19,9 +19,9 @@
 from tests.support.golden import GoldenFiles
 from tests.support.policy_recorder import PolicyRecorder
 
-STORED = Path(__file__).resolve().parent / "stored"  # what an earlier release wrote, and its figures as it had them
-# Of what it had learned, what a process without a past has otherwise.
-FIGURES_THAT_DIFFER = (
+STORED = Path(__file__).resolve().parent / "stored"  # a snapshot of an earlier release, and that release's values
+# Learned values that differ from those of a process without a snapshot.
+LEARNED_NAMES = (
     "typical_ms",
     "lost",
     "slowdown",
@@ -37,37 +37,37 @@
 )
 
 
-def named_recorder() -> PolicyRecorder:
-    """A policy whose request classes have names, with three endpoints."""
+def recorder_with_endpoints() -> PolicyRecorder:
+    """Return the recorder of a policy with three endpoints."""
     recorder = PolicyRecorder()
     recorder.list_endpoints("a", "b", "c")
     return recorder
 
 
 def name_classes(policy: Policy) -> None:
-    """Gives each request class a name: what was learned goes by names."""
+    """Give each request class a name, since learned state is keyed by name."""
     named = [dataclasses.replace(each, name=f"s{index}") for index, each in enumerate(policy.settings.request_classes)]
     policy.settings = dataclasses.replace(policy.settings, request_classes=tuple(named))
 
 
-def figures(policy: Policy) -> list[float]:
-    """Typical latency of each class (ms), slowdown of each endpoint."""
+def summary(policy: Policy) -> list[float]:
+    """Return the typical latency (ms) of each class and the slowdown of each endpoint."""
     latencies = [round(each.typical_latency_ms(), 3) for each in policy.classes.all]
     return latencies + [round(each.slowdown, 3) for each in policy.table.ready]
 
 
-def test_take_and_restore(golden: GoldenFiles):
-    """What was learned is taken over; a snapshot that is not as it should be changes nothing."""
-    former, fresh = named_recorder(), named_recorder()
+def test_snapshot_restores_learned_state(golden: GoldenFiles):
+    """The learned state is restored from a snapshot; a malformed snapshot changes nothing."""
+    previous, fresh = recorder_with_endpoints(), recorder_with_endpoints()
     for request_id in range(60):
-        former.request(request_id)
-        endpoint_id = next(line for line in former.lines if f"post {request_id}/0" in line).split()[-1]
-        former.advance_by(20.0)
-        former.end_attempt(request_id, 0, AttemptOutcome.SERVED, 0, took_ms=200.0 if endpoint_id == "a" else 40.0)
-    name_classes(former.policy)
+        previous.request(request_id)
+        endpoint_id = next(line for line in previous.lines if f"post {request_id}/0" in line).split()[-1]
+        previous.advance_by(20.0)
+        previous.end_attempt(request_id, 0, AttemptOutcome.SERVED, 0, took_ms=200.0 if endpoint_id == "a" else 40.0)
+    name_classes(previous.policy)
     name_classes(fresh.policy)
-    snapshot = json.loads(json.dumps(take_snapshot(former.policy), allow_nan=False))
-    before = figures(fresh.policy)
+    snapshot = json.loads(json.dumps(take_snapshot(previous.policy), allow_nan=False))
+    before = summary(fresh.policy)
     for damaged in (
         dict(snapshot, curve=[]),
         dict(snapshot, gap="x"),
@@ -77,16 +77,19 @@
     ):
         with pytest.raises((ValueError, KeyError, TypeError)):
             restore_snapshot(fresh.policy, damaged)
-        assert figures(fresh.policy) == before
+        assert summary(fresh.policy) == before
     restore_snapshot(fresh.policy, snapshot)
-    is_same = figures(former.policy) == figures(fresh.policy)
-    lines = [f"before {before}", f"learned {figures(former.policy)}, taken over the same: {is_same}"]
-    golden.check(lines, "handover_memory")
+    is_same = summary(previous.policy) == summary(fresh.policy)
+    lines = [f"before {before}", f"learned {summary(previous.policy)}, taken over the same: {is_same}"]
+    golden.check(lines, "snapshot_restored")
 
 
-def learned_figures(policy: Policy) -> Mapping[str, Any]:
-    """The figures that the earlier release kept beside its snapshot, as this policy has them."""
-    classes = {promised.name: each for promised, each in zip(policy.settings.request_classes, policy.classes.all, strict=True)}
+def learned_state(policy: Policy) -> Mapping[str, Any]:
+    """Return this policy's values of everything that the earlier release stored beside its snapshot."""
+    classes = {
+        class_settings.name: each
+        for class_settings, each in zip(policy.settings.request_classes, policy.classes.all, strict=True)
+    }
     endpoints = policy.table.by_id
     outliers, latency = policy.outliers, policy.latency
     return {
@@ -108,8 +111,8 @@
 
 
 def test_snapshot_of_an_earlier_release(tmp_path: Path):
-    """A proxy is upgraded: the process before was commit 87206be and left a snapshot.  The new process finds it under the same
-    name, reads it, and takes over all that was learned: latency of classes, slowdown of endpoints, every figure."""
+    """An upgraded proxy finds and reads the snapshot of commit 87206be, and restores every learned value: the latency of classes,
+    the slowdown of endpoints, and all others."""
     expected = json.loads((STORED / "figures-87206be.json").read_text())
     settings = build_settings(expected["settings"])
     with mock.patch("sloeferry.lifecycle.snapshot_store.boot_id", lambda: expected["boot"]):
@@ -124,9 +127,9 @@
     recorder.now = expected["now_ms"]
     endpoints = expected["endpoints"].items()
     recorder.list_endpoints(*((name, each["zone"], EndpointState.READY, each["started_at"]) for name, each in endpoints))
-    fresh = learned_figures(recorder.policy)
-    assert all(fresh[name] != expected[name] for name in FIGURES_THAT_DIFFER)
+    fresh = learned_state(recorder.policy)
+    assert all(fresh[name] != expected[name] for name in LEARNED_NAMES)
     restore_snapshot(recorder.policy, snapshot.learned)
-    restored = learned_figures(recorder.policy)
+    restored = learned_state(recorder.policy)
     assert restored == {name: expected[name] for name in restored}
     assert json.loads(json.dumps(take_snapshot(recorder.policy))) == snapshot.learned
--- a/tests/lifecycle/test_snapshot_store.py
+++ b/tests/lifecycle/test_snapshot_store.py
@@ -1,4 +1,4 @@
-"""The folder that a proxy's processes share: who lives, and snapshots that are complete or none."""
+"""Peer detection and atomic snapshots in the folder that a proxy's processes share."""
 
 import errno
 import json
@@ -12,21 +12,21 @@
 
 
 def read(store: SnapshotStore, now: float) -> tuple[Any, ...] | str:
-    """The list and what was learned, or why there is none."""
+    """Return the stored list and learned state, or the error."""
     try:
         return tuple(store.read(now))
     except SnapshotError as error:
         return str(error)
 
 
-def test_neighbours_and_snapshots(golden: GoldenFiles, tmp_path: Path):
-    """A process that lives is seen by its lock, however it ends.  A snapshot is complete, of this proxy and of now, or none."""
+def test_peers_and_snapshots(golden: GoldenFiles, tmp_path: Path):
+    """A live process is detected by its lock, however it ends; damaged, foreign and outdated snapshots are rejected."""
     lines: list[str] = []
     folder = str(tmp_path)
     first, second, other = (SnapshotStore(folder, name, "s") for name in ("n", "n", "m"))
     second.publish_ready(True)
     lines.append(f"others: {tuple(first.find_peers())}, {tuple(second.find_peers())}, {tuple(other.find_peers())}")
-    os.close(second._lock_fd)  # it was killed: nothing is tidied up
+    os.close(second._lock_fd)  # as if killed: its file is not deleted
     lines.append(f"after one was killed: {tuple(first.find_peers())}")
     lines.append(f"nothing yet: {read(first, 0.0)}")
     first.write(100.0, {"revision": 1}, {"x": [1.5]})
@@ -48,11 +48,11 @@
     lines.append(f"no number: {third.write(1.0, {}, {'x': float('nan')})}")
     for store in (first, third, other):
         store.close()
-    golden.check(lines, "handover_folder")
+    golden.check(lines, "peers_and_snapshots")
 
 
-def test_write_that_fails(golden: GoldenFiles, tmp_path: Path):
-    """ENOSPC or EIO at any step of a write, or its end after any byte: what stands is the old snapshot or the new one."""
+def test_failed_write_keeps_a_complete_snapshot(golden: GoldenFiles, tmp_path: Path):
+    """After ENOSPC or EIO at any step of a write the old snapshot remains; a file cut after any byte is rejected."""
     lines: list[str] = []
     store = SnapshotStore(str(tmp_path), "n", "s")
     store.write(100.0, {"revision": 1}, {})
@@ -64,11 +64,11 @@
                 is_written = store.write(200.0, {"revision": 2}, {})
             lines.append(f"{errno.errorcode[number]} at {step}: written {is_written}, stands {read(store, 300.0)}")
     results: set[str] = set()
-    for length in range(len(complete)):  # a machine that went down in the middle of a write
+    for length in range(len(complete)):  # as if the machine crashed during the write
         file.write_bytes(complete[:length])
         results.add(json.dumps(read(store, 300.0)))
     lines.append(f"cut after each byte: {results}")
     left = sorted(name.partition("-")[0] for name in os.listdir(store.path))
     lines.append(f"in the folder: {left}")
     store.close()
-    golden.check(lines, "system_snapshot")
+    golden.check(lines, "snapshot_write_failures")
--- a/tests/lifecycle/test_state.py
+++ b/tests/lifecycle/test_state.py
@@ -1,4 +1,4 @@
-"""The states of a proxy's life, and what is said of each."""
+"""Lifecycle states of a proxy process, and what is reported in each."""
 
 from collections.abc import Callable, Mapping
 
@@ -14,7 +14,7 @@
 
 
 def set_other_ready_processes(count: int) -> Event:
-    """So many other processes serve."""
+    """Return an event that sets the number of other serving processes."""
 
     def event(lifecycle: Lifecycle) -> None:
         lifecycle.other_ready_processes = count
@@ -30,8 +30,8 @@
     "another serves": set_other_ready_processes(1),
     "it ends": set_other_ready_processes(0),
 }
-# In the words of the golden file; between the events of a course stands ", " or a space.
-COURSES = (
+# Each title lists its events as in the golden file, separated by ", " or a space.
+EVENT_SEQUENCES = (
     ("list", ["list"]),
     ("quiesce resume", ["quiesce", "resume"]),
     ("list quiesce quiesce resume resume", ["list", "quiesce", "quiesce", "resume", "resume"]),
@@ -43,32 +43,32 @@
 )
 
 
-def test_transitions(golden: GoldenFiles):
-    """Whatever comes in whatever order, what is said of it: one line a step."""
+def test_state_transitions(golden: GoldenFiles):
+    """Each event of a sequence leads to the expected state, readiness and accept decision."""
     lines: list[str] = []
-    for course, events in COURSES:
+    for title, events in EVENT_SEQUENCES:
         lifecycle = Lifecycle()
-        lines.append(f"-- {course}")
+        lines.append(f"-- {title}")
         for event in events:
             result = EVENTS[event](lifecycle)
             reply = "" if result is None else "yes " if result else "no "
             ready = f"front {lifecycle.reports_ready()}, operators {lifecycle.is_ready()}"
             state = f"{lifecycle.state(3)}, {lifecycle.state(0)}"
             lines.append(f"{event}: {reply}{state}; {ready}, takes in {lifecycle.accepts_connections()}")
-    golden.check(lines, "duty_states")
+    golden.check(lines, "state_transitions")
 
 
-ANY_EVENTS: Mapping[str, Event] = EVENTS | {"quiesce": lambda lifecycle: lifecycle.drain(DRAINED_AT_MS)}
+TIMED_EVENTS: Mapping[str, Event] = EVENTS | {"quiesce": lambda lifecycle: lifecycle.drain(DRAINED_AT_MS)}
 
 
 @settings(max_examples=200, deadline=None)
-@given(st.lists(st.sampled_from(sorted(ANY_EVENTS)), max_size=12))
-def test_never_at_odds(events: list[str]):
-    """No order of events leaves the state at odds with itself."""
+@given(st.lists(st.sampled_from(sorted(TIMED_EVENTS)), max_size=12))
+def test_any_event_order_is_consistent(events: list[str]):
+    """After any order of events the state, readiness, accept decision and idle close are consistent."""
     lifecycle = Lifecycle()
     for event in events:
-        ANY_EVENTS[event](lifecycle)
+        TIMED_EVENTS[event](lifecycle)
         assert lifecycle.is_ready() == (lifecycle.state(1) == "serving")
         assert not (lifecycle.is_ready() and lifecycle.closes_connections())
-        assert lifecycle.accepts_connections() or lifecycle.other_ready_processes, "nobody accepts connections"
+        assert lifecycle.accepts_connections() or lifecycle.other_ready_processes, "no process accepts connections"
         assert not lifecycle.may_close_idle(DRAINED_AT_MS + CLOSE_IDLE_AFTER_MS - 1)
--- a/tests/lifecycle/test_takeover.py
+++ b/tests/lifecycle/test_takeover.py
@@ -1,4 +1,4 @@
-"""One process of a proxy takes over from another."""
+"""Takeover of a proxy by a new process."""
 
 import asyncio
 import json
@@ -14,11 +14,11 @@
 from tests.support.policy_recorder import PolicyRecorder
 from tests.support.proxy_harness import READY_REQUEST, ProxyHarness, run_story
 
-LOOK_SECONDS = 0.02  # between two looks at a process
+POLL_SECONDS = 0.02  # interval between health checks of a process
 
 
 def test_slow_start_budget_is_divided(golden: GoldenFiles):
-    """Rule 4 while two processes are one proxy: each keeps to half of what an endpoint that warms up gets."""
+    """While two processes form one proxy, each sends an endpoint in warm-up at most half of its budget (safety rule 4)."""
     lines: list[str] = []
     for process_count in (1, 2):
         recorder = PolicyRecorder(
@@ -37,11 +37,11 @@
             endpoint.recent_sends.append((1000.0, 50.0))
             sent += 1
         lines.append(f"{process_count}: {sent} at once")
-    golden.check(lines, "handover_divided")
+    golden.check(lines, "takeover_slow_start_budget")
 
 
 class ProxyProcesses:
-    """Processes of one proxy on one listening socket that they inherit, each with an admin address of its own."""
+    """Processes of one proxy that inherit one listening socket, each with its own admin address."""
 
     def __init__(self, harness: ProxyHarness, listener: socket.socket, folder: Path):
         self._harness = harness
@@ -50,7 +50,7 @@
         self._admin_ports: list[int] = []
 
     async def start(self) -> tuple[int, asyncio.subprocess.Process]:
-        """The next process, once it is ready; its index, and itself."""
+        """Start another process and wait until it is ready; return its index and the process."""
         index = len(self._admin_ports)
         self._admin_ports.append(await self._harness.free_port())
         listen = f"127.0.0.1:{self._listener.getsockname()[1]}"
@@ -69,7 +69,7 @@
         return index, process
 
     async def ask(self, index: int, call: str = "GET /admin/health") -> str:
-        """What an admin call to that process returns; empty where nobody listens."""
+        """Return the response to an admin call to that process, or "" if the connection is refused."""
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self._admin_ports[index])
         except OSError:
@@ -80,14 +80,14 @@
         return received
 
     async def until(self, index: int, condition: Callable[[str], bool]) -> str:
-        """The health of that process once it is as the condition says."""
+        """Wait until the health of that process meets the condition, and return it."""
         while not condition(health := await self.ask(index)):
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
         return health
 
 
-async def play_takeover(harness: ProxyHarness, processes: ProxyProcesses) -> None:
-    """The second process takes over from the first, and a third one is killed."""
+async def run_takeover(harness: ProxyHarness, processes: ProxyProcesses) -> None:
+    """Run a takeover of the first process by a second one, then start a third one and kill it."""
     first, first_process = await processes.start()
     await harness.request("safe")
     kept = await harness.connect()
@@ -95,7 +95,7 @@
     second, second_process = await processes.start()
     harness.record("the second is ready")
     first_process.terminate()
-    await processes.until(first, lambda health: "200 OK" not in health)  # a signal and a request cross on their ways
+    await processes.until(first, lambda health: "200 OK" not in health)  # otherwise the signal and the next request race
     await harness.request("safe", connection=kept)
     harness.record(f"the kept connection ends: {await kept[0].read() == b''}")
     await harness.send(READY_REQUEST)
@@ -109,23 +109,23 @@
     health = await processes.until(second, lambda health: '"quie' in health)
     harness.record(f"the other is killed: {'503' in health}")
     while "503" not in await harness.send(READY_REQUEST, is_recorded=False):
-        await asyncio.sleep(LOOK_SECONDS)
+        await asyncio.sleep(POLL_SECONDS)
     harness.record("it takes clients in again, and says no")
     second_process.terminate()
     harness.record(f"the second ends: {await second_process.wait()}")
 
 
-def test_two_processes(golden: GoldenFiles, tmp_path: Path):
-    """The second process takes over on the inherited socket while the first serves.  Each request is answered, the first one ends
-    by itself, and a third that never gets ready changes nothing."""
+def test_second_process_takes_over(golden: GoldenFiles, tmp_path: Path):
+    """A second process takes over on the inherited socket while the first serves.  Each request is answered, the first process
+    exits on SIGTERM, and a third one that is killed changes nothing."""
 
     async def story(harness: ProxyHarness) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             harness.port = listener.getsockname()[1]
-            await play_takeover(harness, ProxyProcesses(harness, listener, tmp_path))
+            await run_takeover(harness, ProxyProcesses(harness, listener, tmp_path))
 
     harness = ProxyHarness({"b": response()})
     run_story(story, harness)
-    # Which of its connections a backend has been asked on depends on which process asks.
+    # The connection number at the backend depends on the process that sends the request.
     lines = [re.sub(r"backend 1, connection \d+", "backend", line) for line in harness.lines]
-    golden.check(lines, "handover_two")
+    golden.check(lines, "takeover_two_processes")
