--- a/sloeferry/fault_testing/planted_faults.py
+++ b/sloeferry/fault_testing/planted_faults.py
@@ -57,7 +57,7 @@
         "zombies",
         "3",
         "after it stood still, what discovery wrote is dropped with the watch",
-        (Edit("network/discovery_watch.py", "                if is_quiet(sock):\n", "                if True:\n"),),
+        (Edit("network/discovery_watch.py", "                if is_open_and_idle(sock):\n", "                if True:\n"),),
     ),
     "late-taken-for-new": PlantedFault(
         "zombies",
@@ -164,7 +164,7 @@
         "one in forty responses is never given",
         (
             Edit(
-                "network/request_carrier.py",
+                "network/request_runner.py",
                 "            elif isinstance(command, Complete):\n",
                 "            elif isinstance(command, Complete):\n"
                 "                await asyncio.sleep(3 * (context.request_id % 40 == 7))\n",
--- a/sloeferry/lifecycle/proxy_process.py
+++ b/sloeferry/lifecycle/proxy_process.py
@@ -19,7 +19,7 @@
 from sloeferry.lifecycle.takeover import Takeover
 from sloeferry.network.admin_server import AdminServer
 from sloeferry.network.attempt import AttemptRunner
-from sloeferry.network.buffers import Buffers
+from sloeferry.network.buffers import BufferPool
 from sloeferry.network.client_server import ClientServer
 from sloeferry.network.connection_pool import ConnectionPool
 from sloeferry.network.deadline_timers import DeadlineTimers
@@ -72,7 +72,7 @@
         # Clients and backends get separate budgets of half the descriptors, since a request needs one of each: a flood of client
         # connections must not use up the backends' descriptors, nor the reverse.
         limit = (config.max_descriptors - RESERVED_DESCRIPTORS) // 2
-        client_budget, backend_budget, buffers = DescriptorBudget(limit), DescriptorBudget(limit), Buffers()
+        client_budget, backend_budget, buffers = DescriptorBudget(limit), DescriptorBudget(limit), BufferPool()
         self.lifecycle = Lifecycle()
         self._takeover = _create_takeover(loop, config, environ)
         if self._takeover and self._takeover.snapshot:
@@ -98,12 +98,12 @@
         )
         self.dispatcher.loop_monitor.catch_up = self.discovery.catch_up
         self.clients = ClientServer(loop, self.dispatcher, config, client_budget, buffers, self.attempts, tasks, self.lifecycle)
-        self.admin = AdminServer(loop, self.lifecycle, buffers, self.clients.figures, self.dispatcher.guard_figures)
+        self.admin = AdminServer(loop, self.lifecycle, buffers, self.clients.connection_counts, self.dispatcher.guard_figures)
         self.reload = ConfigReload(
             config,
             environ,
             (self.dispatcher, self.clients, self.pool, self.discovery),
-            self.discovery.move,
+            self.discovery.update_address,
         )
 
     async def run(
@@ -142,7 +142,7 @@
             self.pool.sweep(),
             self.discovery.run(),
             self.clients.sweeper.sweep(),
-            self.clients.sweeper.look_at_loop_and_requests(),
+            self.clients.sweeper.check_loop_and_requests(),
         ]
         self._tasks = [self._loop.create_task(each) for each in coroutines]
         if features and features.versions.tell:
@@ -159,10 +159,10 @@
         recorder = DecisionRecorder(self.dispatcher, self._config, features.versions.carry)
         self.reload.recorder = self.discovery.recorder = recorder
         if features.versions.bring_up:
-            recorder.allow_bring_up(self.discovery.poll_anew, self.reload)
-        self.admin.calls.update(recorder.admin_calls())
-        if self.discovery.known and self.discovery.revision is not None:
-            recorder.list_applied(self.discovery.revision, self.discovery.known)
+            recorder.allow_bring_up(self.discovery.poll_complete_list, self.reload)
+        self.admin.routes.update(recorder.admin_calls())
+        if self.discovery.known_endpoints and self.discovery.revision is not None:
+            recorder.list_applied(self.discovery.revision, self.discovery.known_endpoints)
 
     async def _shutdown(self) -> None:
         for task in self._tasks:
--- a/sloeferry/lifecycle/takeover.py
+++ b/sloeferry/lifecycle/takeover.py
@@ -75,7 +75,7 @@
         self.snapshot = None
         self.update_peers()
         if lifecycle.other_ready_processes:
-            self._loop.call_later(LIST_TIMEOUT_SECONDS, discovery.list_is_late)
+            self._loop.call_later(LIST_TIMEOUT_SECONDS, discovery.use_cached_list)
 
     def update_peers(self) -> None:
         """Publish this process's readiness, count its peers, and apply changes."""
@@ -98,7 +98,7 @@
             self._loop.call_later(self._budget_window_seconds, lambda: self._dispatcher.set_process_count(self._peer_count + 1))
         self._peer_count = alive
         for budget in self._budgets:
-            budget.divide(alive + 1)
+            budget.divide_among(alive + 1)
 
     async def run(self) -> None:
         """Check for peers and write snapshots at intervals for as long as the process runs."""
@@ -116,7 +116,7 @@
         """Write a snapshot; log the first failure and the next success, not each failure."""
         has_failed = self.store.last_error is not None
         learned = take_snapshot(self._dispatcher.policy)
-        is_written = self.store.write(now, self._discovery.document(), learned)
+        is_written = self.store.write(now, self._discovery.list_document(), learned)
         if not is_written and not has_failed:
             logger.warning("snapshot not written: error={!r}", self.store.last_error)
         elif is_written and has_failed:
--- a/tests/network/test_discovery_client.py
+++ b/tests/network/test_discovery_client.py
@@ -7,7 +7,7 @@
 from sloeferry.config.instance import InstanceConfig
 from sloeferry.config.settings_reader import build_settings
 from sloeferry.lifecycle.state import Lifecycle
-from sloeferry.network.buffers import Buffers
+from sloeferry.network.buffers import BufferPool
 from sloeferry.network.connection_pool import ConnectionPool
 from sloeferry.network.descriptor_budget import DescriptorBudget
 from sloeferry.network.discovery_client import DiscoveryClient
@@ -77,7 +77,7 @@
         b"\x00nonsense\r\n\r\n",
         STREAM_HEAD + b'30\r\n{"revision":7,"complete":false,"members":[]}   \n\r\n',
     ]
-    with mock.patch("sloeferry.network.discovery_watch.SILENT_SECONDS", 0.1):
+    with mock.patch("sloeferry.network.discovery_watch.MAX_SILENCE_SECONDS", 0.1):
         play_story(story, "sockets_rough_discovery", harness)
 
 
@@ -90,15 +90,15 @@
         config = InstanceConfig("n0", ("", 0), ("127.0.0.1", port), 7, 64, 1 << 27, {}, settings)
         budget, lifecycle = DescriptorBudget(9), Lifecycle()
         dispatcher = types.SimpleNamespace(endpoint_events=None, host=None)
-        pool = ConnectionPool(loop, settings, budget, Buffers())
-        client = DiscoveryClient(loop, dispatcher, config, budget, Buffers(), pool, lifecycle)
-        client.known = {"b": ()}
+        pool = ConnectionPool(loop, settings, budget, BufferPool())
+        client = DiscoveryClient(loop, dispatcher, config, budget, BufferPool(), pool, lifecycle)
+        client.known_endpoints = {"b": ()}
         connecting = loop.create_task(DiscoveryWatch(client, 1)._dial())
         await wait_until(lifecycle.reports_ready)
         harness.record(f"ready, connected: {connecting.done()}")
         server = await asyncio.start_server(lambda *_: None, "127.0.0.1", port)
         (await connecting).close()
         server.close()
-        harness.record(f"connected, seats taken: {budget.taken}")
+        harness.record(f"connected, seats taken: {budget.in_use}")
 
     play_story(story, "sockets_discovery_back", ProxyHarness({}, cached_endpoints=["nobody"]))
--- a/tests/network/test_exchange.py
+++ b/tests/network/test_exchange.py
@@ -12,7 +12,7 @@
 from sloeferry.config.settings_reader import build_settings
 from sloeferry.dispatch.attempt_end import AttemptEnd
 from sloeferry.network import sockets
-from sloeferry.network.buffers import Buffers
+from sloeferry.network.buffers import BufferPool
 from sloeferry.network.connection_pool import ConnectionPool
 from sloeferry.network.deadline_timers import DeadlineTimers
 from sloeferry.network.descriptor_budget import DescriptorBudget
@@ -32,7 +32,7 @@
     def __init__(self, harness: ProxyHarness):
         self._loop = asyncio.get_running_loop()
         self._dispatcher = types.SimpleNamespace(record_loop_iteration=lambda: None)
-        self.pool = ConnectionPool(self._loop, build_settings({"schemes.count": 1}), DescriptorBudget(9), Buffers())
+        self.pool = ConnectionPool(self._loop, build_settings({"schemes.count": 1}), DescriptorBudget(9), BufferPool())
         self.pool.set_address("b", ("127.0.0.1", harness.backends.ports["b"]))
 
     def run(self, request: bytes, may_begin: bool = True) -> Awaitable[Any]:
@@ -89,7 +89,7 @@
             kept = len(exchanges.pool.idle.get("b", ()))
             harness.record(f"reached {result.progress}, why {end_number(result.end)}, answer {result.response}, kept {kept}")
             result = await exchanges.run(b"GET /y HTTP/1.1\r\n\r\n")
-            harness.record(f"the next one's: {result.response.body()}, seats {exchanges.pool.budget.taken}")
+            harness.record(f"the next one's: {result.response.body()}, seats {exchanges.pool.budget.in_use}")
 
     play_story(story, "crossing_cancels", InstrumentedHarness({"b": lambda number: None if number == 1 else response("second")}))
 
@@ -150,7 +150,7 @@
     async def story(harness: InstrumentedHarness) -> None:
         client = await harness.send_raw(harness.request_head(body_bytes=200000) + b"x" * 100000)
         connection = await client.until(lambda connection: connection.reader.receiving_body_since)
-        harness.dispatcher.host.cancel_attempt(connection.carrier.context.request_id, 0)
+        harness.dispatcher.host.cancel_attempt(connection.request_runner.context.request_id, 0)
         await wait_until(lambda: not harness.dispatcher.requests)
         harness.record(f"its body is waited for still: {bool(connection.reader.receiving_body_since)}")
         client.close()
@@ -165,11 +165,11 @@
         client = harness.discovery_client
         await harness.request("safe")
         harness.discovery.list_endpoints(("b", "leaving"))
-        await wait_until(lambda: client.known["b"].state is EndpointState.DRAINING)
+        await wait_until(lambda: client.known_endpoints["b"].state is EndpointState.DRAINING)
         await harness.request("safe")
         harness.backends.ports["new"] = harness.backends.ports["b"]
         harness.discovery.list_endpoints("new")
-        await wait_until(lambda: "new" in client.known)
+        await wait_until(lambda: "new" in client.known_endpoints)
         await harness.request("safe")
         harness.record(f"kept connections of {list(harness.pool.idle)}; known {list(harness.dispatcher.policy.table.by_id)}")
 
@@ -201,7 +201,7 @@
             listener.setblocking(False)
             harness.backends.ports["cut"] = listener.getsockname()[1]
             harness.discovery.list_endpoints("cut")
-            await wait_until(lambda: set(harness.discovery_client.known) == {"cut"})
+            await wait_until(lambda: set(harness.discovery_client.known_endpoints) == {"cut"})
             data = harness.request_head(class_name="once", body_bytes=CUT_BODY_BYTES) + b"x" * CUT_BODY_BYTES
             request = asyncio.ensure_future(harness.send(data, is_recorded=False))
             byte_count = await received_behind_cut(listener, request, harness)
@@ -231,7 +231,7 @@
             request = asyncio.ensure_future(harness.request("safe", X_Call_Id="c2"))
             await wait_until(lambda: gate.held.is_set() or backends.requests_received == 2)  # it rests, or it went out
             writer.write(response("again"))
-            await wait_until(lambda: connection.sock.fileno() < 0 or not sockets.is_quiet(connection.sock))
+            await wait_until(lambda: connection.sock.fileno() < 0 or not sockets.is_open_and_idle(connection.sock))
             gate.opened.set()
             await request
             gate = Gate()
