--- a/sloeferry/__main__.py
+++ b/sloeferry/__main__.py
@@ -1,9 +1,9 @@
-"""Starts one proxy: python -m sloeferry."""
+"""Starts one proxy process: `python -m sloeferry`."""
 
 import signal
 
 if __name__ == "__main__":
-    # First of all: until there is a handler, SIGHUP ends the process.
+    # Installed before the slow imports, since SIGHUP without a handler terminates the process.
     early_reloads: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
 
--- a/sloeferry/config/__init__.py
+++ b/sloeferry/config/__init__.py
@@ -1,1 +1,1 @@
-"""What an instance is told: settings, addresses, limits and the operators' feature switches."""
+"""Reads an instance's configuration: settings, addresses, limits and the operators' feature switches."""
--- a/sloeferry/config/errors.py
+++ b/sloeferry/config/errors.py
@@ -1,10 +1,10 @@
-"""What is wrong with a configuration."""
+"""Errors in a configuration."""
 
 
 class ConfigError(Exception):
-    """A configuration that cannot be used.  It prints as one line, `key: reason`.
+    """Raised when a configuration is unusable; its text is one line, `key: reason`.
 
-    `key` is the setting, variable, option or file that is wrong, spelt as the operators spell it.
+    `key` is the faulty setting, variable, option or file, as operators spell it.
     """
 
     def __init__(self, key: str, reason: str):
--- a/sloeferry/config/features.py
+++ b/sloeferry/config/features.py
@@ -1,6 +1,7 @@
-"""The operators' own file: which subsystems are on that the platform knows nothing of.
+"""Reads the operators' file, which enables optional subsystems that aren't part of the platform's configuration.
 
-SLOEFERRY_OPERATOR holds its path; without it none of them is imported.  It has one table for each subsystem.
+The variable SLOEFERRY_OPERATOR holds its path; without it no optional subsystem is imported.  The file has one table for each
+subsystem.
 """
 
 from dataclasses import dataclass, field, fields
@@ -11,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DecisionLogFeatures:
-    """`[versions]`: the log of what was done under which version."""
+    """Switches of the decision log, which records the versions that requests were handled under (table `[versions]`)."""
 
     tell: bool = False  # answer GET /admin/versions and /admin/acted
     bring_up: bool = False  # allow POST /admin/relist and /admin/reread
@@ -20,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Features:
-    """All subsystems' switches."""
+    """The switches of all optional subsystems."""
 
     versions: DecisionLogFeatures = field(default_factory=DecisionLogFeatures)
 
@@ -29,7 +30,7 @@
 
 
 def read_features(path: str) -> Features:
-    """The switches in the operators' file; raises ConfigError."""
+    """Return the switches in the operators' file; raise ConfigError if it is unusable."""
     tables = {}
     for table, entries in read_toml("SLOEFERRY_OPERATOR", path).items():
         if table not in _TABLES or not isinstance(entries, dict):
--- a/sloeferry/config/instance.py
+++ b/sloeferry/config/instance.py
@@ -1,4 +1,4 @@
-"""What one instance is told at its start, and again on SIGHUP: the configuration file and the BALANCER_* variables."""
+"""Reads the configuration file and the BALANCER_* variables, at startup and again on SIGHUP."""
 
 import json
 from collections.abc import Mapping
@@ -15,38 +15,38 @@
 DEFAULT_MAX_DESCRIPTORS, MIN_DESCRIPTORS = 1024, 64
 DEFAULT_MEMORY_MB, MIN_MEMORY_MB, MAX_MEMORY_MB = 192, 16, 1 << 20
 BYTES_PER_MB = 1 << 20
-# Keys of a request class that only some kinds of classes have.
+# Keys that only request classes of some idempotency have.
 IDEMPOTENCY_SPECIFIC_KEYS = {"group", "dedup_window"}
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceConfig:
-    """Where this instance stands, its limits and its settings."""
+    """The configuration of one instance: its addresses, limits and settings."""
 
     name: str
     listen: Address
     discovery: Address
     seed: int
     max_descriptors: int
-    memory_limit_bytes: int  # checked, and compared on a reload; buffers and descriptors bound the memory in use
-    cached_endpoints: Mapping[str, Any]  # the endpoint list as last held, in discovery's form; empty if there is none
+    memory_limit_bytes: int  # only validated and compared on reload; buffer and descriptor limits bound the memory used
+    cached_endpoints: Mapping[str, Any]  # the last known endpoint list in discovery's format, or empty
     settings: Settings
     admin_address: Address | None = None
-    inherited_listener_fd: int | None = None  # the clients' listening socket, where the platform holds it
-    file_keys: frozenset[str] = frozenset()  # every key of the file, to tell a later file that lacks one
+    inherited_listener_fd: int | None = None  # the listening socket for clients, if the platform holds it
+    file_keys: frozenset[str] = frozenset()  # all keys of the file, to detect those missing on reload
 
 
-def read_instance_config(environ: Mapping[str, str], former: InstanceConfig | None = None) -> InstanceConfig:
-    """The configuration of this instance; raises ConfigError.
+def read_instance_config(environ: Mapping[str, str], previous: InstanceConfig | None = None) -> InstanceConfig:
+    """Return the configuration of this instance; raise ConfigError if it is unusable.
 
-    At the start the variables take precedence over the file.  Read again, with the `former` configuration at hand, the file
-    takes precedence: it may have been replaced, the environment cannot have been.  Then it has to have every key that the
-    former one had, so that a file cut short changes nothing.
+    At startup the variables take precedence over the file.  On reload, with the `previous` configuration given, the file takes
+    precedence, since it may have been replaced while the environment cannot change.  It then must have every key of the
+    previous file, so that a truncated file changes nothing.
     """
-    is_reload = former is not None
+    is_reload = previous is not None
     content = _read_file(environ.get("BALANCER_CONFIG"))
     file_keys = _keys_of_file(content)
-    if former and (key := _first_missing_key(former.file_keys, file_keys)):
+    if previous and (key := _first_missing_key(previous.file_keys, file_keys)):
         raise ConfigError(key, "missing, the file before had it")
     for key in ("name", "listen", "discovery", "ops"):
         variable, value = environ.get(f"BALANCER_{key.upper()}"), content.get(key)
@@ -66,7 +66,7 @@
         max_descriptors=max_descriptors,
         memory_limit_bytes=int(memory_mb * BYTES_PER_MB),
         cached_endpoints=content["known"],
-        settings=settings.aligned_with(former.settings) if former else settings,
+        settings=settings.aligned_with(previous.settings) if previous else settings,
         admin_address=parse_address("ops", content["ops"]) if content["ops"] else None,
         inherited_listener_fd=_inherited_listener_fd(environ),
         file_keys=file_keys,
@@ -74,7 +74,7 @@
 
 
 def parse_address(key: str, text: Any) -> Address:
-    """`host:port` as a pair; raises ConfigError for `key`."""
+    """Return `host:port` as a pair; raise ConfigError for `key`."""
     host, _, port = str(text).rpartition(":")
     if not (host and port.isascii() and port.isdecimal() and 0 < int(port) < 65536):
         raise ConfigError(key, f"{text!r} is not an address of the form host:port")
@@ -82,7 +82,7 @@
 
 
 def read_log_options(environ: Mapping[str, str]) -> tuple[str, bool]:
-    """The level of the log, and whether each line is a JSON object; raises ConfigError."""
+    """Return the log level and whether log lines are JSON objects; raise ConfigError if a variable is invalid."""
     level, form = environ.get("SLOEFERRY_LOG") or "INFO", environ.get("SLOEFERRY_LOG_FORMAT") or "text"
     if level not in LOG_LEVELS:
         raise ConfigError("SLOEFERRY_LOG", f"{level!r} is none of {', '.join(LOG_LEVELS)}")
@@ -91,7 +91,7 @@
     return level, form == "json"
 
 
-# The file
+# Contents of the file
 
 
 def _read_file(path: str | None) -> dict[str, Any]:
@@ -105,7 +105,7 @@
     except (ValueError, RecursionError) as error:
         raise ConfigError("BALANCER_CONFIG", f"{path} is not JSON: {error}") from None
     if not isinstance(content, dict):
-        raise ConfigError("BALANCER_CONFIG", f"{path} holds no object")
+        raise ConfigError("BALANCER_CONFIG", f"{path} does not hold a JSON object")
     return content
 
 
@@ -117,7 +117,7 @@
 
 
 def _limits(limits: Mapping[str, Any]) -> tuple[int, float]:
-    """The most descriptors, and the memory in MB."""
+    """Return the maximum number of descriptors and the memory limit in MB."""
     descriptors = limits.get("sockets", DEFAULT_MAX_DESCRIPTORS)
     if isinstance(descriptors, bool) or not isinstance(descriptors, int) or descriptors < MIN_DESCRIPTORS:
         raise ConfigError("limits.sockets", f"{descriptors!r} is not a whole number from {MIN_DESCRIPTORS} up")
@@ -129,7 +129,7 @@
 
 
 def _check_names(settings: Settings) -> None:
-    """Each class and each tenant has a name of its own."""
+    """Raise ConfigError unless each request class and each tenant has a unique name."""
     for key, entries in (("schemes", settings.request_classes), ("tenants", settings.tenants)):
         names = [entry.name for entry in entries]
         for at, name in enumerate(names):
@@ -144,18 +144,18 @@
     if text is None:
         return None
     if not (text.isascii() and text.isdecimal()):
-        raise ConfigError("BALANCER_LISTEN_FD", f"{text!r} is no number of a descriptor")
+        raise ConfigError("BALANCER_LISTEN_FD", f"{text!r} is not the number of a file descriptor")
     return int(text)
 
 
-# What a later file may lack
+# Keys that a reloaded file must have
 
 
 def _keys_of_file(content: Mapping[str, Any]) -> frozenset[str]:
-    """The keys of a file as dotted paths.
+    """Return the keys of a file as dotted paths.
 
-    Of a list's objects those that all of them have (`*`), and for request classes those that all of one idempotency have.
-    What an empty list holds cannot be told: it has no entry that could lack a key.
+    For a list of objects these are the keys common to all objects (`*`), and for request classes also those common to all
+    classes of one idempotency.  An empty list has no such keys.
     """
     keys: set[str] = set()
 
@@ -178,11 +178,11 @@
     return frozenset(keys)
 
 
-def _first_missing_key(former: frozenset[str], keys: frozenset[str]) -> str | None:
-    """The first key that the former file had and this one lacks; None if it has them all."""
-    # Keys of one idempotency may go with its last class; keys of a list's entries with its last entry.
+def _first_missing_key(previous: frozenset[str], keys: frozenset[str]) -> str | None:
+    """Return the first key of the previous file that this one lacks, or None."""
+    # Keys of one idempotency may disappear with its last class, and keys of list entries with the last entry.
     parents = {key.rpartition(".")[0] for key in keys}
-    for key in sorted(former - keys):
+    for key in sorted(previous - keys):
         parent, _, name = key.rpartition(".")
         if "*" not in parent or parent in parents and not (parent.endswith("*") and name in IDEMPOTENCY_SPECIFIC_KEYS):
             return key
--- a/sloeferry/config/settings_reader.py
+++ b/sloeferry/config/settings_reader.py
@@ -1,8 +1,8 @@
-"""Reads the platform's settings: the only module that spells their keys.
+"""Reads the platform's settings; no other module spells their keys.
 
-The platform writes settings as nested JSON (for a proxy) or as lines of `path=value` (for the bench's adapter), times in
-microseconds.  Both are flattened to a map of dotted keys, times in milliseconds; `build_settings` checks that map, fills in
-the defaults and returns `Settings`.
+The platform writes settings as nested JSON (for a proxy) or as lines of `path=value` (for the bench's adapter), with times in
+microseconds.  Both are flattened to a map of dotted keys with times in milliseconds.  `build_settings` validates that map, fills
+in the defaults and returns `Settings`.
 """
 
 import math
@@ -39,7 +39,7 @@
     "must_ask_in",
     "step",
 }
-# What holds where the platform says nothing; a value has to be of its default's type.
+# Values of settings that the platform leaves out; a given value must have the type of its default.
 DEFAULTS = {
     "discovery": "automatic",
     "gain_per": "request",
@@ -72,10 +72,9 @@
     "tariffs.cross_zone": 0.0,
     "tariffs.probe": 0.0,
 }
-# The same for each request class; the latency objective defaults to the class's deadline.
+# Defaults for each request class; the latency objective defaults to the class's deadline.
 REQUEST_CLASS_DEFAULTS = {"dedup_window": 0.0, "expiry": 1000.0, "gain": 1.0, "group": "all", "idempotency": ""}
-# Settings of the platform that nothing here reads are checked and kept for the canonical map: `blend`, `grace_to_answer`,
-# `max_retry_after`.
+# The settings `blend`, `grace_to_answer` and `max_retry_after` are unused here, but validated and kept for the canonical map.
 POSITIVE_KEYS = {
     "expiry",
     "sla_time",
@@ -95,7 +94,7 @@
 
 
 def decode_value(key: str, text: Any) -> Any:
-    """A setting as number, truth value or text; times in milliseconds."""
+    """Return a setting as a number, bool or text, with times in milliseconds."""
     if isinstance(text, str):
         if text in ("true", "false"):
             return text == "true"
@@ -109,13 +108,13 @@
 
 
 def flatten_lines(text: str) -> dict[str, Any]:
-    """Settings given as lines of `path=value`, as a map of dotted keys."""
+    """Return settings given as lines of `path=value` as a map of dotted keys."""
     pairs = (line.partition("=") for line in text.splitlines() if "=" in line)
     return {key: decode_value(key, value) for key, _, value in pairs}
 
 
 def flatten_tree(node: Any, path: str = "") -> dict[str, Any]:
-    """Settings given as nested JSON, as a map of dotted keys; the length of a list of objects stands at `.count`."""
+    """Return settings given as nested JSON as a map of dotted keys; the key `.count` holds the length of a list of objects."""
     if isinstance(node, list) and not any(isinstance(item, (dict, list)) for item in node):
         node = ",".join(str(item) for item in node)
     if isinstance(node, (dict, list)):
@@ -123,16 +122,16 @@
         for name, below in node.items() if isinstance(node, dict) else enumerate(node):
             flat.update(flatten_tree(below, f"{path}.{name}" if path else str(name)))
         return flat
-    if path.endswith(".name") or isinstance(node, str):  # JSON itself says what is a number
+    if path.endswith(".name") or isinstance(node, str):  # JSON distinguishes numbers from text
         return {path: node}
     return {path: decode_value(path, node)}
 
 
-# Checking
+# Validation
 
 
 def _checked(key: str, value: Any, default: Any) -> Any:
-    """A setting that has to be of its default's type; raises ConfigError."""
+    """Return a setting that has the type of its default; raise ConfigError otherwise."""
     name = key.rpartition(".")[2]
     if isinstance(default, str):
         return str(value)
@@ -149,7 +148,7 @@
 
 
 def _complete(flat: Mapping[str, Any]) -> dict[str, Any]:
-    """The map of dotted keys, checked and with defaults; raises ConfigError."""
+    """Return the validated map of dotted keys, completed by defaults; raise ConfigError if a setting is invalid."""
     given = {key: value for key, value in flat.items() if value is not None}
     count = given.get("schemes.count")
     if isinstance(count, bool) or not isinstance(count, (int, float)) or count < 1:
@@ -167,7 +166,7 @@
     try:
         return float(given)
     except (TypeError, ValueError):
-        raise ConfigError(f"settings.tenants.{at}.share", f"{given!r} is no number") from None
+        raise ConfigError(f"settings.tenants.{at}.share", f"{given!r} is not a number") from None
 
 
 def _request_classes(flat: Mapping[str, Any]) -> Iterator[RequestClassSettings]:
@@ -185,7 +184,7 @@
 
 
 def build_settings(flat: Mapping[str, Any]) -> Settings:
-    """The typed settings from a map of dotted keys, times in milliseconds; raises ConfigError."""
+    """Return typed settings from a map of dotted keys with times in milliseconds; raise ConfigError if one is invalid."""
     flat = _complete(flat)
     tenants = range(int(flat["tenants.count"]))
     return Settings(
@@ -225,7 +224,7 @@
 
 
 def _canonical(flat: Mapping[str, Any]) -> dict[str, Any]:
-    """The complete map; request classes' idempotency in the words that digests have always been made of."""
+    """Return the complete map with the idempotency values that digests of all releases are computed from."""
     words = {"retryable": "repeatable", "dedup": "referenced"}
     keys = [f"schemes.{at}.idempotency" for at in range(int(flat["schemes.count"]))]
     return {**flat, **{key: words.get(flat[key], "once-only") for key in keys}}
--- a/sloeferry/config/toml_files.py
+++ b/sloeferry/config/toml_files.py
@@ -1,4 +1,4 @@
-"""Reads the operators' TOML files.  What a file may hold is for its reader to check."""
+"""Reads the operators' TOML files; the caller checks their contents."""
 
 import tomllib
 from typing import Any
@@ -7,7 +7,7 @@
 
 
 def read_toml(source: str, path: str) -> dict[str, Any]:
-    """All tables of the file at `path`; `source` is the option or variable that names it.  Raises ConfigError."""
+    """Return the tables of the file at `path`; raise ConfigError for `source`, the option or variable that names the file."""
     try:
         with open(path, "rb") as file:
             return tomllib.load(file)
--- a/sloeferry/environment.py
+++ b/sloeferry/environment.py
@@ -1,7 +1,7 @@
-"""What a proxy uses of the machine it runs on: clocks, sockets, an epoll.
+"""Provides the operating system's functions that a proxy uses: clocks, sockets and epoll.
 
-This is the one seam for a rehearsal, which plays a whole fleet in one process on a clock and a network of its own
-(`sloeferry/rehearsal/`), and for tests of failing system calls: they replace parts of it before anything is built.
+This module is the only place to replace them, before a proxy is built: rehearsals run a whole fleet in one process on a simulated
+clock and network (`sloeferry/rehearsal/`), and tests inject failing system calls.
 """
 
 import select
@@ -15,14 +15,14 @@
 
 
 def monotonic_ms() -> float:
-    """The monotonic clock in milliseconds."""
+    """Return the monotonic clock in milliseconds."""
     return monotonic() * 1000
 
 
 def has_peer_ended(sock: socket.socket) -> bool:
-    """Whether the other side has ended its sending or the connection, whatever of what it sent lies unread.
+    """Return whether the peer has shut down its sending side or the connection, even if received bytes are unread.
 
-    Behind unread bytes a look at what may be read shows no end; Linux tells it (poll(2), POLLRDHUP).
+    A read check can't detect the end of a stream behind unread bytes; POLLRDHUP of Linux's poll(2) does.
     """
     if sock.fileno() < 0:
         return True
@@ -32,7 +32,7 @@
 
 
 def tcp_socket() -> socket.socket:
-    """A new TCP socket that never blocks."""
+    """Return a new non-blocking TCP socket."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
@@ -43,7 +43,7 @@
 
 
 def inherited_socket(fd: int) -> socket.socket:
-    """A listening socket that the platform holds and this process was started with."""
+    """Return the listening socket that the platform holds and passed to this process as `fd`."""
     sock = socket.socket(fileno=fd)
     sock.setblocking(False)
     return sock
@@ -52,10 +52,10 @@
 REPLACEABLE = {"monotonic", "unix_time", "epoll", "tcp_socket", "inherited_socket", "has_peer_ended"}
 
 
-def replace(**parts: Any) -> dict[str, Any]:
-    """For rehearsals and tests: puts these in the place of the machine's; returns what stood there before."""
-    if unknown := set(parts) - REPLACEABLE:
-        raise ValueError(f"no part of the machine: {sorted(unknown)}")
-    before = {name: globals()[name] for name in parts}
-    globals().update(parts)
-    return before
+def replace(**functions: Any) -> dict[str, Any]:
+    """Replace functions of this module for rehearsals and tests, and return the previous ones."""
+    if unknown := set(functions) - REPLACEABLE:
+        raise ValueError(f"not replaceable: {sorted(unknown)}")
+    previous = {name: globals()[name] for name in functions}
+    globals().update(functions)
+    return previous
--- a/tests/config/test_instance.py
+++ b/tests/config/test_instance.py
@@ -1,4 +1,4 @@
-"""What is said of an instance's configuration that cannot be used."""
+"""Errors of unusable configurations, and the format of the log."""
 
 import json
 import subprocess
@@ -11,7 +11,7 @@
 from sloeferry.stand_ins.processes import free_ports
 from tests.support.golden import GoldenFiles
 
-GOOD = {
+VALID = {
     "name": "n0",
     "listen": "127.0.0.1:8000",
     "discovery": "127.0.0.1:8500",
@@ -52,17 +52,17 @@
 
 
 def changed(path: str, value: Any) -> dict[str, Any]:
-    """The good document with the value at that path."""
-    document = node = json.loads(json.dumps(GOOD))
-    *way, last = path.split(".")
-    for step in way:
+    """Return the valid document with one value replaced."""
+    document = node = json.loads(json.dumps(VALID))
+    *parents, last = path.split(".")
+    for step in parents:
         node = node[int(step) if isinstance(node, list) else step]
     node[last] = value
     return document
 
 
-def described(config: InstanceConfig) -> str:
-    """What a configuration comes to."""
+def describe(config: InstanceConfig) -> str:
+    """Return a description of a configuration."""
     settings = config.settings
     classes = settings.request_classes
     values = {
@@ -78,31 +78,31 @@
 
 
 def read(document: str | dict[str, Any]) -> str:
-    """What a file of that document comes to, or its fault."""
+    """Return the description of a configuration file with that content, or its error."""
     with tempfile.NamedTemporaryFile("w") as file:
         file.write(document if isinstance(document, str) else json.dumps(document))
         file.flush()
         try:
-            return described(read_instance_config({"BALANCER_CONFIG": file.name, "BALANCER_NAME": "n1"}))
+            return describe(read_instance_config({"BALANCER_CONFIG": file.name, "BALANCER_NAME": "n1"}))
         except ConfigError as error:
             return str(error).replace(file.name, "FILE")
 
 
-def test_faults_name_their_key(golden: GoldenFiles):
-    """A configuration that cannot be used: each fault names its key."""
-    lines = [read(GOOD)]
+def test_errors_name_their_key(golden: GoldenFiles):
+    """The error of an unusable configuration names the faulty key."""
+    lines = [read(VALID)]
     lines += [f"{path} = {value!r}: {read(changed(path, value))}" for path, value in CHANGES]
     lines.append(read("no JSON"))
     for environment in ENVIRONMENTS:
         ended = subprocess.run([sys.executable, "-m", "sloeferry"], env=environment, capture_output=True, text=True)
         lines.append(f"exit {ended.returncode}: {ended.stderr.strip()}")
-    golden.check(lines, "terms")
+    golden.check(lines, "invalid_configurations")
 
 
-def test_json_log():
-    """One JSON object a line, with the same words as in text."""
+def test_json_log_has_same_messages():
+    """Each line of a JSON log is one object with the message of the text log."""
     with tempfile.NamedTemporaryFile("w") as file:
-        json.dump(GOOD, file)
+        json.dump(VALID, file)
         file.flush()
         environment = {
             "BALANCER_CONFIG": file.name,
--- a/tests/config/test_replacement.py
+++ b/tests/config/test_replacement.py
@@ -1,4 +1,4 @@
-"""A configuration that replaces the one before."""
+"""Replacement of a configuration on reload."""
 
 import json
 import re
@@ -15,7 +15,7 @@
     Idempotency.DEDUPLICATED: "referenced",
     Idempotency.NON_IDEMPOTENT: "once-only",
 }
-FORMER = {
+PREVIOUS = {
     "name": "n",
     "listen": "127.0.0.1:1",
     "discovery": "127.0.0.1:2",
@@ -38,17 +38,17 @@
         "limits": {"most_postings": 3},
     },
 }
-LEFT_OUT = object()
+OMITTED = object()
 CHANGES: list[tuple[str, Any]] = [
-    ("listen", LEFT_OUT),
-    ("ops", LEFT_OUT),
-    ("settings", LEFT_OUT),
-    ("settings.schemes", LEFT_OUT),
-    ("settings.schemes.1.expiry", LEFT_OUT),
-    ("settings.schemes.0.name", LEFT_OUT),
-    ("settings.limits", LEFT_OUT),
-    ("settings.limits.most_postings", LEFT_OUT),
-    ("settings.schemes.1.dedup_window", LEFT_OUT),
+    ("listen", OMITTED),
+    ("ops", OMITTED),
+    ("settings", OMITTED),
+    ("settings.schemes", OMITTED),
+    ("settings.schemes.1.expiry", OMITTED),
+    ("settings.schemes.0.name", OMITTED),
+    ("settings.limits", OMITTED),
+    ("settings.limits.most_postings", OMITTED),
+    ("settings.schemes.1.dedup_window", OMITTED),
     *(("settings.schemes.0.expiry", value) for value in (0, -1, "soon", "800000", True, None, [], 1e400)),
     *(("settings.limits.most_postings", value) for value in (0, -2, 1.5, "3", None)),
     ("settings.schemes.1.name", "a"),
@@ -56,60 +56,60 @@
 ]
 
 
-def read(document: str | dict[str, Any], former: InstanceConfig | None = None) -> InstanceConfig | str:
-    """The configuration that a file of that document makes of the former one, or its fault."""
+def read(document: str | dict[str, Any], previous: InstanceConfig | None = None) -> InstanceConfig | str:
+    """Return the configuration read from that content on startup, or on reload of a previous one; or its error."""
     with tempfile.NamedTemporaryFile("w") as file:
         file.write(document if isinstance(document, str) else json.dumps(document))
         file.flush()
         try:
-            return read_instance_config({"BALANCER_CONFIG": file.name}, former)
+            return read_instance_config({"BALANCER_CONFIG": file.name}, previous)
         except ConfigError as error:
             return str(error).replace(file.name, "FILE")
 
 
 def changed(path: str, value: Any) -> dict[str, Any]:
-    """The former document with the value at that path, or without one."""
-    document = node = json.loads(json.dumps(FORMER))
-    *way, last = path.split(".")
-    for step in way:
+    """Return the previous document with one value replaced or omitted."""
+    document = node = json.loads(json.dumps(PREVIOUS))
+    *parents, last = path.split(".")
+    for step in parents:
         node = node[int(step) if isinstance(node, list) else step]
-    if value is LEFT_OUT:
+    if value is OMITTED:
         del node[last]
     else:
         node[last] = value
     return document
 
 
-def test_rejected_as_a_whole(golden: GoldenFiles):
-    """A file that cannot be used is rejected as a whole, with the key and the reason."""
-    former = read(FORMER)
+def test_unusable_file_is_rejected_as_a_whole(golden: GoldenFiles):
+    """A truncated or invalid file is rejected as a whole, with the key and the reason."""
+    previous = read(PREVIOUS)
     lines: list[str] = []
-    text = json.dumps(FORMER)
+    text = json.dumps(PREVIOUS)
     for length in (0, 1, len(text) // 2, len(text) - 1):
-        lines.append(f"{length} bytes of it: {re.sub(r':.*', '', read(text[:length], former).partition(' is ')[2])}")
+        lines.append(f"{length} bytes of it: {re.sub(r':.*', '', read(text[:length], previous).partition(' is ')[2])}")
     for path, value in CHANGES:
-        result = read(changed(path, value), former)
-        change = "left out" if value is LEFT_OUT else repr(value)
+        result = read(changed(path, value), previous)
+        change = "left out" if value is OMITTED else repr(value)
         lines.append(f"{path} {change}: {result if isinstance(result, str) else 'taken'}")
-    golden.check(lines, "settings_turned_down")
+    golden.check(lines, "reload_rejected")
 
 
-def test_indexes(golden: GoldenFiles):
-    """A class that was there keeps its index, a new one comes behind, one that is gone keeps its own for requests still open."""
-    former = read(FORMER)
-    document = json.loads(json.dumps(FORMER))
+def test_request_classes_keep_their_indexes(golden: GoldenFiles):
+    """On reload, existing and removed request classes keep their index, which open requests use; new classes are appended."""
+    previous = read(PREVIOUS)
+    document = json.loads(json.dumps(PREVIOUS))
     classes = document["settings"]["schemes"]
     classes[:] = [dict(classes[0], name="c"), dict(classes[1], expiry=600000)]
     document["settings"]["tenants"].insert(0, {"name": "s", "share": 2.0})
-    second = read(document, former)
+    second = read(document, previous)
     classes[:] = [dict(classes[0], name="a", idempotency="fragile")]
     third = read(document, second)
     lines: list[str] = []
-    for config in (former, second, third):
+    for config in (previous, second, third):
         settings = config.settings
         described = [
             f"{index}:{each.name}/{each.deadline_ms:.0f}/{IDEMPOTENCY_WORDS[each.idempotency]}"
             for index, each in enumerate(settings.request_classes)
         ]
         lines.append(f"{settings.class_indexes()} {settings.tenant_indexes()} {' '.join(described)}")
-    golden.check(lines, "settings_places")
+    golden.check(lines, "reload_indexes")
--- a/tests/config/test_settings_at_work.py
+++ b/tests/config/test_settings_at_work.py
@@ -1,4 +1,4 @@
-"""Settings at the ends of what is allowed, in a proxy that serves."""
+"""A serving proxy with extreme but valid settings."""
 
 from typing import Any
 from unittest import mock
@@ -20,32 +20,32 @@
     ],
     ids=["no drain grace", "long step", "no weight"],
 )
-def test_settings_at_their_ends(play_story: PlayStory, name: str, settings: dict[str, Any], weight: float):
-    """A drain without grace, a step longer than the time between requests that is supposed at first, weights of nought.  The
-    proxy starts, and serves."""
+def test_proxy_serves_with_extreme_settings(play_story: PlayStory, name: str, settings: dict[str, Any], weight: float):
+    """The proxy starts and serves with a drain grace of 0, with a step longer than the initially assumed time between requests,
+    and with priority weights of 0."""
 
     class NamedHarness(ProxyHarness):
-        """Names its case in each line."""
+        """A harness that prefixes each recorded line with the name of the setting."""
 
         def record(self, text: str) -> None:
-            """One line."""
+            """Record one line."""
             super().record(f"{name}: {text}")
 
     with mock.patch.dict(REQUEST_CLASS_DEFAULTS, gain=weight):
         harness = NamedHarness({"b": response()}, deadline_ms=500, settings=settings)
-        play_story(lambda harness: harness.request("once"), f"crossing_{name}", harness)
+        play_story(lambda harness: harness.request("once"), f"extreme_{name}", harness)
 
 
-class ThaiHarness(InstrumentedHarness):
-    """Its request classes have names that Latin-1 lacks."""
+class NonLatin1Harness(InstrumentedHarness):
+    """A harness whose request classes have names outside Latin-1."""
 
     REQUEST_CLASSES = [("จอด", "retryable"), ("ผูก", "fragile"), ("gehört", "retryable")]
 
 
-def test_names_beyond_latin_1(play_story: PlayStory):
-    """Names that Latin-1 lacks are each their own: by one sign for all such letters two classes were one."""
+def test_class_names_outside_latin_1(play_story: PlayStory):
+    """Class names outside Latin-1 stay distinct; replacing their letters by one character would merge two classes."""
 
-    async def story(harness: ThaiHarness) -> None:
+    async def story(harness: NonLatin1Harness) -> None:
         for name in ("จอด", "ผูก", "?" * 3, "gehört"):
             request_id = "c" + name.encode().hex()
             request = harness.request_head(request_id, class_name="CLASS").replace(b"CLASS", name.encode(), 1)
@@ -53,4 +53,4 @@
         request = harness.request_head("c9", class_name="CLASS").replace(b"CLASS", "gehört".encode("latin-1"), 1)
         harness.record(f"gehört in Latin-1: {await harness.send(request, is_recorded=False)}")
 
-    play_story(story, "crossing_names", ThaiHarness({"b": response()}))
+    play_story(story, "non_latin1_class_names", NonLatin1Harness({"b": response()}))
