--- a/sloeferry/dispatch/endpoint_events.py
+++ b/sloeferry/dispatch/endpoint_events.py
@@ -115,11 +115,11 @@
 
     def discovery_time_received(self, unix_ms: float) -> None:
         """Apply discovery's own clock reading."""
-        self._start_times.discovery_time(environment.monotonic_ms(), unix_ms)
+        self._start_times.set_discovery_time(environment.monotonic_ms(), unix_ms)
 
     def discovery_moved(self) -> None:
         """Report that discovery's address has changed."""
-        self.staleness.moved(environment.monotonic_ms())
+        self.staleness.discovery_relocated(environment.monotonic_ms())
 
     def is_watch_overdue(self) -> bool:
         """Return whether a watch fell silent and no list has been received since."""
@@ -130,14 +130,14 @@
     def log_staleness(self, now: float) -> None:
         """Log once when the list becomes stale and once when it is usable again, since no log line of a request shows it."""
         staleness = self.staleness
-        if not staleness.usable(now) and self._stale_since is None:
+        if not staleness.is_usable(now) and self._stale_since is None:
             self._stale_since = staleness.usable_until
             logger.info(
                 "endpoint list is stale, nothing is sent until another comes: cause={!r} trusted_ms_ago={:.0f}",
                 staleness.cause.value,
                 now - staleness.trusted_until,
             )
-        elif self._stale_since is not None and staleness.usable(now):
+        elif self._stale_since is not None and staleness.is_usable(now):
             logger.info(
                 "endpoint list is usable again: cause={!r} stale_ms={:.0f}",
                 staleness.cause.value,
@@ -149,7 +149,7 @@
         """Return the usability and age of the endpoint list for operators."""
         now = environment.monotonic_ms()
         return {
-            "usable": self.staleness.usable(now),
+            "usable": self.staleness.is_usable(now),
             "cause": self.staleness.cause.value,
             "known_true_ms_ago": round(now - self.staleness.trusted_until),
         }
--- a/sloeferry/lifecycle/snapshot.py
+++ b/sloeferry/lifecycle/snapshot.py
@@ -33,7 +33,7 @@
     "pace": "slowdown",
     "learned": "learned_at",
 }
-OUTLIER_ATTRIBUTES = {"cured": "cured_ratio", "errs": "error_rate", "refused": "unreachable_rate"}
+OUTLIER_ATTRIBUTES = {"cured": "retry_recovery_ratio", "errs": "error_rate", "refused": "unreachable_rate"}
 
 
 def take_snapshot(policy: Policy) -> dict[str, Any]:
