--- a/sloeferry/config/settings.py
+++ b/sloeferry/config/settings.py
@@ -87,12 +87,12 @@
 
     @property
     def has_response_reports(self) -> bool:
-        """Whether each response carries a load report."""
+        """Return whether each response carries a load report."""
         return self.source == REPORTS_IN_RESPONSES
 
     @property
     def has_health_check_reports(self) -> bool:
-        """Whether load reports come with health checks only."""
+        """Return whether load reports come with health checks only."""
         return self.source == REPORTS_IN_HEALTH_CHECKS
 
 
@@ -127,7 +127,7 @@
 
     @property
     def is_endpoint_list_polled(self) -> bool:
-        """Whether this proxy polls discovery for the endpoint list, instead of receiving pushed changes."""
+        """Return whether this proxy polls discovery for the endpoint list, instead of receiving pushed changes."""
         return self.discovery_mode == POLLED_DISCOVERY
 
     def class_indexes(self) -> dict[str, int]:
--- a/sloeferry/dispatch/endpoint_events.py
+++ b/sloeferry/dispatch/endpoint_events.py
@@ -38,7 +38,7 @@
 
     @property
     def staleness(self) -> ListStaleness:
-        """The age and usability of the endpoint list."""
+        """Return the object that tracks the age of the endpoint list."""
         return self._policy.polling.staleness
 
     # Lists
