--- a/sloeferry/lifecycle/proxy_process.py
+++ b/sloeferry/lifecycle/proxy_process.py
@@ -208,7 +208,7 @@
     while error := bind(address):
         if loop.time() > deadline:
             host, port = address
-            raise ConfigError(key, f"{host}:{port} can't be bound: {error.strerror}")
+            raise ConfigError(key, f"{host}:{port} can't be had: {error.strerror}")
         await asyncio.sleep(BIND_TIMEOUT_SECONDS / BIND_ATTEMPTS)
 
 
