--- a/tests/network/test_discovery_watch.py
+++ b/tests/network/test_discovery_watch.py
@@ -26,7 +26,7 @@
     """A watch is silent after that time, and polls back off shortly."""
     with (
         mock.patch("sloeferry.network.discovery_watch.MAX_SILENCE_SECONDS", silent_seconds),
-        mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0),
+        mock.patch("sloeferry.policy.endpoint_polling.MAX_BACKOFF_BASE_MS", 50.0),
     ):
         yield
 
@@ -129,7 +129,7 @@
             await wait_until(lambda: watch_silent.call_count > 1)
             harness.record(f"the former one: {watch_silent.call_count} silent")
 
-    with mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0):
+    with mock.patch("sloeferry.policy.endpoint_polling.MAX_BACKOFF_BASE_MS", 50.0):
         play_story(story, "crossing_said_silent", InstrumentedHarness({"b": response()}, poll_within_ms=LIST_MAY_BE_OLD_MS))
 
 
@@ -162,7 +162,7 @@
         harness.record(f"failed calls, by dials before them: {failed_polls}")
 
     harness = InstrumentedHarness({"b": response()}, poll_within_ms=LIST_MAY_BE_OLD_MS, dial_timeout=5000)
-    with mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0):
+    with mock.patch("sloeferry.policy.endpoint_polling.MAX_BACKOFF_BASE_MS", 50.0):
         play_story(story, "crossing_dials", harness)
 
 
