--- a/tests/config/test_settings_at_work.py
+++ b/tests/config/test_settings_at_work.py
@@ -8,7 +8,7 @@
 from sloeferry.config.settings_reader import REQUEST_CLASS_DEFAULTS
 from tests.support.fake_backends import response
 from tests.support.instrumented_harness import InstrumentedHarness
-from tests.support.proxy_harness import PlayStory, ProxyHarness
+from tests.support.proxy_harness import ProxyHarness, ScenarioChecker
 
 
 @pytest.mark.parametrize(
@@ -20,7 +20,7 @@
     ],
     ids=["no drain grace", "long step", "no weight"],
 )
-def test_settings_at_their_ends(play_story: PlayStory, name: str, settings: dict[str, Any], weight: float):
+def test_settings_at_their_ends(check_scenario: ScenarioChecker, name: str, settings: dict[str, Any], weight: float):
     """A drain without grace, a step longer than the time between requests that is supposed at first, weights of nought.  The
     proxy starts, and serves."""
 
@@ -33,7 +33,7 @@
 
     with mock.patch.dict(REQUEST_CLASS_DEFAULTS, gain=weight):
         harness = NamedHarness({"b": response()}, deadline_ms=500, settings=settings)
-        play_story(lambda harness: harness.request("once"), f"crossing_{name}", harness)
+        check_scenario(lambda harness: harness.request("once"), f"crossing_{name}", harness)
 
 
 class ThaiHarness(InstrumentedHarness):
@@ -42,10 +42,10 @@
     REQUEST_CLASSES = [("จอด", "retryable"), ("ผูก", "fragile"), ("gehört", "retryable")]
 
 
-def test_names_beyond_latin_1(play_story: PlayStory):
+def test_names_beyond_latin_1(check_scenario: ScenarioChecker):
     """Names that Latin-1 lacks are each their own: by one sign for all such letters two classes were one."""
 
-    async def story(harness: ThaiHarness) -> None:
+    async def scenario(harness: ThaiHarness) -> None:
         for name in ("จอด", "ผูก", "?" * 3, "gehört"):
             request_id = "c" + name.encode().hex()
             request = harness.request_head(request_id, class_name="CLASS").replace(b"CLASS", name.encode(), 1)
@@ -53,4 +53,4 @@
         request = harness.request_head("c9", class_name="CLASS").replace(b"CLASS", "gehört".encode("latin-1"), 1)
         harness.record(f"gehört in Latin-1: {await harness.send(request, is_recorded=False)}")
 
-    play_story(story, "crossing_names", ThaiHarness({"b": response()}))
+    check_scenario(scenario, "crossing_names", ThaiHarness({"b": response()}))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,7 +4,7 @@
 from loguru import logger
 
 from tests.support.golden import GoldenFiles
-from tests.support.proxy_harness import PlayStory, ProxyHarness, Story, run_story
+from tests.support.proxy_harness import ProxyHarness, Scenario, ScenarioChecker, run_scenario
 
 pytest_plugins = ["pytester", "tests.known_red"]
 
@@ -22,14 +22,14 @@
 
 
 @pytest.fixture
-def play_story(golden: GoldenFiles) -> PlayStory:
-    """Plays a story with each harness in turn, and compares what all peers saw with one golden file."""
+def check_scenario(golden: GoldenFiles) -> ScenarioChecker:
+    """Plays a scenario with each harness in turn, and compares what all peers saw with one golden file."""
 
-    def play(story: Story, name: str, *harnesses: ProxyHarness) -> None:
+    def run_and_compare(scenario: Scenario, name: str, *harnesses: ProxyHarness) -> None:
         lines: list[str] = []
         for harness in harnesses:
             harness.lines = lines
-            run_story(story, harness)
+            run_scenario(scenario, harness)
         golden.check(lines, name)
 
-    return play
+    return run_and_compare
--- a/tests/decision_log/test_recorder.py
+++ b/tests/decision_log/test_recorder.py
@@ -17,7 +17,7 @@
 from sloeferry.config.features import DecisionLogFeatures, Features, read_features
 from tests.support.fake_backends import response
 from tests.support.golden import GoldenFiles
-from tests.support.proxy_harness import PlayStory, ProxyHarness
+from tests.support.proxy_harness import ProxyHarness, ScenarioChecker
 
 ROOT = Path(__file__).resolve().parents[2]
 
@@ -55,10 +55,10 @@
     return await ask(harness, "/admin/versions", is_recorded=False)
 
 
-def test_calls(play_story: PlayStory, environment: dict[str, str], config_file: Path):
+def test_calls(check_scenario: ScenarioChecker, environment: dict[str, str], config_file: Path):
     """What the proxy holds, by whose word, what was refused and what was done under each version; off, there is no such call."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         await ask(harness, "/admin/versions")
         if not harness.environment:
             return
@@ -81,7 +81,7 @@
             await ask(harness, f"/admin/acted?since={since}")
 
     with_log = ProxyHarness({"b": response()}, has_admin=True, environment=environment)
-    play_story(story, "versions_told", with_log, ProxyHarness({"b": response()}, has_admin=True))
+    check_scenario(scenario, "versions_told", with_log, ProxyHarness({"b": response()}, has_admin=True))
 
 
 def test_operators_file(golden: GoldenFiles, tmp_path: Path):
@@ -112,7 +112,7 @@
     return subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True).stdout
 
 
-def test_signal_at_start(play_story: PlayStory, environment: dict[str, str], tmp_path: Path):
+def test_signal_at_start(check_scenario: ScenarioChecker, environment: dict[str, str], tmp_path: Path):
     """A SIGHUP comes while the program starts.  It ends nothing, and the file is read once more."""
     # Until there is a handler, for some 0.2 s, it would end the process: seen in the drawn fault plan 19.
     code = (
@@ -122,14 +122,14 @@
     )
     assert output_of(code) == "False\n"
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         versions = await ask_versions(harness)
         settings = versions["settings"]
         harness.record(f"generation {settings['generation']} by {settings['by']}, refused {len(versions['refused'])}")
 
     (tmp_path / "operator.toml").write_text("[versions]\ntell = true\n")
     with mock.patch.object(ProxyHarness, "has_pending_reload", True):
-        play_story(story, "versions_early", ProxyHarness({"b": response()}, has_admin=True, environment=environment))
+        check_scenario(scenario, "versions_early", ProxyHarness({"b": response()}, has_admin=True, environment=environment))
 
 
 def test_off():
--- a/tests/dispatch/test_stale_list.py
+++ b/tests/dispatch/test_stale_list.py
@@ -13,7 +13,7 @@
 from sloeferry.network import sockets
 from tests.support.fake_backends import response
 from tests.support.instrumented_harness import InstrumentedHarness, wait_until
-from tests.support.proxy_harness import PlayStory, Story
+from tests.support.proxy_harness import Scenario, ScenarioChecker
 
 
 def make_stale(harness: InstrumentedHarness) -> None:
@@ -26,21 +26,21 @@
     return harness.dispatcher.guard.refusals[Refusal.LIST_STALE] > 0
 
 
-def test_first_attempt(play_story: PlayStory):
+def test_first_attempt(check_scenario: ScenarioChecker):
     """A request comes when the list is stale already.  It is rejected at once."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         make_stale(harness)
         await harness.request("safe")
         harness.record(f"refused for a stale list: {was_refused(harness)}")
 
-    play_story(story, "stale_first", InstrumentedHarness({"b": response()}))
+    check_scenario(scenario, "stale_first", InstrumentedHarness({"b": response()}))
 
 
-def test_after_connecting(play_story: PlayStory):
+def test_after_connecting(check_scenario: ScenarioChecker):
     """The list goes stale while the connection to the backend comes up."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         connect = sockets.connect
 
         async def connect_and_make_stale(*arguments: Any) -> socket.socket | None:
@@ -52,13 +52,13 @@
             await harness.request("once")
         harness.record(f"asked {harness.backends.requests_received}, refused {was_refused(harness)}")
 
-    play_story(story, "stale_dial", InstrumentedHarness({"b": response()}))
+    check_scenario(scenario, "stale_dial", InstrumentedHarness({"b": response()}))
 
 
-def stale_before_first_byte(body: str = "") -> Story:
+def stale_before_first_byte(body: str = "") -> Scenario:
     """The list goes stale while the attempt waits right before its first byte."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         with harness.before_first_byte() as gate:
             call = asyncio.ensure_future(harness.request("once", body=body))
             await gate.held.wait()
@@ -67,18 +67,18 @@
             await call
         harness.record(f"asked {harness.backends.requests_received}")
 
-    return story
+    return scenario
 
 
-def test_after_a_wait(play_story: PlayStory):
+def test_after_a_wait(check_scenario: ScenarioChecker):
     """The list goes stale while the attempt waits right before its first byte, as after a stall."""
-    play_story(stale_before_first_byte(), "stale_wait", InstrumentedHarness({"b": response()}))
+    check_scenario(stale_before_first_byte(), "stale_wait", InstrumentedHarness({"b": response()}))
 
 
-def test_retry(play_story: PlayStory):
+def test_retry(check_scenario: ScenarioChecker):
     """The list goes stale while the first attempt is out, which fails.  There is no retry, though it would be safe."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         await harness.request("safe")
         harness.record(f"asked {harness.backends.requests_received}")
 
@@ -87,18 +87,18 @@
         return response("no", 503, "X-Rejected: 1")
 
     harness = InstrumentedHarness({"b": reject, "c": reject})
-    play_story(story, "stale_retry", harness)
+    check_scenario(scenario, "stale_retry", harness)
 
 
-def test_upload(play_story: PlayStory):
+def test_upload(check_scenario: ScenarioChecker):
     """The list goes stale before the first byte of a streamed body."""
-    play_story(stale_before_first_byte(body="x" * 200_000), "stale_upload", InstrumentedHarness({"b": response()}))
+    check_scenario(stale_before_first_byte(body="x" * 200_000), "stale_upload", InstrumentedHarness({"b": response()}))
 
 
-def test_health_check(play_story: PlayStory):
+def test_health_check(check_scenario: ScenarioChecker):
     """A health check was commanded, and the list goes stale before it is written."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         dispatcher = harness.dispatcher
         with mock.patch.object(dispatcher, "health_check_ended", wraps=dispatcher.health_check_ended) as ended:
             make_stale(harness)
@@ -106,14 +106,14 @@
             await wait_until(lambda: ended.called)
         harness.record(f"asked {harness.backends.requests_received}")
 
-    play_story(story, "stale_probe", InstrumentedHarness({"b": response()}, probing=True))
+    check_scenario(scenario, "stale_probe", InstrumentedHarness({"b": response()}, probing=True))
 
 
-def test_hedge(play_story: PlayStory):
+def test_hedge(check_scenario: ScenarioChecker):
     """A hedged request is due beside an attempt that is out.  None is begun by a stale list."""
     release = asyncio.Event()
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         call = asyncio.ensure_future(harness.request("safe"))
         await wait_until(lambda: harness.backends.requests_received)
         make_stale(harness)
@@ -126,4 +126,4 @@
         release.set()
         await call
 
-    play_story(story, "stale_hedge", InstrumentedHarness({"b": release, "c": release}, second_copies=True))
+    check_scenario(scenario, "stale_hedge", InstrumentedHarness({"b": release, "c": release}, second_copies=True))
--- a/tests/lifecycle/test_drain.py
+++ b/tests/lifecycle/test_drain.py
@@ -3,13 +3,13 @@
 from unittest import mock
 
 from tests.support.fake_backends import response
-from tests.support.proxy_harness import READY_REQUEST, PlayStory, ProxyHarness
+from tests.support.proxy_harness import READY_REQUEST, ProxyHarness, ScenarioChecker
 
 
-def test_drain_and_resume(play_story: PlayStory):
+def test_drain_and_resume(check_scenario: ScenarioChecker):
     """Told to drain, the proxy is not ready, serves who comes and closes all connections.  Resumed, it keeps them again."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         idle, used = await harness.connect(), await harness.connect()
         for connection in (idle, used):
             await harness.request("safe", connection=connection)
@@ -27,4 +27,4 @@
         for _ in range(2):
             await harness.request("safe", connection=kept)
 
-    play_story(story, "desk_drain", ProxyHarness({"b": response()}, has_admin=True))
+    check_scenario(scenario, "desk_drain", ProxyHarness({"b": response()}, has_admin=True))
--- a/tests/lifecycle/test_reload.py
+++ b/tests/lifecycle/test_reload.py
@@ -12,7 +12,7 @@
 
 from tests.support.fake_backends import response
 from tests.support.instrumented_harness import InstrumentedHarness, wait_until
-from tests.support.proxy_harness import PlayStory, ProxyHarness
+from tests.support.proxy_harness import ProxyHarness, ScenarioChecker
 
 Reload = Callable[[Any], Awaitable[None]]  # of a text or a document
 
@@ -39,11 +39,11 @@
     return reload
 
 
-def test_discovery_moves(play_story: PlayStory, reload: Reload, monkeypatch: pytest.MonkeyPatch):
+def test_discovery_moves(check_scenario: ScenarioChecker, reload: Reload, monkeypatch: pytest.MonkeyPatch):
     """SIGHUP, again and again.  A file that cannot be used changes nothing; the former discovery tells until the new one stands,
     whose list is complete; the file goes before the environment."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         discovery = harness.discovery
         monkeypatch.setenv("BALANCER_DISCOVERY", harness.config["discovery"])
         discovery.list_endpoints("b")
@@ -65,14 +65,14 @@
         harness.lines.extend(discovery.polls)
         harness.backends.writers.extend(former_watches)
 
-    play_story(story, "sockets_reload", ProxyHarness({"b": response(), "c": response(), "d": response()}))
+    check_scenario(scenario, "sockets_reload", ProxyHarness({"b": response(), "c": response(), "d": response()}))
 
 
-def test_reload_between_head_and_last_byte(play_story: PlayStory, config_file: Path):
+def test_reload_between_head_and_last_byte(check_scenario: ScenarioChecker, config_file: Path):
     """SIGHUP between a request's head and its last byte makes its class a deduplicated one, or drops it.  The request came
     without a key, and is rejected unsent."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         heads = [
             harness.request_head(body_bytes=4),
             harness.request_head("c1", "once", body_bytes=4),
@@ -93,14 +93,14 @@
             await client.record_received(28)
             client.close()
 
-    play_story(story, "crossing_renewed", InstrumentedHarness({"b": response()}))
+    check_scenario(scenario, "crossing_renewed", InstrumentedHarness({"b": response()}))
 
 
-def test_settings_change_while_serving(play_story: PlayStory, reload: Reload):
+def test_settings_change_while_serving(check_scenario: ScenarioChecker, reload: Reload):
     """SIGHUP adds a request class and drops another.  A request that is open under it is answered, one that comes is rejected."""
     release = asyncio.Event()
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         open_request = asyncio.get_running_loop().create_task(harness.request("once"))
         await wait_until(lambda: harness.backends.requests_received)
         changed = json.loads(json.dumps(harness.config))
@@ -116,4 +116,4 @@
         release.set()
         await open_request
 
-    play_story(story, "settings_while_serving", ProxyHarness({"b": lambda number: release if number == 1 else response()}))
+    check_scenario(scenario, "settings_while_serving", ProxyHarness({"b": lambda number: release if number == 1 else response()}))
--- a/tests/lifecycle/test_shutdown.py
+++ b/tests/lifecycle/test_shutdown.py
@@ -14,14 +14,14 @@
 from sloeferry.network import listener
 from tests.support.fake_backends import response
 from tests.support.instrumented_harness import InstrumentedHarness, QuietBackendsHarness, RawClient, wait_until
-from tests.support.proxy_harness import PlayStory, ProxyHarness
+from tests.support.proxy_harness import ProxyHarness, ScenarioChecker
 
 
-def test_graceful_shutdown(play_story: PlayStory):
+def test_graceful_shutdown(check_scenario: ScenarioChecker):
     """SIGTERM: what is in flight is answered, what still comes too, then the process ends by itself."""
     release = asyncio.Event()
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         idle, fresh = await harness.connect(), await harness.connect()
         await harness.request("safe", connection=idle)
         in_flight = asyncio.get_running_loop().create_task(harness.request("safe", X_Call_Id="c0"))
@@ -36,14 +36,14 @@
         await harness.proxy_task
         harness.record("the program has ended")
 
-    play_story(story, "sockets_leaving", ProxyHarness({"b": lambda number: release if number == 2 else response()}))
+    check_scenario(scenario, "sockets_leaving", ProxyHarness({"b": lambda number: release if number == 2 else response()}))
 
 
-def test_sigterm_with_all_descriptors_taken(play_story: PlayStory):
+def test_sigterm_with_all_descriptors_taken(check_scenario: ScenarioChecker):
     """SIGTERM while all descriptors are taken and one more client has connected and asked.  It is admitted, not reset."""
     release = asyncio.Event()
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         harness.clients.budget.limit = 1
         await wait_until(lambda: not harness.clients.connections)
         busy = asyncio.ensure_future(harness.send(harness.request_head("c1"), is_recorded=False))
@@ -66,15 +66,15 @@
         client.close()
         harness.record("the program has ended")
 
-    play_story(story, "crossing_sigterm_full", QuietBackendsHarness({"b": lambda number: release}, descriptors=64))
+    check_scenario(scenario, "crossing_sigterm_full", QuietBackendsHarness({"b": lambda number: release}, descriptors=64))
 
 
-def test_sigterm_and_a_pipelined_request(play_story: PlayStory):
+def test_sigterm_and_a_pipelined_request(check_scenario: ScenarioChecker):
     """SIGTERM while a request is in flight and the next one of its connection has been read.  That is taken and answered, and the
     connection ends behind it."""
     release = asyncio.Event()
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         loop = asyncio.get_running_loop()
         client = await harness.send_raw(harness.request_head("c1") + harness.request_head("c2"))
         await wait_until(lambda: harness.backends.requests_received)
@@ -86,7 +86,9 @@
         client.close()
         harness.record(f"client gets: {re.findall(rb'HTTP.*|Connection.*', received)}")
 
-    play_story(story, "crossing_ahead_sigterm", InstrumentedHarness({"b": lambda number: release if number == 1 else response()}))
+    check_scenario(
+        scenario, "crossing_ahead_sigterm", InstrumentedHarness({"b": lambda number: release if number == 1 else response()})
+    )
 
 
 async def send_all_but_last_byte(harness: InstrumentedHarness, byte_count: int) -> RawClient:
@@ -96,11 +98,11 @@
     return client
 
 
-def test_last_byte_long_after_sigterm(play_story: PlayStory):
+def test_last_byte_long_after_sigterm(check_scenario: ScenarioChecker):
     """A request's last byte comes when SIGKILL may come before its time is over.  It has its response by then, also where its
     body is streamed."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         dispatcher = harness.dispatcher
         clients = [await send_all_but_last_byte(harness, byte_count) for byte_count in (4, 200000)]
         await wait_until(lambda: dispatcher.requests)
@@ -118,14 +120,14 @@
         times_left_ms += [call.args[1] for call in body_received.call_args_list]
         harness.record(f"in half of their time: {[time_left <= harness.deadline_ms / 2 for time_left in times_left_ms]}")
 
-    play_story(story, "crossing_killed", QuietBackendsHarness({"b": response()}))
+    check_scenario(scenario, "crossing_killed", QuietBackendsHarness({"b": response()}))
 
 
-def test_signals_together_while_shedding(play_story: PlayStory, tmp_path: Path, monkeypatch: pytest.MonkeyPatch):
+def test_signals_together_while_shedding(check_scenario: ScenarioChecker, tmp_path: Path, monkeypatch: pytest.MonkeyPatch):
     """SIGTERM twice and SIGHUP in one moment, while load is shed and a request is queued unread.  It is answered, and the process
     ends."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         config_file = tmp_path / "config.json"
         config_file.write_text(json.dumps(harness.config))
         monkeypatch.setenv("BALANCER_CONFIG", str(config_file))
@@ -139,4 +141,4 @@
         client.close()
         harness.record("the program has ended")
 
-    play_story(story, "crossing_signals", InstrumentedHarness({"b": response()}))
+    check_scenario(scenario, "crossing_signals", InstrumentedHarness({"b": response()}))
--- a/tests/lifecycle/test_takeover.py
+++ b/tests/lifecycle/test_takeover.py
@@ -12,7 +12,7 @@
 from tests.support.fake_backends import response
 from tests.support.golden import GoldenFiles
 from tests.support.policy_recorder import PolicyRecorder
-from tests.support.proxy_harness import READY_REQUEST, ProxyHarness, run_story
+from tests.support.proxy_harness import READY_REQUEST, ProxyHarness, run_scenario
 
 LOOK_SECONDS = 0.02  # between two looks at a process
 
@@ -119,13 +119,13 @@
     """The second process takes over on the inherited socket while the first serves.  Each request is answered, the first one ends
     by itself, and a third that never gets ready changes nothing."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             harness.port = listener.getsockname()[1]
             await play_takeover(harness, ProxyProcesses(harness, listener, tmp_path))
 
     harness = ProxyHarness({"b": response()})
-    run_story(story, harness)
+    run_scenario(scenario, harness)
     # Which of its connections a backend has been asked on depends on which process asks.
     lines = [re.sub(r"backend 1, connection \d+", "backend", line) for line in harness.lines]
     golden.check(lines, "handover_two")
--- a/tests/network/test_admission_queue.py
+++ b/tests/network/test_admission_queue.py
@@ -118,7 +118,7 @@
     each with one read and one write; what is no plain request goes on and is read as ever."""
     lines: list[str] = []
 
-    async def story() -> None:
+    async def scenario() -> None:
         play = QueuePlay(lines)
         controller = play.controller
         by_name = {connection.name: connection for connection in play.connections}
@@ -147,5 +147,5 @@
         play.close()
 
     with delay_as_header():
-        run_coroutine(story())
+        run_coroutine(scenario())
     golden.check(lines, "lobby")
--- a/tests/network/test_body_stream.py
+++ b/tests/network/test_body_stream.py
@@ -11,7 +11,7 @@
 from sloeferry.network.http1.message import Message
 from tests.support.fake_backends import FakeBackends, Script, content_length, response
 from tests.support.instrumented_harness import wait_until
-from tests.support.proxy_harness import PlayStory, ProxyHarness
+from tests.support.proxy_harness import ProxyHarness, ScenarioChecker
 
 KEYED_HEAD = (
     "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: c1\r\nX-Call-Class: keyed\r\nX-Caller: acme\r\n"
@@ -147,10 +147,10 @@
     harness.record(f"client of {http_version}: {received}")
 
 
-def test_trailers(play_story: PlayStory):
+def test_trailers(check_scenario: ScenarioChecker):
     """A trailer is no header: it frames nothing of what is forwarded."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         head = CHUNKED_HEAD
         await harness.send(head + "\r\n5;x=y\r\nhello\r\n0\r\nX-Tail: 1\r\n\r\n")
         for trailer in ("Content-Length: 400", "Transfer-Encoding: identity", "X-Load: 1", "X-Call-Id: c2"):
@@ -163,10 +163,10 @@
 
     harness = ProxyHarness({"b": response()})
     harness.backends.records_all_headers = True
-    play_story(story, "flow_trailers", harness)
+    check_scenario(scenario, "flow_trailers", harness)
 
 
-def test_long_responses(play_story: PlayStory):
+def test_long_responses(check_scenario: ScenarioChecker):
     """Long responses with a length, in chunks, to the end of the connection.  They are forwarded complete, to old clients too;
     cut off, the client can tell; the connection is used again where it may be."""
     long_body = "x" * (3 * MAX_BUFFERED_BODY_BYTES)
@@ -186,21 +186,21 @@
     replies = [reply for _, reply, http_versions, _ in cases for _ in http_versions]
     backends = LongBodyBackends({"b": lambda number: replies[number - 1]})
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         for name, _, http_versions, is_cut in cases:
             backends.closes_after_response = is_cut
             harness.record(f"-- {name}")
             for http_version in http_versions:
                 await record_response(harness, http_version)
 
-    play_story(story, "flow_long_answers", ProxyHarness(backends))
+    check_scenario(scenario, "flow_long_answers", ProxyHarness(backends))
 
 
-def test_pauses(play_story: PlayStory):
+def test_pauses(check_scenario: ScenarioChecker):
     """A response of no said length pauses, before and after it is begun to be forwarded.  Nothing of it is missing in the middle,
     whoever was waiting for it."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         for _ in range(4):
             await record_response(harness, "1.1")
 
@@ -211,15 +211,15 @@
         b"ond\r\n5\r\nth",
         b"ird\r\n0\r\n\r\n",
     ]
-    play_story(story, "flow_pauses", ProxyHarness(LongBodyBackends({"b": pieces}), deadline_ms=400))
+    check_scenario(scenario, "flow_pauses", ProxyHarness(LongBodyBackends({"b": pieces}), deadline_ms=400))
 
 
-def test_long_requests(play_story: PlayStory):
+def test_long_requests(check_scenario: ScenarioChecker):
     """A body longer than the buffer goes to one backend, once.  A dead one before it costs nothing; its client may break off; a
     backend may answer before it has all of it."""
     backends = LongBodyBackends({"b": response()})
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         body = "y" * (4 * MAX_BUFFERED_BODY_BYTES)
         connection = await harness.connect()
         await harness.request("once", body, connection)
@@ -237,14 +237,14 @@
         await wait_until(lambda: harness.lines[-1].endswith("broken off"))
         await harness.request("safe", X_Call_Id="c8")
 
-    play_story(story, "flow_long_requests", ProxyHarness(backends))
+    check_scenario(scenario, "flow_long_requests", ProxyHarness(backends))
 
 
-def test_early_response(play_story: PlayStory):
+def test_early_response(check_scenario: ScenarioChecker):
     """A response comes before the request's body has.  The client gets it, and its connection ends."""
     backends = LongBodyBackends({"b": response()}, early_response=response("early"))
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         body = "y" * (2 * MAX_BUFFERED_BODY_BYTES)
         reader, writer = await harness.connect()
         writer.write((KEYED_HEAD + f"Content-Length: {4 * MAX_BUFFERED_BODY_BYTES}\r\n\r\n" + body).encode())
@@ -256,4 +256,4 @@
         backends.early_response = b""
         await harness.request("keyed", "next", X_Call_Id="c2", Idempotency_Key="k2")
 
-    play_story(story, "flow_early", ProxyHarness(backends))
+    check_scenario(scenario, "flow_early", ProxyHarness(backends))
--- a/tests/network/test_client_disconnect.py
+++ b/tests/network/test_client_disconnect.py
@@ -18,23 +18,23 @@
 from sloeferry.network.backend_connection import BackendConnection
 from tests.support.fake_backends import response
 from tests.support.instrumented_harness import NEVER_SECONDS, Gate, InstrumentedHarness, wait_until
-from tests.support.proxy_harness import PlayStory, Story
+from tests.support.proxy_harness import Scenario, ScenarioChecker
 
 
 @pytest.fixture
-def play_leaving(play_story: PlayStory) -> PlayStory:
-    """Plays a story between two requests of other clients; nothing of it is left behind."""
+def play_leaving(check_scenario: ScenarioChecker) -> ScenarioChecker:
+    """Plays a scenario between two requests of other clients; nothing of it is left behind."""
 
-    def play(story: Story, name: str, *harnesses: InstrumentedHarness) -> None:
+    def play(scenario: Scenario, name: str, *harnesses: InstrumentedHarness) -> None:
         async def surrounded(harness: InstrumentedHarness) -> None:
             await harness.request("safe", X_Call_Id="before")
-            await story(harness)
+            await scenario(harness)
             await harness.request("safe", X_Call_Id="after")
             await wait_until(lambda: not harness.dispatcher.requests)
             harness.record(harness.remaining())
 
         with mock.patch("sloeferry.network.stall_accounting.LOOP_CHECK_INTERVAL_SECONDS", NEVER_SECONDS):
-            play_story(surrounded, name, *(harnesses or [InstrumentedHarness({"b": response()})]))
+            check_scenario(surrounded, name, *(harnesses or [InstrumentedHarness({"b": response()})]))
 
     return play
 
@@ -60,11 +60,11 @@
     await wait_until(lambda: connection not in harness.clients.connections)
 
 
-def test_before_the_first_byte(play_leaving: PlayStory):
+def test_before_the_first_byte(play_leaving: ScenarioChecker):
     """An attempt is held right before its first byte, as after a stall.  Its client closes, closes behind a further byte or half
     a request, resets, only ends its sending, or stays."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         for behind, end in (
             (b"", socket.socket.close),
             (b"x", socket.socket.close),
@@ -75,13 +75,13 @@
         ):
             await leave_before_first_byte(harness, behind, end)
 
-    play_leaving(story, "crossing_first_byte")
+    play_leaving(scenario, "crossing_first_byte")
 
 
-def test_while_connecting(play_leaving: PlayStory):
+def test_while_connecting(play_leaving: ScenarioChecker):
     """The client leaves while the connection to the backend comes up."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         gate = Gate()
         connect = sockets.connect
 
@@ -98,13 +98,13 @@
             gate.opened.set()
             await wait_until(lambda: not harness.dispatcher.requests)
 
-    play_leaving(story, "crossing_dial")
+    play_leaving(scenario, "crossing_dial")
 
 
-def test_while_shedding(play_leaving: PlayStory):
+def test_while_shedding(play_leaving: ScenarioChecker):
     """The client leaves unread, while load is shed.  With what it sent comes its end."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         harness.dispatcher.overload.concurrency_limit = 0.0
         client = await harness.send_raw(harness.request_head() + b"x")
         await wait_until(lambda: harness.clients.admission_queue.waiting)
@@ -112,13 +112,13 @@
         harness.dispatcher.overload.concurrency_limit = inf
         await wait_until(lambda: connection not in harness.clients.connections)
 
-    play_leaving(story, "crossing_door")
+    play_leaving(scenario, "crossing_door")
 
 
-def test_behind_the_listener(play_leaving: PlayStory):
+def test_behind_the_listener(play_leaving: ScenarioChecker):
     """The client leaves while it waits behind the listener: no descriptor is free, or another process admits clients and ends."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         clients = harness.clients
         for cause, is_full in (("no seat", True), ("another process's turn", False)):
             limit = clients.budget.limit
@@ -137,27 +137,27 @@
             await wait_until(lambda count=count: clients.connections and len(clients.connections) <= count + 1)
             await harness.request("safe", X_Call_Id="c1", connection=other)
 
-    play_leaving(story, "crossing_listener")
+    play_leaving(scenario, "crossing_listener")
 
 
-def test_pipelined_request(play_leaving: PlayStory):
+def test_pipelined_request(play_leaving: ScenarioChecker):
     """Two requests come in one go, then the end.  The second is not begun once the first is given up."""
     release = asyncio.Event()
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         client = await harness.send_raw(harness.request_head("c1") + harness.request_head("c2"))
         await wait_until(lambda: harness.backends.requests_received == 2)
         connection = await client.leave()
         release.set()
         await wait_until(lambda: connection not in harness.clients.connections)
 
-    play_leaving(story, "crossing_ahead", InstrumentedHarness({"b": lambda number: release if number == 2 else response()}))
+    play_leaving(scenario, "crossing_ahead", InstrumentedHarness({"b": lambda number: release if number == 2 else response()}))
 
 
-def test_half_a_body(play_leaving: PlayStory):
+def test_half_a_body(play_leaving: ScenarioChecker):
     """A streamed body is not begun yet, and its client leaves half way.  Not one byte goes out."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         finished: list[bool] = []
 
         def finish(connection: BackendConnection, keep_alive: bool) -> None:
@@ -173,7 +173,7 @@
                 await wait_until(lambda: not harness.dispatcher.requests)
             harness.record(f"a connection untouched: {finished}")
 
-    play_leaving(story, "crossing_body")
+    play_leaving(scenario, "crossing_body")
 
 
 class UnnamedBackendsHarness(InstrumentedHarness):
@@ -184,11 +184,11 @@
         super().record(re.sub(r"backend \d, connection \d", "a backend", text))
 
 
-def test_no_retry(play_leaving: PlayStory):
+def test_no_retry(play_leaving: ScenarioChecker):
     """The attempt ends without a response after the client has left.  There is no retry."""
     release = asyncio.Event()
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         harness.backends.late_response = response("no", 500)
         client = await harness.send_raw(harness.request_head() + b"x")
         await wait_until(lambda: harness.backends.requests_received == 2)
@@ -199,14 +199,14 @@
     def script(number: int) -> bytes | asyncio.Event:
         return release if number == 2 else response()
 
-    play_leaving(story, "crossing_further", UnnamedBackendsHarness({"b": script, "c": script}))
+    play_leaving(scenario, "crossing_further", UnnamedBackendsHarness({"b": script, "c": script}))
 
 
-def test_same_id_again(play_leaving: PlayStory):
+def test_same_id_again(play_leaving: ScenarioChecker):
     """A client leaves unnoticed and comes again under the id that it left.  One that is there still keeps its id."""
     release = asyncio.Event()
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         client = await harness.send_raw(harness.request_head() + b"x")
         await wait_until(lambda: harness.backends.requests_received == 2)
         await harness.request("safe", X_Call_Id="c0")
@@ -214,4 +214,4 @@
         await harness.request("safe", X_Call_Id="c0")
         release.set()
 
-    play_leaving(story, "crossing_same_id", InstrumentedHarness({"b": lambda number: release if number == 2 else response()}))
+    play_leaving(scenario, "crossing_same_id", InstrumentedHarness({"b": lambda number: release if number == 2 else response()}))
--- a/tests/network/test_connect_errors.py
+++ b/tests/network/test_connect_errors.py
@@ -13,13 +13,13 @@
 from sloeferry.policy.endpoint_staleness import PollEnd
 from tests.support.fake_backends import response
 from tests.support.instrumented_harness import InstrumentedHarness
-from tests.support.proxy_harness import PlayStory
+from tests.support.proxy_harness import ScenarioChecker
 
 
-def test_connect_fails_for_a_while(play_story: PlayStory):
+def test_connect_fails_for_a_while(check_scenario: ScenarioChecker):
     """connect(2) fails on this machine for a while.  The request is served all the same, and its backend is not at fault."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         connect = sockets.connect
         failing = [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EINTR]
 
@@ -33,17 +33,17 @@
         failures = harness.dispatcher.policy.table.by_id["b"].consecutive_failures
         harness.record(f"left to fail: {failing}; failures held against it: {failures}")
 
-    play_story(story, "system_connect", InstrumentedHarness({"b": response()}))
+    check_scenario(scenario, "system_connect", InstrumentedHarness({"b": response()}))
 
 
-def test_connect_goes_on_failing(play_story: PlayStory):
+def test_connect_goes_on_failing(check_scenario: ScenarioChecker):
     """connect(2) goes on failing.  The request is rejected by half of its time."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         with mock.patch("sloeferry.network.sockets.connect", side_effect=OSError(errno.EADDRNOTAVAIL, "no")):
             await harness.request("once")
 
-    play_story(story, "system_connect_long", InstrumentedHarness({"b": response()}, deadline_ms=400))
+    check_scenario(scenario, "system_connect_long", InstrumentedHarness({"b": response()}, deadline_ms=400))
 
 
 @pytest.mark.parametrize("number", [errno.ECONNREFUSED, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET])
--- a/tests/network/test_connection_end.py
+++ b/tests/network/test_connection_end.py
@@ -12,16 +12,16 @@
 from sloeferry.network.request_runner import RequestRunner
 from tests.support.fake_backends import response
 from tests.support.instrumented_harness import Gate, InstrumentedHarness, wait_until
-from tests.support.proxy_harness import PlayStory
+from tests.support.proxy_harness import ScenarioChecker
 
 LONG_BODY_BYTES = 900_000
 
 
-def test_ended_while_its_task_sends(play_story: PlayStory):
+def test_ended_while_its_task_sends(check_scenario: ScenarioChecker):
     """A client gives no more of its body and is ended by the sweep, while its own task carries the attempt; another is ended with
     a command that nobody has begun.  Nothing of either is left behind."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         with mock.patch("sloeferry.network.connection_sweeper.READ_TIMEOUT_SECONDS", 0.1):
             client = await harness.send_raw(harness.request_head(body_bytes=200000) + b"x" * 100000)
             swept = await client.until(lambda connection: connection.reader.receiving_body_since)
@@ -39,13 +39,13 @@
         harness.record(f"with an order: {harness.remaining()}")
         client.close()
 
-    play_story(story, "crossing_ended", InstrumentedHarness({"b": response()}))
+    check_scenario(scenario, "crossing_ended", InstrumentedHarness({"b": response()}))
 
 
-def test_timed_out_while_it_writes(play_story: PlayStory):
+def test_timed_out_while_it_writes(check_scenario: ScenarioChecker):
     """Half a request's time is over just as 100 Continue is written.  That is not broken off, and the rest of it counts."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         gate = Gate()
         send = ClientConnection.send
 
@@ -65,7 +65,7 @@
             await client.record_received(15)
             client.close()
 
-    play_story(story, "crossing_hurried", InstrumentedHarness({"b": response()}))
+    check_scenario(scenario, "crossing_hurried", InstrumentedHarness({"b": response()}))
 
 
 async def receive_slowly(client_socket: socket.socket) -> bytes:
@@ -79,11 +79,11 @@
     return received
 
 
-def test_response_over_unread_bytes(play_story: PlayStory):
+def test_response_over_unread_bytes(check_scenario: ScenarioChecker):
     """A client that wants its connection closed sent more behind its request, and reads slowly.  Closed over what is unread the
     connection would be reset, and the rest of the response lost."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         gate = Gate()
         send = ClientConnection.send
 
@@ -102,14 +102,14 @@
         client.close()
         harness.record(f"client gets all: {received.endswith(b'x' * LONG_BODY_BYTES)}")
 
-    play_story(story, "crossing_unread", InstrumentedHarness({"b": response("x" * LONG_BODY_BYTES)}))
+    check_scenario(scenario, "crossing_unread", InstrumentedHarness({"b": response("x" * LONG_BODY_BYTES)}))
 
 
-def test_half_a_request_is_rejected(play_story: PlayStory):
+def test_half_a_request_is_rejected(check_scenario: ScenarioChecker):
     """Half a request, and its descriptor is needed, or the rest of its body stays out.  It is told so, since its last byte may be
     on its way.  What has its response under way is not told another."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         budget = harness.clients.budget
         await wait_until(lambda: not harness.clients.connections)
         budget.limit = 1
@@ -125,13 +125,13 @@
             await client.record_received(28)
         client.close()
 
-    play_story(story, "crossing_turned_out", InstrumentedHarness({"b": response()}))
+    check_scenario(scenario, "crossing_turned_out", InstrumentedHarness({"b": response()}))
 
 
-def test_broken_as_it_is_accepted(play_story: PlayStory):
+def test_broken_as_it_is_accepted(check_scenario: ScenarioChecker):
     """A socket breaks as it is accepted.  Its descriptor is free again, and the next one is admitted."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         await wait_until(lambda: not harness.clients.connections)
         set_option = socket.socket.setsockopt
         broken: list[socket.socket] = []
@@ -152,13 +152,13 @@
         await wait_until(lambda: not harness.clients.connections)
         harness.record(f"seats taken: {harness.clients.budget.in_use}")
 
-    play_story(story, "crossing_let_in", InstrumentedHarness({"b": response()}))
+    check_scenario(scenario, "crossing_let_in", InstrumentedHarness({"b": response()}))
 
 
-def test_timed_out_as_its_last_byte_comes(play_story: PlayStory):
+def test_timed_out_as_its_last_byte_comes(check_scenario: ScenarioChecker):
     """Half a request's time is over, and its last byte is there.  There is a final answer, and nothing was forwarded."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         client = await harness.send_raw(harness.request_head(body_bytes=4) + b"bod")
         connection = await client.until(
             lambda connection: connection.stream.message.body_bytes == 3 and connection.reader.is_reading
@@ -169,4 +169,4 @@
         await client.record_received(28)
         client.close()
 
-    play_story(story, "crossing_last_byte", InstrumentedHarness({"b": response()}))
+    check_scenario(scenario, "crossing_last_byte", InstrumentedHarness({"b": response()}))
--- a/tests/network/test_discovery_client.py
+++ b/tests/network/test_discovery_client.py
@@ -15,15 +15,15 @@
 from tests.support.fake_backends import response
 from tests.support.fake_discovery import STREAM_HEAD
 from tests.support.instrumented_harness import InstrumentedHarness, wait_until
-from tests.support.proxy_harness import PlayStory, ProxyHarness
+from tests.support.proxy_harness import ProxyHarness, ScenarioChecker
 
 ARRIVAL_SECONDS = 0.1  # for a list that was written to have arrived
 
 
-def test_endpoint_list(play_story: PlayStory):
+def test_endpoint_list(check_scenario: ScenarioChecker):
     """Changes act; what cannot be read is ignored."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         discovery = harness.discovery
         await harness.request("safe")
         discovery.push("{ nonsense")
@@ -42,25 +42,25 @@
         await asyncio.sleep(ARRIVAL_SECONDS)
         await harness.request("safe")
 
-    play_story(story, "sockets_list", ProxyHarness({"b": response()}))
+    check_scenario(scenario, "sockets_list", ProxyHarness({"b": response()}))
 
 
-def test_discovery_is_down(play_story: PlayStory):
+def test_discovery_is_down(check_scenario: ScenarioChecker):
     """Discovery is down while a proxy starts.  It is ready on the cached list, which serves: forty that restart at once would all
     ask in the same moment."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         harness.record(f"calls for the list before the first client: {len(harness.discovery.polls)}")
         await harness.request("safe")
 
     harness = ProxyHarness({"b": response()}, cached_endpoints=["b"], poll_within_ms=400_000)
-    play_story(story, "sockets_list_down", harness)
+    check_scenario(scenario, "sockets_list_down", harness)
 
 
-def test_watch_that_ends_in_any_way(play_story: PlayStory):
+def test_watch_that_ends_in_any_way(check_scenario: ScenarioChecker):
     """Whatever ends a watch, or leaves it silent, the next poll asks from the last revision on."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         discovery = harness.discovery
         await wait_until(lambda: len(discovery.polls) >= 6)
         harness.lines.extend(discovery.polls[:6])
@@ -78,13 +78,13 @@
         STREAM_HEAD + b'30\r\n{"revision":7,"complete":false,"members":[]}   \n\r\n',
     ]
     with mock.patch("sloeferry.network.discovery_watch.MAX_SILENCE_SECONDS", 0.1):
-        play_story(story, "sockets_rough_discovery", harness)
+        check_scenario(scenario, "sockets_rough_discovery", harness)
 
 
-def test_discovery_comes_back(play_story: PlayStory):
+def test_discovery_comes_back(check_scenario: ScenarioChecker):
     """Discovery is cut off.  It is connected to until it is there, not once a poll; the cached list serves meanwhile."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         loop, port = asyncio.get_running_loop(), await harness.free_port()
         settings = build_settings({"schemes.count": 1, "limits.dial_timeout": 20.0})
         config = InstanceConfig("n0", ("", 0), ("127.0.0.1", port), 7, 64, 1 << 27, {}, settings)
@@ -101,4 +101,4 @@
         server.close()
         harness.record(f"connected, seats taken: {budget.in_use}")
 
-    play_story(story, "sockets_discovery_back", ProxyHarness({}, cached_endpoints=["nobody"]))
+    check_scenario(scenario, "sockets_discovery_back", ProxyHarness({}, cached_endpoints=["nobody"]))
--- a/tests/network/test_load_shedding.py
+++ b/tests/network/test_load_shedding.py
@@ -5,16 +5,16 @@
 
 from sloeferry.policy.overload_control import OverloadController
 from tests.support.fake_backends import Script, response
-from tests.support.proxy_harness import READY_REQUEST, PlayStory, ProxyHarness, run_story
+from tests.support.proxy_harness import READY_REQUEST, ProxyHarness, ScenarioChecker, run_scenario
 
 REQUEST_HEAD = "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: c1\r\nX-Call-Class: once\r\nX-Caller: acme\r\nX-Budget-Ms: 3000\r\n"
 
 
-def test_shedding_on_loopback(play_story: PlayStory):
+def test_shedding_on_loopback(check_scenario: ScenarioChecker):
     """While load is shed, plain requests and such with bodies in pieces are rejected with a Retry-After, unparsed ones too.  What
     is no good request still gets its 4xx, and /ready is answered.  Afterwards all is served on the connections that were kept."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         with (
             mock.patch.object(OverloadController, "record_loop_lag"),
             mock.patch.object(OverloadController, "is_shedding", lambda self: True),
@@ -38,7 +38,7 @@
         await harness.request("safe", connection=kept)
         await harness.request("once", "a body", in_pieces)
 
-    play_story(story, "door_shut", ProxyHarness({"b": response()}, retry_after=True))
+    check_scenario(scenario, "door_shut", ProxyHarness({"b": response()}, retry_after=True))
 
 
 def attempts_in_flight() -> int:
@@ -58,7 +58,7 @@
             return None
         return response()
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         nonlocal is_next_silent
         for _ in range(4):  # so that it knows how long responses take
             await harness.request("safe")
@@ -68,7 +68,7 @@
         harness.record(f"answered, {attempts_in_flight()} postings left out")
 
     harness = ProxyHarness({"b": script, "c": script}, second_copies=True, probing=True)
-    run_story(story, harness)
+    run_scenario(scenario, harness)
     received = [line for line in harness.lines if line.startswith("client gets")]
     assert len(received) == 5
     assert received[-1] in ("client gets: 200 done", "client gets: 503 ", "client gets: 504 "), received
--- a/tests/network/test_request_intake.py
+++ b/tests/network/test_request_intake.py
@@ -5,7 +5,7 @@
 
 from tests.support.fake_backends import response
 from tests.support.instrumented_harness import wait_until
-from tests.support.proxy_harness import PlayStory, ProxyHarness
+from tests.support.proxy_harness import ProxyHarness, ScenarioChecker
 
 BAD_HEADERS = {"X_Call_Id": None, "X_Call_Class": "unheard", "X_Caller": "nobody", "X_Budget_Ms": "soon", "Host": None}
 GOOD_HEAD = "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: c9\r\nX-Call-Class: once\r\nX-Caller: acme\r\nX-Budget-Ms: 3000\r\n"
@@ -34,10 +34,10 @@
 HALF_REQUESTS = ("", "GET /api HTTP/1.1\r\nX-Call", "POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nxx")
 
 
-def test_bad_requests(play_story: PlayStory):
+def test_bad_requests(check_scenario: ScenarioChecker):
     """Whatever is no good request gets a plain 4xx or a close, and the next good one is served."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         for name, value in BAD_HEADERS.items():
             await harness.request("safe", **{name: value})
         await harness.request("keyed", Idempotency_Key=None)
@@ -57,14 +57,14 @@
             writer.close()  # gone half way
         await harness.request("safe")
 
-    play_story(story, "sockets_bad_input", ProxyHarness({"b": response()}))
+    check_scenario(scenario, "sockets_bad_input", ProxyHarness({"b": response()}))
 
 
-def test_open_request_id(play_story: PlayStory):
+def test_open_request_id(check_scenario: ScenarioChecker):
     """An id that is in flight is not taken twice; once answered it may come again."""
     release = asyncio.Event()
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         first = asyncio.get_running_loop().create_task(harness.request("once"))
         await wait_until(lambda: harness.backends.requests_received)
         await harness.request("safe")
@@ -73,13 +73,13 @@
         await first
         await harness.request("safe")
 
-    play_story(story, "sockets_open_id", ProxyHarness({"b": lambda number: release if number == 1 else response()}))
+    check_scenario(scenario, "sockets_open_id", ProxyHarness({"b": lambda number: release if number == 1 else response()}))
 
 
-def test_client_gone(play_story: PlayStory):
+def test_client_gone(check_scenario: ScenarioChecker):
     """A client that leaves while its request is in flight takes nobody with it."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         _, writer = await harness.connect()
         writer.write(
             b"POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: c0\r\nX-Call-Class: once\r\n"
@@ -89,4 +89,4 @@
         writer.transport.abort()
         await harness.request("safe")
 
-    play_story(story, "sockets_client_gone", ProxyHarness({"b": lambda number: response() if number > 1 else None}))
+    check_scenario(scenario, "sockets_client_gone", ProxyHarness({"b": lambda number: response() if number > 1 else None}))
--- a/tests/support/proxy_harness.py
+++ b/tests/support/proxy_harness.py
@@ -17,33 +17,33 @@
 from tests.support.fake_discovery import FakeDiscovery
 
 SECOND_RESPONSE_SECONDS = connection_pool.DUPLICATE_RESPONSE_SECONDS  # as it is outside the tests
-STORY_SECONDS = 60  # the longest that a story may take
+SCENARIO_TIMEOUT_SECONDS = 60  # the longest that a scenario may take
 BODY_SHOWN = 40  # characters of a body that are recorded
 READY_REQUEST = "GET /ready HTTP/1.1\r\n\r\n"
 
 Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-Story = Callable[[Any], Awaitable[None]]
+Scenario = Callable[[Any], Awaitable[None]]
 
 
-class PlayStory(Protocol):
-    """Plays a story with each harness in turn, and compares what all peers saw with one golden file."""
+class ScenarioChecker(Protocol):
+    """Plays a scenario with each harness in turn, and compares what all peers saw with one golden file."""
 
-    def __call__(self, story: Story, name: str, *harnesses: "ProxyHarness") -> None:
+    def __call__(self, scenario: Scenario, name: str, *harnesses: "ProxyHarness") -> None:
         """`name` is the golden file's."""
 
 
 def run_coroutine(coroutine: Any) -> Any:
-    """Runs it on a loop of its own, for STORY_SECONDS at most; what it returns."""
+    """Runs it on a loop of its own, for SCENARIO_TIMEOUT_SECONDS at most; what it returns."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(asyncio.wait_for(coroutine, STORY_SECONDS))
+        return runner.run(asyncio.wait_for(coroutine, SCENARIO_TIMEOUT_SECONDS))
 
 
-def run_story(story: Story, harness: "ProxyHarness") -> None:
-    """A story with one proxy, from its start to its end."""
+def run_scenario(scenario: Scenario, harness: "ProxyHarness") -> None:
+    """A scenario with one proxy, from its start to its end."""
 
     async def run() -> None:
         async with harness:
-            await story(harness)
+            await scenario(harness)
 
     run_coroutine(run())
 
