--- a/tests/config/test_settings_at_work.py
+++ b/tests/config/test_settings_at_work.py
@@ -8,7 +8,7 @@
 from sloeferry.config.settings_reader import REQUEST_CLASS_DEFAULTS
 from tests.support.fake_backends import response
 from tests.support.instrumented_harness import InstrumentedHarness
-from tests.support.proxy_harness import PlayStory, ProxyHarness
+from tests.support.proxy_harness import ProxyHarness, ScenarioChecker
 
 
 @pytest.mark.parametrize(
@@ -20,7 +20,7 @@
     ],
     ids=["no drain grace", "long step", "no weight"],
 )
-def test_proxy_serves_with_extreme_settings(play_story: PlayStory, name: str, settings: dict[str, Any], weight: float):
+def test_proxy_serves_with_extreme_settings(check_scenario: ScenarioChecker, name: str, settings: dict[str, Any], weight: float):
     """The proxy starts and serves with a drain grace of 0, with a step longer than the initially assumed time between requests,
     and with priority weights of 0."""
 
@@ -33,7 +33,7 @@
 
     with mock.patch.dict(REQUEST_CLASS_DEFAULTS, gain=weight):
         harness = NamedHarness({"b": response()}, deadline_ms=500, settings=settings)
-        play_story(lambda harness: harness.request("once"), f"extreme_{name}", harness)
+        check_scenario(lambda harness: harness.request("once"), f"extreme_{name}", harness)
 
 
 class NonLatin1Harness(InstrumentedHarness):
@@ -42,10 +42,10 @@
     REQUEST_CLASSES = [("จอด", "retryable"), ("ผูก", "fragile"), ("gehört", "retryable")]
 
 
-def test_class_names_outside_latin_1(play_story: PlayStory):
+def test_class_names_outside_latin_1(check_scenario: ScenarioChecker):
     """Class names outside Latin-1 stay distinct; replacing their letters by one character would merge two classes."""
 
-    async def story(harness: NonLatin1Harness) -> None:
+    async def scenario(harness: NonLatin1Harness) -> None:
         for name in ("จอด", "ผูก", "?" * 3, "gehört"):
             request_id = "c" + name.encode().hex()
             request = harness.request_head(request_id, class_name="CLASS").replace(b"CLASS", name.encode(), 1)
@@ -53,4 +53,4 @@
         request = harness.request_head("c9", class_name="CLASS").replace(b"CLASS", "gehört".encode("latin-1"), 1)
         harness.record(f"gehört in Latin-1: {await harness.send(request, is_recorded=False)}")
 
-    play_story(story, "non_latin1_class_names", NonLatin1Harness({"b": response()}))
+    check_scenario(scenario, "non_latin1_class_names", NonLatin1Harness({"b": response()}))
--- a/tests/dispatch/test_stale_list.py
+++ b/tests/dispatch/test_stale_list.py
@@ -13,7 +13,7 @@
 from sloeferry.network import sockets
 from tests.support.fake_backends import response
 from tests.support.instrumented_harness import InstrumentedHarness, wait_until
-from tests.support.proxy_harness import PlayStory, Story
+from tests.support.proxy_harness import Scenario, ScenarioChecker
 
 
 def make_stale(harness: InstrumentedHarness) -> None:
@@ -26,21 +26,21 @@
     return harness.dispatcher.guard.refusals[Refusal.LIST_STALE] > 0
 
 
-def test_request_on_stale_list_is_rejected(play_story: PlayStory):
+def test_request_on_stale_list_is_rejected(check_scenario: ScenarioChecker):
     """A request that arrives while the list is stale is rejected at once."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         make_stale(harness)
         await harness.request("safe")
         harness.record(f"refused for a stale list: {was_refused(harness)}")
 
-    play_story(story, "stale_first", InstrumentedHarness({"b": response()}))
+    check_scenario(scenario, "stale_first", InstrumentedHarness({"b": response()}))
 
 
-def test_list_becomes_stale_while_connecting(play_story: PlayStory):
+def test_list_becomes_stale_while_connecting(check_scenario: ScenarioChecker):
     """The list becomes stale while the connection to the backend is established; the attempt is refused."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         connect = sockets.connect
 
         async def connect_and_make_stale(*arguments: Any) -> socket.socket | None:
@@ -52,13 +52,13 @@
             await harness.request("once")
         harness.record(f"asked {harness.backends.requests_received}, refused {was_refused(harness)}")
 
-    play_story(story, "stale_while_connecting", InstrumentedHarness({"b": response()}))
+    check_scenario(scenario, "stale_while_connecting", InstrumentedHarness({"b": response()}))
 
 
-def stale_before_first_byte(body: str = "") -> Story:
+def stale_before_first_byte(body: str = "") -> Scenario:
     """Return a scenario in which the list becomes stale while an attempt waits immediately before its first byte."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         with harness.before_first_byte() as gate:
             call = asyncio.ensure_future(harness.request("once", body=body))
             await gate.held.wait()
@@ -67,18 +67,18 @@
             await call
         harness.record(f"asked {harness.backends.requests_received}")
 
-    return story
+    return scenario
 
 
-def test_list_becomes_stale_before_first_byte(play_story: PlayStory):
+def test_list_becomes_stale_before_first_byte(check_scenario: ScenarioChecker):
     """The list becomes stale while the attempt waits immediately before its first byte, as it does after a stall."""
-    play_story(stale_before_first_byte(), "stale_wait", InstrumentedHarness({"b": response()}))
+    check_scenario(stale_before_first_byte(), "stale_wait", InstrumentedHarness({"b": response()}))
 
 
-def test_list_becomes_stale_before_retry(play_story: PlayStory):
+def test_list_becomes_stale_before_retry(check_scenario: ScenarioChecker):
     """The list becomes stale before the first attempt in flight fails; there is no retry, although it would be safe."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         await harness.request("safe")
         harness.record(f"asked {harness.backends.requests_received}")
 
@@ -87,18 +87,18 @@
         return response("no", 503, "X-Rejected: 1")
 
     harness = InstrumentedHarness({"b": reject, "c": reject})
-    play_story(story, "stale_retry", harness)
+    check_scenario(scenario, "stale_retry", harness)
 
 
-def test_list_becomes_stale_before_streamed_body(play_story: PlayStory):
+def test_list_becomes_stale_before_streamed_body(check_scenario: ScenarioChecker):
     """The list becomes stale before the first byte of a request with a streamed body."""
-    play_story(stale_before_first_byte(body="x" * 200_000), "stale_upload", InstrumentedHarness({"b": response()}))
+    check_scenario(stale_before_first_byte(body="x" * 200_000), "stale_upload", InstrumentedHarness({"b": response()}))
 
 
-def test_list_becomes_stale_before_health_check(play_story: PlayStory):
+def test_list_becomes_stale_before_health_check(check_scenario: ScenarioChecker):
     """The list becomes stale between the command and the first byte of a health check."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         dispatcher = harness.dispatcher
         with mock.patch.object(dispatcher, "health_check_ended", wraps=dispatcher.health_check_ended) as ended:
             make_stale(harness)
@@ -106,14 +106,14 @@
             await wait_until(lambda: ended.called)
         harness.record(f"asked {harness.backends.requests_received}")
 
-    play_story(story, "stale_health_check", InstrumentedHarness({"b": response()}, probing=True))
+    check_scenario(scenario, "stale_health_check", InstrumentedHarness({"b": response()}, probing=True))
 
 
-def test_list_becomes_stale_before_hedged_request(play_story: PlayStory):
+def test_list_becomes_stale_before_hedged_request(check_scenario: ScenarioChecker):
     """The list becomes stale while an attempt is in flight; no hedged request is sent when one is due."""
     release = asyncio.Event()
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         call = asyncio.ensure_future(harness.request("safe"))
         await wait_until(lambda: harness.backends.requests_received)
         make_stale(harness)
@@ -126,4 +126,4 @@
         release.set()
         await call
 
-    play_story(story, "stale_hedge", InstrumentedHarness({"b": release, "c": release}, second_copies=True))
+    check_scenario(scenario, "stale_hedge", InstrumentedHarness({"b": release, "c": release}, second_copies=True))
--- a/tests/lifecycle/test_drain.py
+++ b/tests/lifecycle/test_drain.py
@@ -3,13 +3,13 @@
 from unittest import mock
 
 from tests.support.fake_backends import response
-from tests.support.proxy_harness import READY_REQUEST, PlayStory, ProxyHarness
+from tests.support.proxy_harness import READY_REQUEST, ProxyHarness, ScenarioChecker
 
 
-def test_drain_and_resume(play_story: PlayStory):
+def test_drain_and_resume(check_scenario: ScenarioChecker):
     """A draining proxy is not ready, still serves requests and closes all connections; after resume it keeps connections open."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         idle, used = await harness.connect(), await harness.connect()
         for connection in (idle, used):
             await harness.request("safe", connection=connection)
@@ -27,4 +27,4 @@
         for _ in range(2):
             await harness.request("safe", connection=kept)
 
-    play_story(story, "drain_and_resume", ProxyHarness({"b": response()}, has_admin=True))
+    check_scenario(scenario, "drain_and_resume", ProxyHarness({"b": response()}, has_admin=True))
--- a/tests/lifecycle/test_takeover.py
+++ b/tests/lifecycle/test_takeover.py
@@ -12,7 +12,7 @@
 from tests.support.fake_backends import response
 from tests.support.golden import GoldenFiles
 from tests.support.policy_recorder import PolicyRecorder
-from tests.support.proxy_harness import READY_REQUEST, ProxyHarness, run_story
+from tests.support.proxy_harness import READY_REQUEST, ProxyHarness, run_scenario
 
 POLL_SECONDS = 0.02  # interval between health checks of a process
 
@@ -119,13 +119,13 @@
     """A second process takes over on the inherited socket while the first serves.  Each request is answered, the first process
     exits on SIGTERM, and a third one that is killed changes nothing."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             harness.port = listener.getsockname()[1]
             await run_takeover(harness, ProxyProcesses(harness, listener, tmp_path))
 
     harness = ProxyHarness({"b": response()})
-    run_story(story, harness)
+    run_scenario(scenario, harness)
     # The connection number at the backend depends on the process that sends the request.
     lines = [re.sub(r"backend 1, connection \d+", "backend", line) for line in harness.lines]
     golden.check(lines, "takeover_two_processes")
