--- a/sloeferry/fault_testing/cli.py
+++ b/sloeferry/fault_testing/cli.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class RunOutcome:
     """A run's record, the same in some lines, and what it amounts to."""
 
     record: dict[str, Any]
@@ -60,7 +60,7 @@
     as_json: bool,
 ) -> None:
     """Plays PLAN (a shipped name, `drawn-` and a seed, or a path).  Exit 0: kept, 1: broken, 3: void, 2: can't be played."""
-    resized = plans.resize(plans.read(plan), proxies, nodes)
+    resized = plans.resize(plans.read_plan(plan), proxies, nodes)
     if record and not record.parent.is_dir():
         raise ScenarioError(f"--record: {record.parent} is no folder")
     if virtual:
@@ -68,7 +68,7 @@
             raise ScenarioError("--plant: for real processes alone")
         outcome = _run_virtual(resized, seed)
     else:
-        options = RunOptions(plans.plan_text(plan), resized, seed, proxies, nodes)
+        options = RunOptions(plans.read_plan_text(plan), resized, seed, proxies, nodes)
         outcome = _run_real(options, plant, keep_logs)
     record_json = json.dumps(outcome.record, indent=1, sort_keys=True) + "\n"
     write_record(record, record_json)
@@ -76,38 +76,38 @@
     sys.exit(EXIT_CODES[outcome.verdict])
 
 
-def _run_virtual(plan: Plan, seed: int) -> Outcome:
+def _run_virtual(plan: Plan, seed: int) -> RunOutcome:
     from sloeferry.rehearsal.play import play
 
-    scenario, left_out = plans.virtual_twin(plan)
+    scenario, left_out = plans.to_virtual_scenario(plan)
     record = play(scenario, seed)
     record["without"] = left_out
     text = format_record(record)
     if left_out:
         text += f"\n  without: {', '.join(left_out)}"
     is_broken = any(record["rules"].values()) or bool(record["faults"])
-    return Outcome(record, text, Verdict.BROKEN if is_broken else Verdict.KEPT)
+    return RunOutcome(record, text, Verdict.BROKEN if is_broken else Verdict.KEPT)
 
 
-def _run_real(options: RunOptions, planted_fault: str | None, keep_logs: pathlib.Path | None) -> Outcome:
+def _run_real(options: RunOptions, planted_fault: str | None, keep_logs: pathlib.Path | None) -> RunOutcome:
     from sloeferry.fault_testing.plan_run import run_and_judge
 
     record = run_and_judge(options, planted_fault, keep_logs)
-    return Outcome(record, record_text(record), Verdict(record["verdict"]))
+    return RunOutcome(record, record_text(record), Verdict(record["verdict"]))
 
 
 @rig.command("list")
 def list_plans() -> None:
     """The plans that are shipped."""
-    print_shipped(plans.shipped(), plans.read, NAME_WIDTH)
+    print_shipped(plans.shipped_names(), plans.read_plan, NAME_WIDTH)
 
 
 @rig.command()
 @click.argument("plan")
 def check(plan: str) -> None:
     """Reads and checks PLAN, and says what of it has no part in virtual time; exit 2 and one line where it can't be played."""
-    checked = plans.read(plan)
-    _, left_out = plans.virtual_twin(checked)
+    checked = plans.read_plan(plan)
+    _, left_out = plans.to_virtual_scenario(checked)
     backends = sum(group.count for group in checked.backends)
     click.echo(
         f"{checked.name}: {checked.seconds:g} s, {checked.proxies.count} proxies, {backends} nodes, "
--- a/sloeferry/fault_testing/event_recorder.py
+++ b/sloeferry/fault_testing/event_recorder.py
@@ -24,7 +24,7 @@
 from sloeferry.stand_ins.rules import Rule
 from sloeferry.stand_ins.wire_protocol import STATUS_OK, RequestKind, RequestOutcome, outcome_of_status
 
-LATENESS_CHECK_SECONDS = 0.02  # between two looks at how late a process runs
+LAG_CHECK_SECONDS = 0.02  # between two looks at how late a process runs
 BUFFER_BYTES = 1 << 18
 ID_CHARACTERS = 16  # of a request: the number of its call, in hexadecimal, and of the attempt of its client
 CALL_NUMBER_CHARACTERS = 12
@@ -32,9 +32,9 @@
 RecordedEvent = list[Any]  # loop time, word, fields
 
 
-def call_number(ident: str | bytes) -> int:
+def call_number(request_id: str | bytes) -> int:
     """The number of the call that a request belongs to; ValueError where there is none in it."""
-    return int(ident[:CALL_NUMBER_CHARACTERS], 16)
+    return int(request_id[:CALL_NUMBER_CHARACTERS], 16)
 
 
 class EventRecorder(EffectLog):
@@ -54,14 +54,14 @@
         # A loop's own time is that of its pass, in whole ms: the order of events is by the machine's clock.
         self._file.write(msgspec.json.encode((monotonic(), at, event, *fields)) + b"\n")
 
-    def watch_lateness(self, loop: asyncio.AbstractEventLoop, role: str, due_at: float | None = None) -> None:
+    def monitor_loop_lag(self, loop: asyncio.AbstractEventLoop, role: str, due_at: float | None = None) -> None:
         """Records how late this process runs, whenever it does, from now on."""
         if self._file.closed:  # what the loop still had to call when this process ended
             return
-        if due_at is not None and (late_seconds := loop.time() - due_at) > LATENESS_CHECK_SECONDS:
+        if due_at is not None and (late_seconds := loop.time() - due_at) > LAG_CHECK_SECONDS:
             self.note(loop.time(), Event.PROCESS_LATE, role, late_seconds * 1000)
-        next_check_at = loop.time() + LATENESS_CHECK_SECONDS
-        loop.call_later(LATENESS_CHECK_SECONDS, self.watch_lateness, loop, role, next_check_at)
+        next_check_at = loop.time() + LAG_CHECK_SECONDS
+        loop.call_later(LAG_CHECK_SECONDS, self.monitor_loop_lag, loop, role, next_check_at)
 
     def close(self) -> None:
         """Ends the record."""
@@ -69,56 +69,56 @@
 
     # What stand-ins ask
 
-    def planned_request(self, ident: bytes) -> PlannedRequest | None:
+    def planned_request(self, request_id: bytes) -> PlannedRequest | None:
         """The call that a request belongs to."""
         try:
-            number = call_number(ident) if len(ident) == ID_CHARACTERS else -1
+            number = call_number(request_id) if len(request_id) == ID_CHARACTERS else -1
         except ValueError:
             return None
         return self.planned_requests[number] if 0 <= number < len(self.planned_requests) else None
 
-    def request_class(self, ident: bytes) -> RequestClass | None:
+    def request_class(self, request_id: bytes) -> RequestClass | None:
         """Its request class."""
-        planned = self.planned_request(ident)
+        planned = self.planned_request(request_id)
         return self.plan.request_classes[planned.class_index] if planned else None
 
-    def work_ms(self, ident: bytes) -> float:
+    def work_ms(self, request_id: bytes) -> float:
         """What it costs an idle backend of one core, in ms."""
-        return self.planned_request(ident).work_ms
+        return self.planned_request(request_id).work_ms
 
-    def always_fails(self, ident: bytes) -> bool:
+    def always_fails(self, request_id: bytes) -> bool:
         """Whether it errs at any backend."""
-        return self.planned_request(ident).always_fails
+        return self.planned_request(request_id).always_fails
 
-    def body_bytes(self, ident: bytes) -> int:
+    def body_bytes(self, request_id: bytes) -> int:
         """Bytes of its body."""
-        request_class = self.request_class(ident)
+        request_class = self.request_class(request_id)
         return request_class.body_bytes if request_class.kind != RequestKind.IDEMPOTENT else 0
 
     # What clients report
 
-    def request_started(self, ident: bytes, planned: PlannedRequest, proxy: str, now: float, deadline: float) -> None:
+    def request_started(self, request_id: bytes, planned: PlannedRequest, proxy: str, now: float, deadline: float) -> None:
         """A request is being written."""
-        self.note(now, Event.REQUEST_BEGAN, ident.decode(), proxy, deadline)
+        self.note(now, Event.REQUEST_BEGAN, request_id.decode(), proxy, deadline)
 
-    def request_written(self, ident: bytes, now: float, deadline: float) -> None:
+    def request_written(self, request_id: bytes, now: float, deadline: float) -> None:
         """Its last byte was written."""
-        self.note(now, Event.REQUEST_SENT, ident.decode(), deadline)
+        self.note(now, Event.REQUEST_SENT, request_id.decode(), deadline)
 
-    def response_received(self, ident: bytes, now: float, status: int, body: bytes) -> RequestOutcome:
+    def response_received(self, request_id: bytes, now: float, status: int, body: bytes) -> RequestOutcome:
         """A complete response came; what it means."""
-        is_own = status != STATUS_OK or body == ident.ljust(self.response_bytes(ident))
-        self.note(now, Event.RESPONSE_RECEIVED, ident.decode(), status, is_own)
+        is_own = status != STATUS_OK or body == request_id.ljust(self.response_bytes(request_id))
+        self.note(now, Event.RESPONSE_RECEIVED, request_id.decode(), status, is_own)
         return outcome_of_status(status)
 
-    def may_send_again(self, ident: bytes) -> bool:
+    def may_send_again(self, request_id: bytes) -> bool:
         """Whether it crossed the end of its connection is known only once all records are there: not sent again."""
-        self.note(self._clock(), Event.IDLE_CLOSE_CROSSED, ident.decode())
+        self.note(self._clock(), Event.IDLE_CLOSE_RACED, request_id.decode())
         return False
 
-    def response_missing(self, ident: bytes, now: float, reason: str) -> RequestOutcome:
+    def response_missing(self, request_id: bytes, now: float, reason: str) -> RequestOutcome:
         """No response came."""
-        self.note(now, Event.RESPONSE_MISSING, ident.decode(), reason)
+        self.note(now, Event.RESPONSE_MISSING, request_id.decode(), reason)
         return RequestOutcome.UNANSWERED
 
     def request_ended(self, planned: PlannedRequest, outcome: RequestOutcome, now: float) -> None:
@@ -129,22 +129,28 @@
 
     # What backends report
 
-    def body_received(self, backend_id: str, ident: bytes | None, body: bytes, now: float) -> None:
+    def body_received(self, backend_id: str, request_id: bytes | None, body: bytes, now: float) -> None:
         """A complete request came: its body has to be the one that its client sent."""
-        if ident is not None and self.request_class(ident) and body != request_body(ident, self.body_bytes(ident)):
-            self.violation(Rule.PROTOCOL, now, f"{backend_id} got a body of {len(body)} bytes that is not {ident.decode()}'s own")
-
-    def attempt_received(self, backend_id: str, zone: str, ident: bytes, sent_at: float) -> None:
+        if (
+            request_id is not None
+            and self.request_class(request_id)
+            and body != request_body(request_id, self.body_bytes(request_id))
+        ):
+            self.violation(
+                Rule.PROTOCOL, now, f"{backend_id} got a body of {len(body)} bytes that is not {request_id.decode()}'s own"
+            )
+
+    def attempt_received(self, backend_id: str, zone: str, request_id: bytes, sent_at: float) -> None:
         """A complete request came, its first byte at `sent_at`."""
-        self.note(self._clock(), Event.ATTEMPT_RECEIVED, backend_id, zone, ident.decode(), sent_at)
+        self.note(self._clock(), Event.ATTEMPT_RECEIVED, backend_id, zone, request_id.decode(), sent_at)
 
-    def acted_on_received(self, backend_id: str, ident: bytes, versions: bytes, now: float) -> None:
+    def acted_on_received(self, backend_id: str, request_id: bytes, versions: bytes, now: float) -> None:
         """Under which versions its proxy says to have sent it."""
-        self.note(now, Event.ATTEMPT_VERSIONS, backend_id, ident.decode(), versions.decode("latin-1"))
+        self.note(now, Event.ATTEMPT_VERSIONS, backend_id, request_id.decode(), versions.decode("latin-1"))
 
-    def request_ran(self, backend_id: str, ident: bytes, now: float) -> None:
+    def request_ran(self, backend_id: str, request_id: bytes, now: float) -> None:
         """Its work began."""
-        self.note(now, Event.ATTEMPT_RAN, backend_id, ident.decode())
+        self.note(now, Event.ATTEMPT_RAN, backend_id, request_id.decode())
 
     def congestion_began(self, backend_id: str) -> None:
         """A long queue makes a backend slow."""
@@ -153,12 +159,16 @@
     def backend_pushed_over(self, backend_id: str, now: float, capacity_ratio: float, recent: Iterable[RecentWork]) -> None:
         """A backend that warms up was pushed over by `recent`."""
         self.note(
-            now, Event.BACKEND_FELL_OVER, backend_id, capacity_ratio, [(at, work, ident.decode()) for at, work, ident in recent]
+            now,
+            Event.BACKEND_OVERLOADED,
+            backend_id,
+            capacity_ratio,
+            [(at, work, request_id.decode()) for at, work, request_id in recent],
         )
 
     def violation(self, rule: str, now: float, text: str) -> None:
         """A rule that a stand-in saw broken."""
-        self.note(now, Event.RULE_BROKEN, rule, text)
+        self.note(now, Event.RULE_VIOLATED, rule, text)
 
     # What discovery and the run report
 
--- a/sloeferry/fault_testing/fault_actions.py
+++ b/sloeferry/fault_testing/fault_actions.py
@@ -20,7 +20,7 @@
 START_INTERVAL_SECONDS = 0.05  # between two starts of processes: a start holds the driver up
 STARTUP_SECONDS = 2.0  # in which a process has read its file for certain
 CUT_LINK_MARGIN_SECONDS = 0.1  # for which callers count as cut off after a link is whole again
-LINK_KEYS = {"direction": "way", "delay_ms": "ms", "byte_limit": "bytes"}  # fields, and the plan's words for them
+LINK_FAULT_KEYS = {"direction": "way", "delay_ms": "ms", "byte_limit": "bytes"}  # fields, and the plan's words for them
 
 
 class FaultAction:
@@ -34,24 +34,24 @@
         self.loop = fleet.loop
         self.recorder = fleet.judge
 
-    def strike(self) -> None:
+    def inject(self) -> None:
         """Records the fault, does it, and records when it is over."""
-        self.record_strike()
+        self.record_start()
         self.apply()
-        over_at = self.over_at()
-        self.loop.call_later(self.fault.lasts_seconds, self.recorder.note, over_at, Event.FAULT_OVER, self.number)
+        ends_at = self.ends_at()
+        self.loop.call_later(self.fault.lasts_seconds, self.recorder.note, ends_at, Event.FAULT_ENDED, self.number)
 
-    def record_strike(self) -> None:
+    def record_start(self) -> None:
         """Records the fault and its targets."""
         targets = self.targets
         now = self.loop.time()
-        self.recorder.note(now, Event.FAULT_STRUCK, self.number, self.fault.kind, targets.proxies, len(targets.links))
+        self.recorder.note(now, Event.FAULT_BEGAN, self.number, self.fault.kind, targets.proxies, len(targets.links))
 
     def apply(self) -> None:
         """Does what the fault is, and sees to it that it ends."""
         raise NotImplementedError
 
-    def over_at(self) -> float:
+    def ends_at(self) -> float:
         """Loop time at which it is over, if it strikes now."""
         return self.loop.time() + self.fault.lasts_seconds
 
@@ -67,25 +67,25 @@
 class LinkAction(FaultAction):
     """The links' condition changes; the relay does it."""
 
-    def strike(self) -> None:
+    def inject(self) -> None:
         """Records the fault and whom it excuses, and tells the relay."""
-        self.record_strike()
-        self._record_excuses()
+        self.record_start()
+        self._record_exemptions()
         links = self.targets.links
-        keys = {key: getattr(self.fault, name) for name, key in LINK_KEYS.items() if hasattr(self.fault, name)}
+        keys = {key: getattr(self.fault, name) for name, key in LINK_FAULT_KEYS.items() if hasattr(self.fault, name)}
         relay = self.fleet.relay
         relay.command("set_condition", links, self.fault.kind, keys)
         self.loop.call_later(self.fault.lasts_seconds, relay.command, "set_condition", links, "", {})
 
-    def _record_excuses(self) -> None:
+    def _record_exemptions(self) -> None:
         now = self.loop.time()
-        over_at = self.over_at()
+        ends_at = self.ends_at()
         for name in self.proxy_names():
             if self.fault.between == "discovery":
-                self.recorder.note(now, Event.DISCOVERY_HELD, name, over_at)
+                self.recorder.note(now, Event.DISCOVERY_HELD, name, ends_at)
             elif self.fault.between == "callers":  # nobody can answer through it
-                self.recorder.proxy_stopped(name, now, over_at)
-                self.recorder.note(now, Event.CLIENTS_CUT_OFF, name, over_at + CUT_LINK_MARGIN_SECONDS)
+                self.recorder.proxy_stopped(name, now, ends_at)
+                self.recorder.note(now, Event.CLIENTS_CUT_OFF, name, ends_at + CUT_LINK_MARGIN_SECONDS)
 
 
 class KillAction(FaultAction):
@@ -93,30 +93,30 @@
 
     def apply(self) -> None:
         """Kills them, and starts them one after the other."""
-        for turn, number in enumerate(self.targets.proxies):
-            self.prepare(number)
+        for index, number in enumerate(self.targets.proxies):
+            self.prepare_next_process(number)
             proxy = self.fleet.proxies[number]
             proxy.kill()
-            self.loop.call_later(self.fault.lasts_seconds + START_INTERVAL_SECONDS * turn, proxy.start)
+            self.loop.call_later(self.fault.lasts_seconds + START_INTERVAL_SECONDS * index, proxy.start)
 
-    def prepare(self, number: int) -> None:
+    def prepare_next_process(self, number: int) -> None:
         """What that proxy's next process is to be."""
 
 
-class ClockAction(KillAction):
+class ClockStepAction(KillAction):
     """The wall clock is off from the next process on: nothing sets a clock that others have too."""
 
-    def prepare(self, number: int) -> None:
+    def prepare_next_process(self, number: int) -> None:
         """Its clock will be off."""
-        self.fleet.environment.clock_offsets[number] = self.fault.offset_seconds
+        self.fleet.environment.clock_offsets_seconds[number] = self.fault.offset_seconds
 
 
-class FailingCallsAction(KillAction):
+class FailingSystemCallsAction(KillAction):
     """System calls fail at times from the next process on."""
 
-    def prepare(self, number: int) -> None:
+    def prepare_next_process(self, number: int) -> None:
         """Its calls will fail."""
-        self.fleet.environment.failing_calls.add(number)
+        self.fleet.environment.failing_call_proxies.add(number)
 
 
 class StopAction(FaultAction):
@@ -128,14 +128,14 @@
             proxy.pause(self.fault.lasts_seconds)
 
 
-class TerminateAction(FaultAction):
+class TerminationAction(FaultAction):
     """SIGTERM, spread over the fault's time."""
 
     def apply(self) -> None:
         """One after the other."""
         proxies = self.proxies()
-        for turn, proxy in enumerate(proxies):
-            self.loop.call_later(self.fault.lasts_seconds * turn / len(proxies), proxy.restart)
+        for index, proxy in enumerate(proxies):
+            self.loop.call_later(self.fault.lasts_seconds * index / len(proxies), proxy.restart)
 
 
 class ReloadAction(FaultAction):
@@ -145,13 +145,13 @@
         """All at once; those whose process may not have read its file yet get neither."""
         rng = self.fleet.environment.rng(f"hup-{self.fault.at_seconds}")
         numbers = self.targets.proxies
-        without_signal = set(rng.sample(numbers, round(self.fault.lost_ratio * len(numbers))))
+        without_signal = set(rng.sample(numbers, round(self.fault.lost_signal_ratio * len(numbers))))
         for number, proxy in zip(numbers, self.proxies(), strict=True):
             self._write_settings(number, proxy)
             started_at = self.fleet.environment.started_at.get(number, 0.0)
             if self.loop.time() < started_at + STARTUP_SECONDS:
                 continue  # started on half of a file it would rightly end
-            self._spoil_file(proxy)
+            self._corrupt_file(proxy)
             if number not in without_signal:
                 proxy.send_signal(signal.SIGHUP)
 
@@ -162,7 +162,7 @@
             self.fleet.objective_ratios[number] = self.fault.objective_ratio
         proxy.write_config()
 
-    def _spoil_file(self, proxy: LiveProxy) -> None:
+    def _corrupt_file(self, proxy: LiveProxy) -> None:
         text = proxy.config_path.read_text()
         if self.fault.file == "cut":
             proxy.config_path.write_text(text[: len(text) // 2])
@@ -174,13 +174,13 @@
             self.loop.call_soon(os.replace, other, proxy.config_path)
 
 
-class DiscoveryDownAction(FaultAction):
+class DiscoveryDowntimeAction(FaultAction):
     """Discovery is down for all, whichever proxies were drawn."""
 
     def apply(self) -> None:
         """It ends, and comes back."""
         for place in self.fleet.places:
-            self.recorder.note(self.loop.time(), Event.DISCOVERY_UNREACHABLE, place.name, self.over_at())
+            self.recorder.note(self.loop.time(), Event.DISCOVERY_UNREACHABLE, place.name, self.ends_at())
         discovery = self.fleet.discovery
         discovery.go_down()
         self.loop.call_later(self.fault.lasts_seconds, lambda: self.loop.create_task(discovery.come_back()))
@@ -226,7 +226,7 @@
         failure = CallFailure(self.fault.failure)
         for name in self.proxy_names():
             if not failure.reachable:
-                self.recorder.note(self.loop.time(), Event.DISCOVERY_UNREACHABLE, name, self.over_at())
+                self.recorder.note(self.loop.time(), Event.DISCOVERY_UNREACHABLE, name, self.ends_at())
             self._set_failure(name, failure)
             self.loop.call_later(self.fault.lasts_seconds, self._set_failure, name, None)
 
@@ -237,16 +237,16 @@
 ACTIONS: dict[type[Fault], type[FaultAction]] = {
     faults.Kill: KillAction,
     faults.Stop: StopAction,
-    faults.Terminate: TerminateAction,
+    faults.Termination: TerminationAction,
     faults.Reload: ReloadAction,
-    faults.ClockStep: ClockAction,
-    faults.FailingCalls: FailingCallsAction,
-    faults.HoldLink: LinkAction,
-    faults.DelayLink: LinkAction,
+    faults.ClockStep: ClockStepAction,
+    faults.FailingSystemCalls: FailingSystemCallsAction,
+    faults.HeldLink: LinkAction,
+    faults.DelayedLink: LinkAction,
     faults.CutLink: LinkAction,
     faults.HalfOpenLink: LinkAction,
-    faults.BreakLink: LinkAction,
-    faults.DiscoveryDown: DiscoveryDownAction,
+    faults.BrokenLink: LinkAction,
+    faults.DiscoveryDowntime: DiscoveryDowntimeAction,
     faults.DiscoveryLag: DiscoveryLagAction,
     faults.OlderReplica: OlderReplicaAction,
     faults.RevisionReset: RevisionResetAction,
@@ -254,6 +254,6 @@
 }
 
 
-def action_of(fleet: "ProcessFleet", number: int, fault: Fault) -> FaultAction:
+def create_action(fleet: "ProcessFleet", number: int, fault: Fault) -> FaultAction:
     """What strikes when that fault of the plan is due."""
     return ACTIONS[type(fault)](fleet, number, fault)
--- a/sloeferry/fault_testing/draw_faults.py
+++ b/sloeferry/fault_testing/fault_generator.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 PlanTable = dict[str, Any]  # one table of a plan file, by its TOML keys
-FaultMaker = Callable[[], PlanTable]
+FaultFactory = Callable[[], PlanTable]
 
-FILE_STATES = ["whole", "cut", "stale", "swapped", "missing"]  # what a process finds of its settings at SIGHUP
+SETTINGS_FILE_STATES = ["whole", "cut", "stale", "swapped", "missing"]  # what a process finds of its settings at SIGHUP
 SCENARIO_FAULTS: list[PlanTable] = [
     {"what": "crash", "at": 3.0, "lasts": 1.5, "part": 0.3},
     {"what": "silent", "at": 2.0, "lasts": 2.0, "part": 0.2},
@@ -18,7 +18,7 @@
     {"what": "stall", "at": 1.0, "lasts": 5.0, "part": 0.4, "ms": 400, "every_ms": 900},
 ]
 MIN_FAULT_SECONDS = 0.5
-EDGE_SECONDS = 0.5  # at the beginning and at the end of a plan, without a fault
+FAULT_FREE_EDGE_SECONDS = 0.5  # at the beginning and at the end of a plan, without a fault
 MAX_LINK_FAULT_SECONDS = 2.5
 
 
@@ -27,18 +27,18 @@
     return {"what": "deploy", "at": 1.0, "lasts": lasts_seconds, "part": 0.6, "batch": 0.15, "drain_s": drain_seconds}
 
 
-class FaultDrawer:
+class FaultGenerator:
     """Draws the faults of one plan of `plan_seconds`; `struck_ratios`: which parts of the proxies may be struck."""
 
-    def __init__(self, rng: Random, plan_seconds: float, struck_ratios: list[float]):
+    def __init__(self, rng: Random, plan_seconds: float, target_ratios: list[float]):
         self.rng = rng
         self._plan_seconds = plan_seconds
-        self._struck_ratios = struck_ratios
+        self._struck_ratios = target_ratios
 
     def fault(self, kind: str, max_seconds: float, **keys: Any) -> PlanTable:
         """A fault of that kind, of at most `max_seconds`, with the further TOML keys."""
         lasts = round(self.rng.uniform(MIN_FAULT_SECONDS, max_seconds), 2)
-        at = round(self.rng.uniform(EDGE_SECONDS, self._plan_seconds - lasts - EDGE_SECONDS), 2)
+        at = round(self.rng.uniform(FAULT_FREE_EDGE_SECONDS, self._plan_seconds - lasts - FAULT_FREE_EDGE_SECONDS), 2)
         return {"at": at, "lasts": lasts, "part": self.rng.choice(self._struck_ratios), "what": kind, **keys}
 
     def link_fault(self, between: str) -> PlanTable:
@@ -59,14 +59,14 @@
         keys: PlanTable = {"lost": self.rng.choice([0, 0.3])}
         if objective_ratios:
             keys["sla"] = self.rng.choice(objective_ratios)
-        keys["file"] = self.rng.choice(FILE_STATES)
+        keys["file"] = self.rng.choice(SETTINGS_FILE_STATES)
         return self.fault("hup", 1, **keys)
 
     def clock_step(self, offsets_seconds: list[float]) -> PlanTable:
         """Wall clocks that are off by one of those offsets."""
         return self.fault("clock", 1, by_s=self.rng.choice(offsets_seconds))
 
-    def discovery_faults(self) -> list[FaultMaker]:
+    def discovery_faults(self) -> list[FaultFactory]:
         """Discovery down, behind, counting anew, or answering from an older replica."""
         return [
             lambda: self.fault("list-out", 2),
@@ -75,7 +75,7 @@
             lambda: self.fault("list-older", 2.5, by_s=self.rng.choice([1.0, 2.5])),
         ]
 
-    def process_faults(self) -> list[FaultMaker]:
+    def process_faults(self) -> list[FaultFactory]:
         """Proxies killed, stopped, or told to leave."""
         return [
             lambda: self.fault("kill", 2),
@@ -83,7 +83,7 @@
             lambda: self.fault("term", 3),
         ]
 
-    def link_faults(self) -> list[FaultMaker]:
+    def link_faults(self) -> list[FaultFactory]:
         """Links to backends, twice as likely as those to callers."""
         return [
             lambda: self.link_fault("nodes"),
--- a/sloeferry/fault_testing/flaky_sockets.py
+++ b/sloeferry/fault_testing/flaky_sockets.py
@@ -12,7 +12,7 @@
 FAILING_SECONDS = 0.5  # of each period
 CONNECT_ERRORS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNREFUSED)
 ACCEPT_ERRORS = (errno.ECONNABORTED, errno.EMFILE, errno.ENOBUFS, errno.EPROTO)
-SHORTEST_BYTES = 7  # of a short read or write
+MIN_TRANSFER_BYTES = 7  # of a short read or write
 
 
 def is_failing() -> bool:
@@ -20,7 +20,7 @@
     return time.monotonic() % PERIOD_SECONDS < FAILING_SECONDS
 
 
-def _fail(errors: tuple[int, ...]) -> None:
+def _raise_error(errors: tuple[int, ...]) -> None:
     number = random.choice(errors)
     raise OSError(number, errno.errorcode[number])
 
@@ -31,27 +31,27 @@
     def connect(self, address: tuple[str, int]) -> None:
         """As socket.connect, or one of CONNECT_ERRORS."""
         if is_failing():
-            _fail(CONNECT_ERRORS)
+            _raise_error(CONNECT_ERRORS)
         super().connect(address)
 
     def accept(self) -> tuple[socket.socket, tuple[str, int]]:
         """As socket.accept, or one of ACCEPT_ERRORS."""
         if is_failing():
-            _fail(ACCEPT_ERRORS)
+            _raise_error(ACCEPT_ERRORS)
         fd, address = self._accept()
         return FlakySocket(self.family, self.type, self.proto, fileno=fd), address
 
     def recv_into(self, buffer: bytearray | memoryview, nbytes: int = 0, flags: int = 0) -> int:
         """As socket.recv_into, of a random part of the buffer."""
-        if flags or len(buffer) <= SHORTEST_BYTES:
+        if flags or len(buffer) <= MIN_TRANSFER_BYTES:
             return super().recv_into(buffer, nbytes, flags)
-        return super().recv_into(memoryview(buffer)[: random.randint(SHORTEST_BYTES, len(buffer))], 0, flags)
+        return super().recv_into(memoryview(buffer)[: random.randint(MIN_TRANSFER_BYTES, len(buffer))], 0, flags)
 
     def send(self, data: bytes | memoryview, flags: int = 0) -> int:
         """As socket.send, of a random part of the data."""
-        if len(data) <= SHORTEST_BYTES:
+        if len(data) <= MIN_TRANSFER_BYTES:
             return super().send(data, flags)
-        return super().send(memoryview(data)[: random.randint(SHORTEST_BYTES, len(data))], flags)
+        return super().send(memoryview(data)[: random.randint(MIN_TRANSFER_BYTES, len(data))], flags)
 
 
 def tcp_socket() -> FlakySocket:
--- a/sloeferry/fault_testing/fleet_audit.py
+++ b/sloeferry/fault_testing/fleet_audit.py
@@ -10,7 +10,7 @@
 from sloeferry.stand_ins.wire_protocol import ADMIN_PORT_OFFSET
 
 
-async def audit_run(places: list[ProxyPlace], discovery: StandInDiscovery) -> dict[str, Any]:
+async def audit_running_fleet(places: list[ProxyPlace], discovery: StandInDiscovery) -> dict[str, Any]:
     """Asks all proxies at their admin addresses; discovery stands at its revision once all have answered."""
     proxies = tuple(ProxyAddress(place.name, (place.address[0], place.address[1] + ADMIN_PORT_OFFSET)) for place in places)
     fleet = FleetConfig(proxies, None)
--- a/sloeferry/fault_testing/link_relay.py
+++ b/sloeferry/fault_testing/link_relay.py
@@ -50,12 +50,12 @@
     byte_limit: int = 0
 
     @classmethod
-    def of_plan(cls, kind: str, keys: dict[str, Any]) -> "LinkCondition":
+    def from_plan(cls, kind: str, keys: dict[str, Any]) -> "LinkCondition":
         """By the words of a plan: a fault's kind (empty: whole again), and its keys `way`, `ms`, `bytes`."""
         direction = Direction(keys.get("way", Direction.BOTH.value))
         return cls(LinkState(kind), direction, keys.get("ms", 0.0), keys.get("bytes", 0))
 
-    def holds(self, direction: Direction) -> bool:
+    def is_holding(self, direction: Direction) -> bool:
         """Whether what goes that way waits."""
         if self.state is LinkState.HOLD:
             return self.direction in (Direction.BOTH, direction)
@@ -80,26 +80,26 @@
         self,
         loop: asyncio.AbstractEventLoop,
         name: str,
-        listen: Address,
-        target: Address,
+        listen_address: Address,
+        target_address: Address,
         recorder: EventSink,
         records_requests: bool = False,
     ):
         self.loop = loop
         self.name = name
-        self.target = target
+        self.target_address = target_address
         self.recorder = recorder
         self.records_requests = records_requests
         self.connections: dict[RelayedConnection, None] = {}
         self.condition = LinkCondition()
         self.server: asyncio.Server | None = None
-        self._listen = listen
+        self._listen_address = listen_address
 
     async def open(self) -> None:
         """Listens."""
-        self.server = await self.loop.create_server(self._accept, *self._listen, backlog=BACKLOG)
+        self.server = await self.loop.create_server(self._create_client_end, *self._listen_address, backlog=BACKLOG)
 
-    def _accept(self) -> "RelayEnd":
+    def _create_client_end(self) -> "RelayEnd":
         return RelayEnd(RelayedConnection(self), Direction.TO_SERVER)
 
     async def set_condition(self, condition: LinkCondition) -> None:
@@ -110,9 +110,9 @@
             await self._cut()
         elif condition.state is LinkState.HALF_OPEN:
             for connection in list(self.connections):
-                connection.lose_server()
+                connection.drop_server()
         elif condition.state is LinkState.WHOLE:
-            await self._mend(was_cut)
+            await self._repair(was_cut)
 
     async def _cut(self) -> None:
         for connection in list(self.connections):
@@ -120,7 +120,7 @@
         self.server.close()
         await self.server.wait_closed()
 
-    async def _mend(self, was_cut: bool) -> None:
+    async def _repair(self, was_cut: bool) -> None:
         if was_cut:
             await self.open()
         for connection in list(self.connections):
@@ -142,9 +142,9 @@
         self.server_end: RelayEnd | None = None
         self.is_half_open = False
         self._held: list[tuple[Direction, bytes | None]] = []
-        self._due_at = {Direction.TO_SERVER: 0.0, Direction.TO_CLIENT: 0.0}  # of what is on its way, delayed
-        self._passed_bytes = {Direction.TO_SERVER: 0, Direction.TO_CLIENT: 0}
-        self._requests = MessageReader() if link.records_requests else None
+        self._delivery_due_at = {Direction.TO_SERVER: 0.0, Direction.TO_CLIENT: 0.0}  # of what is on its way, delayed
+        self._forwarded_bytes = {Direction.TO_SERVER: 0, Direction.TO_CLIENT: 0}
+        self._request_reader = MessageReader() if link.records_requests else None
         self._request_began_at: float | None = None
         link.connections[self] = None
 
@@ -152,7 +152,7 @@
         """Connects to the link's target."""
         link = self.link
         try:
-            await link.loop.create_connection(lambda: RelayEnd(self, Direction.TO_CLIENT), *link.target)
+            await link.loop.create_connection(lambda: RelayEnd(self, Direction.TO_CLIENT), *link.target_address)
         except OSError:  # nobody took what came here, though a connection stood
             link.recorder.note(link.loop.time(), Event.LINK_REFUSED, link.name)
             self.reset()
@@ -161,32 +161,32 @@
 
     def receive(self, direction: Direction, data: bytes | None) -> None:
         """What one end has sent, on its way to the other."""
-        if direction is Direction.TO_SERVER and self._requests is not None and data:
+        if direction is Direction.TO_SERVER and self._request_reader is not None and data:
             self._note_requests(data)
-        self._pass(direction, data)
+        self._forward(direction, data)
 
     def _note_requests(self, data: bytes) -> None:
         link = self.link
         if self._request_began_at is None:
             self._request_began_at = link.loop.time()
-        for _, fields, _ in self._requests.feed(data):
+        for _, fields, _ in self._request_reader.feed(data):
             if REQUEST_ID in fields:
-                ident = fields[REQUEST_ID].decode("latin-1")
-                link.recorder.note(link.loop.time(), Event.LINK_ENTERED, link.name, ident, self._request_began_at)
+                request_id = fields[REQUEST_ID].decode("latin-1")
+                link.recorder.note(link.loop.time(), Event.LINK_ENTERED, link.name, request_id, self._request_began_at)
             self._request_began_at = None
 
     def _receiver(self, direction: Direction) -> "RelayEnd | None":
         return self.server_end if direction is Direction.TO_SERVER else self.client_end
 
-    def _pass(self, direction: Direction, data: bytes | None) -> None:
+    def _forward(self, direction: Direction, data: bytes | None) -> None:
         now = self.link.loop.time()
         condition = self.link.condition
         is_behind_held = any(held_direction is direction for held_direction, _ in self._held)
-        if self._receiver(direction) is None or condition.holds(direction) or is_behind_held:
+        if self._receiver(direction) is None or condition.is_holding(direction) or is_behind_held:
             self._held.append((direction, data))
-        elif condition.state is LinkState.DELAY or self._due_at[direction] > now:  # nothing overtakes what is on its way
-            self._due_at[direction] = max(self._due_at[direction], now + condition.delay_ms / 1000)
-            self.link.loop.call_at(self._due_at[direction], self._deliver, direction, data)
+        elif condition.state is LinkState.DELAY or self._delivery_due_at[direction] > now:  # nothing overtakes what is on its way
+            self._delivery_due_at[direction] = max(self._delivery_due_at[direction], now + condition.delay_ms / 1000)
+            self.link.loop.call_at(self._delivery_due_at[direction], self._deliver, direction, data)
         else:
             self._deliver(direction, data)
 
@@ -199,12 +199,12 @@
             return
         condition = self.link.condition
         if condition.state is LinkState.BREAK and condition.direction is direction:
-            bytes_left = condition.byte_limit - self._passed_bytes[direction]
+            bytes_left = condition.byte_limit - self._forwarded_bytes[direction]
             if len(data) > bytes_left:
                 receiver.transport.write(data[: max(0, bytes_left)])
                 self.link.loop.call_later(RESET_DELAY_SECONDS, self.reset)
                 return
-        self._passed_bytes[direction] += len(data)
+        self._forwarded_bytes[direction] += len(data)
         receiver.transport.write(data)
 
     def flush(self) -> None:
@@ -212,7 +212,7 @@
         held = self._held
         self._held = []
         for direction, data in held:
-            self._pass(direction, data)
+            self._forward(direction, data)
 
     def reset(self) -> None:
         """Resets both ends."""
@@ -220,12 +220,12 @@
         for end in (self.client_end, self.server_end):
             reset(end.transport if end else None)
 
-    def lose_server(self) -> None:
+    def drop_server(self) -> None:
         """Resets the server's end; the client's is not notified."""
         self.is_half_open = True
         reset(self.server_end.transport if self.server_end else None)
 
-    def end_received(self, direction: Direction, is_reset: bool) -> None:
+    def connection_ended(self, direction: Direction, is_reset: bool) -> None:
         """The connection to one end is over: so is the other, in the same way."""
         if self.is_half_open and direction is Direction.TO_CLIENT:
             return
@@ -262,4 +262,4 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """The connection to this end is over."""
-        self.connection.end_received(self._direction, is_reset=error is not None)
+        self.connection.connection_ended(self._direction, is_reset=error is not None)
--- a/sloeferry/fault_testing/placement.py
+++ b/sloeferry/fault_testing/placement.py
@@ -15,9 +15,9 @@
 from sloeferry.rehearsal.scenario import ScenarioError
 
 LINK_BLOCK = 50  # of loopback addresses (127.BLOCK.x.y), beside the blocks of a rehearsal's own placing
-LOCK_NUMBER = 249  # in discovery's block: the address that holds a run's ports
+LOCK_ADDRESS_NUMBER = 249  # in discovery's block: the address that holds a run's ports
 # Below the ports that the machine gives away by itself.
-FIRST_PORT, END_PORT, PORTS_A_RUN = 12000, 32000, 2500
+FIRST_PORT, END_PORT, PORTS_PER_RUN = 12000, 32000, 2500
 
 Address = tuple[str, int]
 
@@ -28,7 +28,7 @@
     between: str
     proxy: int
     backend: int | None
-    listen: Address
+    listen_address: Address
 
 
 class FaultTargets(NamedTuple):
@@ -54,43 +54,43 @@
 
 
 @dataclass(slots=True)
-class Targets:
+class TargetSelection:
     """What each fault strikes, and all links that takes; `random_for(name)` gives random numbers by what they are for."""
 
     plan: Plan
     port: int
-    random_for: Callable[[str], Random]
-    of_fault: list[FaultTargets] = field(default_factory=list)
+    rng_for: Callable[[str], Random]
+    targets_by_fault: list[FaultTargets] = field(default_factory=list)
     links: dict[str, RelayedLink] = field(default_factory=dict)  # only those that a fault strikes
-    _links_of_proxy: dict[int, int] = field(default_factory=dict)  # how many
+    _link_count_by_proxy: dict[int, int] = field(default_factory=dict)  # how many
 
     def __post_init__(self) -> None:
         for number, fault in enumerate(self.plan.process_faults):
-            self.of_fault.append(self._draw(fault, self.random_for(f"fault-{number}")))
+            self.targets_by_fault.append(self._select_targets(fault, self.rng_for(f"fault-{number}")))
 
-    def _draw(self, fault: Fault, rng: Random) -> FaultTargets:
-        proxies = fault.proxies or _draw_some(rng, self.plan.proxies.count, fault.struck_ratio)
+    def _select_targets(self, fault: Fault, rng: Random) -> FaultTargets:
+        proxies = fault.proxies or _sample_indexes(rng, self.plan.proxies.count, fault.target_ratio)
         if not isinstance(fault, AnyLinkFault):
             return FaultTargets(proxies, [])
-        backends = self._draw_backends(fault, rng)
-        return FaultTargets(proxies, [self._link(fault.between, proxy, backend) for proxy in proxies for backend in backends])
+        backends = self._select_backends(fault, rng)
+        return FaultTargets(proxies, [self._add_link(fault.between, proxy, backend) for proxy in proxies for backend in backends])
 
-    def _draw_backends(self, fault: LinkFault, rng: Random) -> list[int | None]:
+    def _select_backends(self, fault: LinkFault, rng: Random) -> list[int | None]:
         if fault.between != "nodes":
             return [None]
-        return _draw_some(rng, sum(group.count for group in self.plan.backends), fault.backend_ratio)
+        return _sample_indexes(rng, sum(group.count for group in self.plan.backends), fault.backend_ratio)
 
-    def _link(self, between: str, proxy: int, backend: int | None) -> str:
+    def _add_link(self, between: str, proxy: int, backend: int | None) -> str:
         """The name of that link, placed where it is new: an address a proxy, a port each."""
         name = f"{between}/{proxy}" if backend is None else f"{between}/{proxy}/{backend}"
         if name not in self.links:
-            number = self._links_of_proxy.get(proxy, 0)
-            self._links_of_proxy[proxy] = number + 1
+            number = self._link_count_by_proxy.get(proxy, 0)
+            self._link_count_by_proxy[proxy] = number + 1
             self.links[name] = RelayedLink(between, proxy, backend, (loopback_address(LINK_BLOCK, proxy), self.port + number))
         return name
 
 
-def _draw_some(rng: Random, count: int, ratio: float) -> list[int]:
+def _sample_indexes(rng: Random, count: int, ratio: float) -> list[int]:
     """At least one of so many, in order."""
     return sorted(rng.sample(range(count), max(1, round(ratio * count))))
 
@@ -99,14 +99,14 @@
     """The first port of a run, and the socket that holds all of them until it is closed."""
 
     lock: socket.socket
-    first: int
+    first_port: int
 
 
 def reserve_ports() -> ReservedPorts:
     """Ports that no other run has; raises ScenarioError where all are taken."""
-    for port in range(FIRST_PORT, END_PORT, PORTS_A_RUN):
+    for port in range(FIRST_PORT, END_PORT, PORTS_PER_RUN):
         try:
-            return ReservedPorts(socket.create_server((loopback_address(DISCOVERY_BLOCK, LOCK_NUMBER), port)), port)
+            return ReservedPorts(socket.create_server((loopback_address(DISCOVERY_BLOCK, LOCK_ADDRESS_NUMBER), port)), port)
         except OSError:
             continue
     raise ScenarioError("no ports are free for a play: eight go on at once")
--- a/sloeferry/fault_testing/plan.py
+++ b/sloeferry/fault_testing/plan.py
@@ -11,25 +11,25 @@
 import msgspec
 from msgspec import Meta
 
-from sloeferry.fault_testing import draw, draw_soak
-from sloeferry.fault_testing.plan_faults import AnyFault, DiscoveryDown, Fault, Kill, Stop, Terminate
+from sloeferry.fault_testing import short_plan_generator, soak_plan_generator
+from sloeferry.fault_testing.plan_faults import AnyFault, DiscoveryDowntime, Fault, Kill, Stop, Termination
 from sloeferry.rehearsal import scenario as scenarios
 from sloeferry.rehearsal import scenario_faults
 from sloeferry.rehearsal.scenario import Scenario, ScenarioError
 from sloeferry.rehearsal.scenario_tables import Positive, Ratio, Table
 
-SHIPPED = pathlib.Path(__file__).parent / "plans"
+SHIPPED_FOLDER = pathlib.Path(__file__).parent / "plans"
 MAX_PROXIES = 400  # on one machine
-DRAWN_NAME = re.compile(r"(drawn|soak)-(\d{1,9})")
+GENERATED_NAME = re.compile(r"(drawn|soak)-(\d{1,9})")
 # Faults that rehearsals in virtual time have too, and as which of a scenario's.
 VIRTUAL_COUNTERPARTS = {
     Kill: scenario_faults.ProxyCrash,
     Stop: scenario_faults.ProxyPause,
-    Terminate: scenario_faults.ProxyRollingRestart,
-    DiscoveryDown: scenario_faults.DiscoveryOutage,
+    Termination: scenario_faults.ProxyRollingRestart,
+    DiscoveryDowntime: scenario_faults.DiscoveryOutage,
 }
 # Faults of scenarios that plans do not take: a process fault does the same, or a run of processes has no means for them.
-NOT_IN_PLANS = (
+UNSUPPORTED_SCENARIO_FAULTS = (
     scenario_faults.OneSidedLoss,
     scenario_faults.LossyZoneLink,
     scenario_faults.DiscoveryMove,
@@ -39,7 +39,7 @@
 )
 
 
-class Rig(Table):
+class RigSettings(Table):
     """The processes beside the proxies.
 
     `late_ms`: a process that measures and ran later than that voids the run; `audit_s`: when the fleet is audited, whose
@@ -52,7 +52,7 @@
     audit_s: Positive | None = None
 
 
-class Expect(Table):
+class Expectations(Table):
     """What the plan holds its proxies to, beside the four rules.
 
     `service`: the least part of the priority weights that is served in time; `lost`: how many requests at the most may stay
@@ -66,42 +66,42 @@
 class Plan(Scenario, kw_only=True):
     """A scenario, with faults between processes."""
 
-    rig: Rig = Rig()
+    rig: RigSettings = RigSettings()
     process_faults: list[AnyFault] = msgspec.field(default_factory=list, name="fault")
-    expect: Expect = Expect()
+    expect: Expectations = Expectations()
 
 
-def shipped() -> list[str]:
+def shipped_names() -> list[str]:
     """The names of the plans that come with the package."""
-    return sorted(path.stem for path in SHIPPED.glob("*.toml"))
+    return sorted(path.stem for path in SHIPPED_FOLDER.glob("*.toml"))
 
 
-def plan_text(name: str) -> str:
+def read_plan_text(name: str) -> str:
     """The text of a plan: a shipped name, `drawn-` or `soak-` and a seed, or a path."""
-    if drawn := DRAWN_NAME.fullmatch(name):
-        draw_plan = draw.draw_plan if drawn[1] == "drawn" else draw_soak.draw_plan
-        return draw_plan(int(drawn[2])).to_toml()
-    path = SHIPPED / f"{name}.toml" if name in shipped() else pathlib.Path(name)
-    return scenarios.read_text(path, [*shipped(), "drawn-N", "soak-N"])
+    if drawn := GENERATED_NAME.fullmatch(name):
+        generate_plan = short_plan_generator.generate_plan if drawn[1] == "drawn" else soak_plan_generator.generate_plan
+        return generate_plan(int(drawn[2])).to_toml()
+    path = SHIPPED_FOLDER / f"{name}.toml" if name in shipped_names() else pathlib.Path(name)
+    return scenarios.read_text(path, [*shipped_names(), "drawn-N", "soak-N"])
 
 
-def read(name: str) -> Plan:
+def read_plan(name: str) -> Plan:
     """The plan of that name or path, checked; raises ScenarioError."""
-    return parse_plan(plan_text(name), pathlib.Path(name).name)
+    return parse_plan(read_plan_text(name), pathlib.Path(name).name)
 
 
 def parse_plan(text: str, name: str = "plan") -> Plan:
     """The plan in that TOML text, checked; raises ScenarioError, which names the key."""
     plan = scenarios.parse(text, name, Plan)
     if plan.proxies.count > MAX_PROXIES:
-        _refuse(name, "bank.proxies", f"{plan.proxies.count} are too many for one machine, {MAX_PROXIES} at most")
+        _reject(name, "bank.proxies", f"{plan.proxies.count} are too many for one machine, {MAX_PROXIES} at most")
     if plan.clock:
-        _refuse(name, "clock", "a machine's own clock is never set; use a fault")
+        _reject(name, "clock", "a machine's own clock is never set; use a fault")
     for index, fault in enumerate(plan.scenario_faults):
-        if isinstance(fault, NOT_IN_PLANS):
-            _refuse(name, f"trouble[{index}].what", "exists in virtual time alone; see the faults")
+        if isinstance(fault, UNSUPPORTED_SCENARIO_FAULTS):
+            _reject(name, f"trouble[{index}].what", "exists in virtual time alone; see the faults")
     if plan.rig.audit_s and plan.rig.audit_s > plan.seconds:
-        _refuse(name, "rig.audit_s", "comes after the end")
+        _reject(name, "rig.audit_s", "comes after the end")
     for index, fault in enumerate(plan.process_faults):
         _check_fault(plan, fault, name, f"fault[{index}]")
     return plan
@@ -109,13 +109,13 @@
 
 def _check_fault(plan: Plan, fault: Fault, name: str, key: str) -> None:
     if fault.at_seconds + fault.lasts_seconds > plan.seconds:
-        _refuse(name, f"{key}.lasts", "goes on past the end")
+        _reject(name, f"{key}.lasts", "goes on past the end")
     for number in fault.proxies:
         if number >= plan.proxies.count:
-            _refuse(name, f"{key}.proxies", f"there is no proxy {number}")
+            _reject(name, f"{key}.proxies", f"there is no proxy {number}")
 
 
-def _refuse(name: str, key: str, reason: str) -> NoReturn:
+def _reject(name: str, key: str, reason: str) -> NoReturn:
     raise ScenarioError(f"{name}: {key}: {reason}")
 
 
@@ -133,7 +133,7 @@
     return plan
 
 
-def virtual_twin(plan: Plan) -> tuple[Scenario, list[str]]:
+def to_virtual_scenario(plan: Plan) -> tuple[Scenario, list[str]]:
     """The scenario that plays in virtual time, and the kinds of the faults that have no part there."""
     faults = list(plan.scenario_faults)
     left_out = []
@@ -142,7 +142,7 @@
         if fault_type is None:
             left_out.append(fault.kind)
             continue
-        ratio = len(fault.proxies) / plan.proxies.count if fault.proxies else fault.struck_ratio
+        ratio = len(fault.proxies) / plan.proxies.count if fault.proxies else fault.target_ratio
         if fault_type is scenario_faults.ProxyPause:
             faults.append(fault_type(at=fault.at_seconds, part=ratio, pause_ms=fault.lasts_seconds * 1000))
         else:
--- a/sloeferry/fault_testing/plan_faults.py
+++ b/sloeferry/fault_testing/plan_faults.py
@@ -18,7 +18,7 @@
 
     at_seconds: NonNegative = field(name="at")
     lasts_seconds: Positive = field(name="lasts", default=2.0)
-    struck_ratio: Ratio = field(name="part", default=0.3)
+    target_ratio: Ratio = field(name="part", default=0.3)
     proxies: list[ProxyNumber] = []
 
     @property
@@ -35,7 +35,7 @@
     """SIGSTOP, and SIGCONT when it is over."""
 
 
-class Terminate(Fault, tag="term"):
+class Termination(Fault, tag="term"):
     """SIGTERM, one after the other, and a new process for each."""
 
 
@@ -46,7 +46,7 @@
     `objective_ratio`: the latency objective, times what it was.
     """
 
-    lost_ratio: Ratio = field(name="lost", default=0.0)
+    lost_signal_ratio: Ratio = field(name="lost", default=0.0)
     file: Literal["whole", "cut", "stale", "swapped", "missing"] = "whole"
     objective_ratio: Positive = field(name="sla", default=1.0)
 
@@ -57,7 +57,7 @@
     offset_seconds: float = field(name="by_s", default=3600.0)
 
 
-class FailingCalls(Fault, tag="calls"):
+class FailingSystemCalls(Fault, tag="calls"):
     """System calls of those processes fail at times, and do a part of what they were asked (flaky_sockets.py)."""
 
 
@@ -68,13 +68,13 @@
     backend_ratio: Ratio = field(name="nodes", default=1.0)
 
 
-class HoldLink(LinkFault, tag="hold"):
+class HeldLink(LinkFault, tag="hold"):
     """What is sent waits until it is over, one way or both; a machine that is cut off looks so."""
 
     direction: Literal["there", "back", "both"] = field(name="way", default="both")
 
 
-class DelayLink(LinkFault, tag="delay"):
+class DelayedLink(LinkFault, tag="delay"):
     """What is sent takes so much longer."""
 
     delay_ms: Positive = field(name="ms", default=50.0)
@@ -88,14 +88,14 @@
     """The far end has gone and the near end is not notified until it is over: then it is reset."""
 
 
-class BreakLink(LinkFault, tag="break"):
+class BrokenLink(LinkFault, tag="break"):
     """Each connection is reset once so many bytes have gone that way on it: inside a message."""
 
     byte_limit: Annotated[int, Meta(ge=0)] = field(name="bytes", default=40)
     direction: Literal["there", "back"] = field(name="way", default="back")
 
 
-class DiscoveryDown(Fault, tag="list-out"):
+class DiscoveryDowntime(Fault, tag="list-out"):
     """Discovery is down, for all."""
 
 
@@ -119,7 +119,7 @@
     """Discovery starts anew, with its revision at 1."""
 
 
-AnyProcessFault = Kill | Stop | Terminate | Reload | ClockStep | FailingCalls
-AnyLinkFault = HoldLink | DelayLink | CutLink | HalfOpenLink | BreakLink
-AnyDiscoveryFault = DiscoveryDown | DiscoveryLag | OlderReplica | RevisionReset | FailingDiscovery
+AnyProcessFault = Kill | Stop | Termination | Reload | ClockStep | FailingSystemCalls
+AnyLinkFault = HeldLink | DelayedLink | CutLink | HalfOpenLink | BrokenLink
+AnyDiscoveryFault = DiscoveryDowntime | DiscoveryLag | OlderReplica | RevisionReset | FailingDiscovery
 AnyFault = AnyProcessFault | AnyLinkFault | AnyDiscoveryFault
--- a/sloeferry/fault_testing/plan_run.py
+++ b/sloeferry/fault_testing/plan_run.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from sloeferry.fault_testing.measuring import tune_garbage_collection
+from sloeferry.fault_testing.garbage_collection import tune_garbage_collection
 from sloeferry.fault_testing.placement import reserve_ports
 from sloeferry.fault_testing.planted_faults import plant
 from sloeferry.fault_testing.process_fleet import ProcessFleet
@@ -20,12 +20,12 @@
 from sloeferry.rehearsal.play_environment import READY_TIMEOUT_SECONDS
 from sloeferry.stand_ins import processes
 
-MEMORY_FOLDER = "/dev/shm"
+TMPFS_FOLDER = "/dev/shm"
 POLL_SECONDS = 0.05
-PLAY_POLL_SECONDS = 0.25
-BEGIN_DELAY_SECONDS = 0.2  # all processes have been told by then
-SHOWN_ERRORS = 3  # lines of a proxy's log
-ERROR_WIDTH = 200  # characters of such a line
+MEASURE_POLL_SECONDS = 0.25
+START_DELAY_SECONDS = 0.2  # all processes have been told by then
+MAX_SHOWN_ERRORS = 3  # lines of a proxy's log
+MAX_ERROR_CHARACTERS = 200  # characters of such a line
 EXPECTED_ERROR = "SIGHUP, all stays as it was"  # the one that a plan asks for: a file that can't be used
 
 
@@ -42,10 +42,10 @@
         await self._fleet.open()
         await self._start_proxies()
         tune_garbage_collection()
-        began_at = self._loop.time() + BEGIN_DELAY_SECONDS
+        began_at = self._loop.time() + START_DELAY_SECONDS
         self._fleet.begin(began_at)
-        self._fleet.judge.watch_lateness(self._loop, "driver")
-        await self._play(began_at)
+        self._fleet.judge.monitor_loop_lag(self._loop, "driver")
+        await self._measure(began_at)
         self.figures["began"] = began_at
 
     async def _start_proxies(self) -> None:
@@ -60,20 +60,20 @@
         self.figures["ready_s"] = round(loop.time() - started_at, 2)
         self.figures["ready"] = sum(fleet.balancer.alive.values())
 
-    async def _play(self, began_at: float) -> None:
+    async def _measure(self, began_at: float) -> None:
         seconds = self._fleet.plan.seconds
         memory_mb: list[float] | None = None
-        while self._is_going_on(began_at + seconds):
-            await asyncio.sleep(PLAY_POLL_SECONDS)
+        while self._is_running(began_at + seconds):
+            await asyncio.sleep(MEASURE_POLL_SECONDS)
             if memory_mb is None and self._loop.time() > began_at + seconds / 2:
                 memory_mb = [processes.memory_mb(pid) for pid in self._proxy_pids()]
         if memory_mb:
-            self.figures["memory_mb"] = spread(memory_mb)
+            self.figures["memory_mb"] = min_mean_max(memory_mb)
         cpu_seconds = [processes.cpu_seconds(pid) for pid in self._proxy_pids()]
         if cpu_seconds:
-            self.figures["cpu_s"] = spread(cpu_seconds)
+            self.figures["cpu_s"] = min_mean_max(cpu_seconds)
 
-    def _is_going_on(self, ends_at: float) -> bool:
+    def _is_running(self, ends_at: float) -> bool:
         now = self._loop.time()
         return now < ends_at or self._fleet.is_busy() and now < ends_at + self._fleet.last_request_seconds()
 
@@ -81,7 +81,7 @@
         return [proxy.process.pid for proxy in self._fleet.proxies if proxy.process]
 
 
-def spread(values: list[float]) -> list[float]:
+def min_mean_max(values: list[float]) -> list[float]:
     """The least, the mean and the most."""
     return [round(min(values), 2), round(sum(values) / len(values), 2), round(max(values), 2)]
 
@@ -90,7 +90,7 @@
     loop = asyncio.get_running_loop()
     host = ProcessHost(loop, options.seed, str(folder), proxy_tree)
     ports = reserve_ports()
-    fleet = ProcessFleet(options, host, ports.first)
+    fleet = ProcessFleet(options, host, ports.first_port)
     run = PlanRun(fleet)
     try:
         await run.run()
@@ -115,7 +115,7 @@
     for path in sorted(folder.glob("p*.log")):
         with open(path, errors="replace") as file:
             errors = [line.strip() for line in file if " ERROR " in line and EXPECTED_ERROR not in line]
-        found += [f"{path.stem}: {error[:ERROR_WIDTH]}" for error in errors[:SHOWN_ERRORS]]
+        found += [f"{path.stem}: {error[:MAX_ERROR_CHARACTERS]}" for error in errors[:MAX_SHOWN_ERRORS]]
     return found
 
 
@@ -125,7 +125,7 @@
     `planted_fault`: a wrong line in the proxies' code; `keep_logs`: where records and logs go, whatever becomes of the run.
     """
     # A disk may take most of a second for a file that is cut short, and the driver would be late with it.
-    parent = MEMORY_FOLDER if os.path.isdir(MEMORY_FOLDER) else None
+    parent = TMPFS_FOLDER if os.path.isdir(TMPFS_FOLDER) else None
     with tempfile.TemporaryDirectory(prefix="rig-", dir=parent) as name:
         folder = pathlib.Path(name)
         proxy_tree = plant(planted_fault, name) if planted_fault else None
--- a/sloeferry/fault_testing/process_fleet.py
+++ b/sloeferry/fault_testing/process_fleet.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 from sloeferry.fault_testing.event_recorder import EventRecorder
-from sloeferry.fault_testing.fault_actions import action_of
-from sloeferry.fault_testing.fleet_audit import audit_run
+from sloeferry.fault_testing.fault_actions import create_action
+from sloeferry.fault_testing.fleet_audit import audit_running_fleet
 from sloeferry.fault_testing.placement import (
     Address,
     RelayedLink,
-    Targets,
+    TargetSelection,
     backend_address,
     clients_link,
     discovery_link,
@@ -34,7 +34,7 @@
 from sloeferry.stand_ins.platform import format_address
 from sloeferry.stand_ins.wire_protocol import BackendState
 
-END_SECONDS = 5.0  # until proxies that were killed must have gone
+SHUTDOWN_TIMEOUT_SECONDS = 5.0  # until proxies that were killed must have gone
 POLL_SECONDS = 0.05
 OPERATOR_SETTINGS = "[versions]\ntell = true\ncarry = true\n"
 
@@ -57,25 +57,25 @@
         self.objective_ratios: dict[int, float] = {}  # proxy -> its latency objective, times what the plan says
         self.judge = EventRecorder(plan, options.seed, pathlib.Path(host.folder, "driver.jsonl"), self.loop.time)
         self.places: list[ProxyPlace] = plan_places(plan, port)
-        targets = Targets(plan, port, host.rng)
-        self.fault_targets = targets.of_fault
+        targets = TargetSelection(plan, port, host.rng)
+        self.fault_targets = targets.targets_by_fault
         self._links = targets.links
         self._links_open = asyncio.Event()
         addresses = self.discovery_addresses()
         self.discovery = StandInDiscovery(self.loop, plan.discovery, addresses, self.judge, host.rng("roster"))
         host.operator_file.write_text(OPERATOR_SETTINGS)
         self._options = options
-        self._backend_workers = self._workers(WorkerRole.BACKENDS, plan.rig.nodes)
-        self._client_workers = self._workers(WorkerRole.CLIENTS, plan.rig.callers)
-        relays = self._workers(WorkerRole.RELAY, 1 if self._links else 0)
+        self._backend_workers = self._create_workers(WorkerRole.BACKENDS, plan.rig.nodes)
+        self._client_workers = self._create_workers(WorkerRole.CLIENTS, plan.rig.callers)
+        relays = self._create_workers(WorkerRole.RELAY, 1 if self._links else 0)
         self.relay = relays[0] if relays else None
         self._all_workers = [*self._backend_workers, *self._client_workers, *relays]
-        self.balancer = SharedBalancer(self.loop, plan.balancer, self.places, self._tell_alive)
+        self.balancer = SharedBalancer(self.loop, plan.balancer, self.places, self._broadcast_alive)
         self.backends: list[RemoteBackend] = []
-        self._backend_by_number: dict[int, RemoteBackend] = {}  # by number: all that ever were
+        self._backends_by_number: dict[int, RemoteBackend] = {}  # by number: all that ever were
         self.proxies = [host.make_proxy(self, number) for number in range(plan.proxies.count)]
 
-    def _workers(self, role: WorkerRole, count: int) -> list[WorkerProcess]:
+    def _create_workers(self, role: WorkerRole, count: int) -> list[WorkerProcess]:
         options = self._options
         places = [(place.name, self._address_for_clients(number), place.zone) for number, place in enumerate(self.places)]
         return [
@@ -99,7 +99,7 @@
 
     def _address_for_clients(self, proxy: int) -> Address:
         link = self._links.get(clients_link(proxy))
-        return link.listen if link else self.places[proxy].address
+        return link.listen_address if link else self.places[proxy].address
 
     def record_paths(self) -> list[str]:
         """The records of all processes, the driver's first."""
@@ -111,13 +111,13 @@
         if report.kind is ReportKind.FAILED:
             self.tool_errors.append(report.value)
         elif report.kind is ReportKind.BACKEND_STARTED:
-            self._backend_by_number[report.value].has_started()
+            self._backends_by_number[report.value].has_started()
         elif report.kind is ReportKind.BACKEND_IDLE:
-            self._backend_by_number[report.value].has_become_idle()
+            self._backends_by_number[report.value].has_become_idle()
         elif report.kind is ReportKind.LINKS_OPEN:
             self._links_open.set()
 
-    def _tell_alive(self, proxy: str, is_alive: bool) -> None:
+    def _broadcast_alive(self, proxy: str, is_alive: bool) -> None:
         for worker in self._client_workers:
             worker.command("set_alive", proxy, is_alive)
 
@@ -129,11 +129,11 @@
 
     def make_backend(self, settings: Backends, zone: str) -> RemoteBackend:
         """Another backend of that group of the plan's; it does not listen yet."""
-        number = len(self._backend_by_number)
+        number = len(self._backends_by_number)
         worker = self._backend_workers[number % len(self._backend_workers)]
         group = self.plan.backends.index(settings)
         backend = RemoteBackend(worker, number, backend_address(number, self.port), settings, group, zone)
-        self._backend_by_number[number] = backend
+        self._backends_by_number[number] = backend
         return backend
 
     def settings(self, index: int) -> dict[str, Any]:
@@ -149,7 +149,7 @@
         config = super().instance_config(index, seed)
         link = self._links.get(discovery_link(index))
         if link:
-            config["discovery"] = format_address(link.listen)
+            config["discovery"] = format_address(link.listen_address)
         return config
 
     # The course of a run
@@ -170,10 +170,10 @@
             return
         for name, link in self._links.items():
             leads_to_backend = link.backend is not None
-            self.relay.command("add_link", name, link.listen, self._target(link), leads_to_backend)
+            self.relay.command("add_link", name, link.listen_address, self._target(link), leads_to_backend)
             if leads_to_backend:
                 backend_id = self.backends[link.backend].backend_id
-                self.discovery.set_link_address(f"p{link.proxy}", backend_id, format_address(link.listen))
+                self.discovery.set_link_address(f"p{link.proxy}", backend_id, format_address(link.listen_address))
         self.relay.command("confirm_links")
         await self._links_open.wait()
 
@@ -191,13 +191,13 @@
             worker.command("begin", now)
         FaultInjector(self).begin(now)
         for number, fault in enumerate(self.plan.process_faults):
-            self.loop.call_at(now + fault.at_seconds, action_of(self, number, fault).strike)
+            self.loop.call_at(now + fault.at_seconds, create_action(self, number, fault).inject)
         if self.plan.rig.audit_s:
             self.loop.call_at(now + self.plan.rig.audit_s, lambda: self.loop.create_task(self._audit()))
 
     async def _audit(self) -> None:
         self.judge.note(self.loop.time(), Event.AUDIT_BEGAN, self.discovery.list.revision)
-        result = await audit_run(self.places, self.discovery)
+        result = await audit_running_fleet(self.places, self.discovery)
         self.judge.note(self.loop.time(), Event.AUDIT_ENDED, result)
 
     async def end(self) -> None:
@@ -207,7 +207,7 @@
             proxy.send_signal()
         await asyncio.gather(*(worker.end() for worker in self._all_workers))
         self.discovery.go_down()
-        until = self.loop.time() + END_SECONDS
+        until = self.loop.time() + SHUTDOWN_TIMEOUT_SECONDS
         while any(proxy.process for proxy in self.proxies) and self.loop.time() < until:
             await asyncio.sleep(POLL_SECONDS)
         self.judge.close()
--- a/sloeferry/fault_testing/process_host.py
+++ b/sloeferry/fault_testing/process_host.py
@@ -20,8 +20,8 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, seed: int, folder: str, proxy_tree: str | None):
         super().__init__(loop, seed, folder)
         self.operator_file = pathlib.Path(folder, "operator.toml")
-        self.clock_offsets: dict[int, float] = {}  # proxy -> seconds by which its wall clock is off
-        self.failing_calls: set[int] = set()  # proxies whose system calls fail at times
+        self.clock_offsets_seconds: dict[int, float] = {}  # proxy -> seconds by which its wall clock is off
+        self.failing_call_proxies: set[int] = set()  # proxies whose system calls fail at times
         self.started_at: dict[int, float] = {}  # proxy -> loop time of its newest process's start
         self._proxy_tree = proxy_tree or SOURCE_TREE
         cores = sorted(os.sched_getaffinity(0))
@@ -39,8 +39,8 @@
         """Arguments, environment and folder of a proxy: as `run` starts it, or with a clock or calls that misbehave."""
         number = proxy.index
         self.started_at[number] = self.loop.time()
-        clock_offset = self.clock_offsets.get(number)
-        has_failing_calls = number in self.failing_calls
+        clock_offset = self.clock_offsets_seconds.get(number)
+        has_failing_calls = number in self.failing_call_proxies
         is_flaky = clock_offset is not None or has_failing_calls
         arguments, environment = processes.command(FLAKY_PROXY if is_flaky else "sloeferry")
         if clock_offset is not None:
--- a/sloeferry/fault_testing/record_judge.py
+++ b/sloeferry/fault_testing/record_judge.py
@@ -28,7 +28,7 @@
         self.violation_log: list[Violation] = []
         self.clients_cut_off = ProxySpans()  # a fault was on the link to their clients
         self.discovery_unreachable = ProxySpans()
-        self.crossed_idle_close: set[bytes] = set()  # requests whose connection ended as they were sent
+        self.raced_idle_close: set[bytes] = set()  # requests whose connection ended as they were sent
 
     def violation(self, rule: str, now: float, text: str) -> None:
         """A broken rule; kept to be shown with its evidence."""
@@ -43,29 +43,29 @@
         """Whether its proxy, or the link to it, stood still: nobody can answer then."""
         return super().was_proxy_stopped(client_try) or self._was_cut_off(client_try, client_try.deadline)
 
-    def attempt_received(self, backend_id: str, zone: str, ident: bytes, sent_at: float) -> None:
+    def attempt_received(self, backend_id: str, zone: str, request_id: bytes, sent_at: float) -> None:
         """An attempt came.  Held on its way to the proxy, a request had less time than the proxy could know."""
-        request = self.tries[ident]
+        request = self.tries[request_id]
         deadline = request.deadline
         if self._was_cut_off(request, deadline):
             request.deadline = float("inf")
-        super().attempt_received(backend_id, zone, ident, sent_at)
+        super().attempt_received(backend_id, zone, request_id, sent_at)
         request.deadline = deadline
 
-    def response_missing(self, ident: bytes, now: float, reason: str) -> RequestOutcome | str:
+    def response_missing(self, request_id: bytes, now: float, reason: str) -> RequestOutcome | str:
         """No response came; its outcome, or CUT_OFF."""
-        request = self.tries[ident]
+        request = self.tries[request_id]
         if self._was_cut_off(request, now):
             return CUT_OFF
-        if ident in self.crossed_idle_close and not request.attempt_count and not self.was_proxy_killed(request):
+        if request_id in self.raced_idle_close and not request.attempt_count and not self.was_proxy_killed(request):
             return RequestOutcome.NOT_ACCEPTED
-        return super().response_missing(ident, now, reason)
+        return super().response_missing(request_id, now, reason)
 
     def end_deemed_at(self, proxy: str, backend_id: str) -> float | None:
         """What discovery could not notify a proxy of counts as notified so long after it could."""
-        deemed_at = super().end_deemed_at(proxy, backend_id)
-        if deemed_at is None:
+        assumed_at = super().end_deemed_at(proxy, backend_id)
+        if assumed_at is None:
             return None
-        deemed_seconds = self.scenario.discovery.deemed_notified_seconds
-        reachable_at = self.discovery_unreachable.end_after(proxy, deemed_at - deemed_seconds)
-        return deemed_at if reachable_at is None else reachable_at + deemed_seconds
+        assumption_delay_seconds = self.scenario.discovery.deemed_notified_seconds
+        reachable_at = self.discovery_unreachable.end_after(proxy, assumed_at - assumption_delay_seconds)
+        return assumed_at if reachable_at is None else reachable_at + assumption_delay_seconds
--- a/sloeferry/fault_testing/record_replay.py
+++ b/sloeferry/fault_testing/record_replay.py
@@ -7,7 +7,7 @@
 from collections import defaultdict
 from typing import NamedTuple
 
-from sloeferry.fault_testing.audit_check import AuditCheck, ListWritten
+from sloeferry.fault_testing.audit_check import AuditCheck, WrittenList
 from sloeferry.fault_testing.event_recorder import RecordedEvent, call_number
 from sloeferry.fault_testing.record_judge import RecordJudge
 from sloeferry.fault_testing.recorded_events import Event
@@ -33,21 +33,21 @@
     def __init__(self, judge: RecordJudge):
         self.audit = AuditCheck()
         self.stale_attempts: list[str] = []  # that acted on an older list than their proxy had been notified of
-        self.lateness_ms: defaultdict[str, float] = defaultdict(float)  # role -> the most
+        self.max_lag_ms: defaultdict[str, float] = defaultdict(float)  # role -> the most
         self._judge = judge
-        self._entered_at: dict[tuple[str, str], float] = {}  # backend, id -> when its first_sent_at byte went into the link
+        self._link_entered_at: dict[tuple[str, str], float] = {}  # backend, id -> when its first byte went into the link
         self._lists_held = ProxySpans()
         self._stopped = ProxySpans()
         self._held_notifications: list[HeldNotification] = []
         self._missing_outcomes: dict[int, str] = {}  # number of a call -> the outcome of its request without a response
-        self._list_history: defaultdict[str, list[ListWritten]] = defaultdict(list)  # proxy -> what was written to it
+        self._list_history: defaultdict[str, list[WrittenList]] = defaultdict(list)  # proxy -> what was written to it
 
     def replay(self, event: RecordedEvent) -> None:
         """The next event; those that no rule is about are passed over."""
-        at, word, *fields = event
+        at, event_name, *fields = event
         while self._held_notifications and self._held_notifications[0].at <= at:
             self._endpoint_notified(*self._held_notifications.pop(0))
-        handler = self._HANDLERS.get(word)
+        handler = self._HANDLERS.get(event_name)
         if handler is not None:
             handler(self, at, *fields)
 
@@ -60,22 +60,24 @@
     def _run_began(self, at: float) -> None:
         self._judge.began_at = at
 
-    def _request_began(self, at: float, ident: str, proxy: str, deadline: float) -> None:
-        self._judge.request_started(ident.encode(), self._judge.planned_requests[call_number(ident)], proxy, at, deadline)
+    def _request_began(self, at: float, request_id: str, proxy: str, deadline: float) -> None:
+        self._judge.request_started(
+            request_id.encode(), self._judge.planned_requests[call_number(request_id)], proxy, at, deadline
+        )
 
-    def _request_sent(self, at: float, ident: str, deadline: float) -> None:
-        self._judge.request_written(ident.encode(), at, deadline)
+    def _request_sent(self, at: float, request_id: str, deadline: float) -> None:
+        self._judge.request_written(request_id.encode(), at, deadline)
 
-    def _response_received(self, at: float, ident: str, status: int, is_own: bool) -> None:
-        request_id = ident.encode()
-        body = request_id.ljust(self._judge.request_class(request_id).response_bytes) if is_own else b""
-        self._judge.response_received(request_id, at, status, body)
+    def _response_received(self, at: float, request_id: str, status: int, is_own: bool) -> None:
+        encoded_id = request_id.encode()
+        body = encoded_id.ljust(self._judge.request_class(encoded_id).response_bytes) if is_own else b""
+        self._judge.response_received(encoded_id, at, status, body)
 
-    def _idle_close_crossed(self, at: float, ident: str) -> None:
-        self._judge.crossed_idle_close.add(ident.encode())
+    def _idle_close_raced(self, at: float, request_id: str) -> None:
+        self._judge.raced_idle_close.add(request_id.encode())
 
-    def _response_missing(self, at: float, ident: str, reason: str) -> None:
-        self._missing_outcomes[call_number(ident)] = self._judge.response_missing(ident.encode(), at, reason)
+    def _response_missing(self, at: float, request_id: str, reason: str) -> None:
+        self._missing_outcomes[call_number(request_id)] = self._judge.response_missing(request_id.encode(), at, reason)
 
     def _call_ended(self, at: float, number: int, outcome: str, first_sent_at: float, try_count: int) -> None:
         planned = self._judge.planned_requests[number]
@@ -87,37 +89,37 @@
 
     # Events of links
 
-    def _link_entered(self, at: float, link: str, ident: str, since: float) -> None:
+    def _link_entered(self, at: float, link: str, request_id: str, since: float) -> None:
         backend_number = int(link.rpartition("/")[2])
-        self._entered_at[make_backend_id(backend_number), ident] = since
+        self._link_entered_at[make_backend_id(backend_number), request_id] = since
 
     def _link_refused(self, at: float, link: str) -> None:
         between, _, proxy_number = link.partition("/")
         if between == "callers":  # a relay took the connection for a proxy that was not there
             self._judge.clients_cut_off.add("p" + proxy_number, at - NOTICE_SECONDS / 4, at + NOTICE_SECONDS / 4)
 
-    def _clients_were_cut_off(self, at: float, proxy: str, until: float) -> None:
+    def _clients_cut_off(self, at: float, proxy: str, until: float) -> None:
         self._judge.clients_cut_off.add(proxy, at, until)
 
-    def _discovery_was_held(self, at: float, proxy: str, until: float) -> None:
+    def _discovery_held(self, at: float, proxy: str, until: float) -> None:
         self._lists_held.add(proxy, at, until)
 
-    def _discovery_was_unreachable(self, at: float, proxy: str, until: float) -> None:
+    def _discovery_unreachable(self, at: float, proxy: str, until: float) -> None:
         self._judge.discovery_unreachable.add(proxy, at, until)
 
     # Events of backends
 
-    def _attempt_received(self, at: float, backend: str, zone: str, ident: str, since: float) -> None:
-        # On its way through a link it may have waited: it was sent when its first_sent_at byte went in.
-        sent_at = self._entered_at.pop((backend, ident), since)
-        self._judge.attempt_received(backend, zone, ident.encode(), sent_at)
+    def _attempt_received(self, at: float, backend: str, zone: str, request_id: str, since: float) -> None:
+        # On its way through a link it may have waited: it was sent when its first byte went in.
+        sent_at = self._link_entered_at.pop((backend, request_id), since)
+        self._judge.attempt_received(backend, zone, request_id.encode(), sent_at)
 
-    def _attempt_ran(self, at: float, backend: str, ident: str) -> None:
-        self._judge.request_ran(backend, ident.encode(), at)
+    def _attempt_ran(self, at: float, backend: str, request_id: str) -> None:
+        self._judge.request_ran(backend, request_id.encode(), at)
 
-    def _attempt_versions(self, at: float, backend: str, ident: str, versions: str) -> None:
+    def _attempt_versions(self, at: float, backend: str, request_id: str, versions: str) -> None:
         """An attempt acts on no older list than its proxy was notified of a moment before."""
-        proxy = self._judge.tries[ident.encode()].proxy
+        proxy = self._judge.tries[request_id.encode()].proxy
         incarnation, _, revision = versions.partition("list=")[2].partition(":")[0].partition(".")
         settled = (written.revision for written in self._list_history[proxy] if written.at < at - NOTICE_SECONDS)
         notified = max(settled, default=0)
@@ -125,20 +127,20 @@
             return
         if not any(spans.covers(proxy, at, NOTICE_SECONDS) for spans in (self._stopped, self._lists_held)):
             self.stale_attempts.append(
-                f"{ident} was posted to {backend} by {proxy} on revision {revision}, told of {notified} before"
+                f"{request_id} was posted to {backend} by {proxy} on revision {revision}, told of {notified} before"
             )
 
-    def _backend_fell_over(self, at: float, backend: str, warm_up_fraction: float, sent: list) -> None:
-        recent = [RecentWork(sent_at, work_ms, ident.encode()) for sent_at, work_ms, ident in sent]
+    def _backend_overloaded(self, at: float, backend: str, warm_up_fraction: float, sent: list) -> None:
+        recent = [RecentWork(sent_at, work_ms, request_id.encode()) for sent_at, work_ms, request_id in sent]
         self._judge.backend_pushed_over(backend, at, warm_up_fraction, recent)
 
-    def _backend_choked(self, at: float, backend: str) -> None:
+    def _backend_congested(self, at: float, backend: str) -> None:
         self._judge.congestion_began(backend)
 
     def _backend_started(self, at: float, backend: str, started_at_ms: int) -> None:
         self._judge.backend_started(backend, at, started_at_ms)
 
-    def _rule_broken(self, at: float, rule: str, text: str) -> None:
+    def _rule_violated(self, at: float, rule: str, text: str) -> None:
         self._judge.violation(rule, at, text)
 
     # Events of discovery
@@ -155,8 +157,8 @@
         self._judge.state_published(endpoint, state, at)
 
     def _list_written(self, at: float, proxy: str, revision: int) -> None:
-        written = ListWritten(revision, at)
-        self.audit.written[proxy] = written
+        written = WrittenList(revision, at)
+        self.audit.last_written[proxy] = written
         history = self._list_history[proxy]
         if history and revision < history[-1].revision:
             history.clear()  # another count, or another replica: what came before says nothing of it
@@ -183,14 +185,14 @@
     def _process_late(self, at: float, role: str, late_ms: float) -> None:
         # What runs late while all is being started measures nothing yet.
         if self._judge.began_at and at > self._judge.began_at:
-            self.lateness_ms[role] = max(self.lateness_ms[role], late_ms)
+            self.max_lag_ms[role] = max(self.max_lag_ms[role], late_ms)
 
     _HANDLERS = {
         Event.RUN_BEGAN: _run_began,
         Event.REQUEST_BEGAN: _request_began,
         Event.REQUEST_SENT: _request_sent,
         Event.RESPONSE_RECEIVED: _response_received,
-        Event.IDLE_CLOSE_CROSSED: _idle_close_crossed,
+        Event.IDLE_CLOSE_RACED: _idle_close_raced,
         Event.RESPONSE_MISSING: _response_missing,
         Event.CALL_ENDED: _call_ended,
         Event.LINK_ENTERED: _link_entered,
@@ -198,19 +200,19 @@
         Event.ATTEMPT_RECEIVED: _attempt_received,
         Event.ATTEMPT_VERSIONS: _attempt_versions,
         Event.ATTEMPT_RAN: _attempt_ran,
-        Event.BACKEND_FELL_OVER: _backend_fell_over,
-        Event.BACKEND_CONGESTED: _backend_choked,
+        Event.BACKEND_OVERLOADED: _backend_overloaded,
+        Event.BACKEND_CONGESTED: _backend_congested,
         Event.BACKEND_STARTED: _backend_started,
-        Event.RULE_BROKEN: _rule_broken,
+        Event.RULE_VIOLATED: _rule_violated,
         Event.ENDPOINT_NOTIFIED: _endpoint_notified,
         Event.ENDPOINT_PUBLISHED: _endpoint_published,
         Event.LIST_WRITTEN: _list_written,
         Event.PROXY_KILLED: _proxy_killed,
         Event.PROXY_CRASHED: _proxy_crashed,
         Event.PROXY_STOPPED: _proxy_stopped,
-        Event.CLIENTS_CUT_OFF: _clients_were_cut_off,
-        Event.DISCOVERY_HELD: _discovery_was_held,
-        Event.DISCOVERY_UNREACHABLE: _discovery_was_unreachable,
+        Event.CLIENTS_CUT_OFF: _clients_cut_off,
+        Event.DISCOVERY_HELD: _discovery_held,
+        Event.DISCOVERY_UNREACHABLE: _discovery_unreachable,
         Event.AUDIT_BEGAN: _audit_began,
         Event.AUDIT_ENDED: _audit_ended,
         Event.PROCESS_LATE: _process_late,
--- a/sloeferry/fault_testing/recorded_events.py
+++ b/sloeferry/fault_testing/recorded_events.py
@@ -8,15 +8,15 @@
     """What happened.  The fields that follow time and word in a record stand beside each."""
 
     RUN_BEGAN = "begin"
-    FAULT_STRUCK = "fault"  # number, kind, proxies, how many links
-    FAULT_OVER = "over"  # number
+    FAULT_BEGAN = "fault"  # number, kind, proxies, how many links
+    FAULT_ENDED = "over"  # number
     PROCESS_LATE = "late"  # role, ms
 
     # Clients
     REQUEST_BEGAN = "asked"  # id, proxy, deadline
     REQUEST_SENT = "sent"  # id, deadline
     RESPONSE_RECEIVED = "answered"  # id, status, whether its body is its own
-    IDLE_CLOSE_CROSSED = "crossed"  # id
+    IDLE_CLOSE_RACED = "crossed"  # id
     RESPONSE_MISSING = "lost"  # id, reason
     CALL_ENDED = "ended"  # number of the call, outcome, when it began, how many requests it made
 
@@ -25,8 +25,8 @@
     ATTEMPT_VERSIONS = "acted"  # backend, id, under which versions its proxy sent it
     ATTEMPT_RAN = "ran"  # backend, id
     BACKEND_CONGESTED = "choked"  # backend
-    BACKEND_FELL_OVER = "fell"  # backend, its warm-up fraction, what it was sent
-    RULE_BROKEN = "breach"  # rule, text
+    BACKEND_OVERLOADED = "fell"  # backend, its warm-up fraction, what it was sent
+    RULE_VIOLATED = "breach"  # rule, text
 
     # Links
     LINK_ENTERED = "entered"  # link, id, when its first byte came
--- a/sloeferry/fault_testing/shared_balancer.py
+++ b/sloeferry/fault_testing/shared_balancer.py
@@ -6,11 +6,11 @@
 from sloeferry.rehearsal.scenario_tables import BalancerSettings
 from sloeferry.stand_ins.connection_balancer import ConnectionBalancer, ProxyPlace
 
-MIN_POLL_SECONDS = 0.05
-POLLS_PER_SECOND = 400  # of all proxies together
+MIN_POLL_INTERVAL_SECONDS = 0.05
+MAX_POLLS_PER_SECOND = 400  # of all proxies together
 
 
-class ObservedAlive(dict[str, bool]):
+class ObservedLiveness(dict[str, bool]):
     """Which proxies are held for alive; `on_change` is called with each that is set."""
 
     def __init__(self, alive: dict[str, bool], on_change: Callable[[str, bool], None]):
@@ -33,5 +33,5 @@
         on_change: Callable[[str, bool], None],
     ):
         super().__init__(loop, settings, places)
-        self.alive = ObservedAlive(self.alive, on_change)
-        self.poll_seconds = max(MIN_POLL_SECONDS, len(places) / POLLS_PER_SECOND)
+        self.alive = ObservedLiveness(self.alive, on_change)
+        self.poll_seconds = max(MIN_POLL_INTERVAL_SECONDS, len(places) / MAX_POLLS_PER_SECOND)
--- a/sloeferry/fault_testing/verdict.py
+++ b/sloeferry/fault_testing/verdict.py
@@ -17,9 +17,9 @@
 from sloeferry.rehearsal.record import make_record
 from sloeferry.stand_ins.rules import Rule
 
-SHOWN_EVENTS = 14  # of a request that are shown beside a broken rule
-SHOWN_VIOLATIONS = 5
-SHOWN_STALE_ATTEMPTS = 5
+MAX_SHOWN_EVENTS = 14  # of a request that are shown beside a broken rule
+MAX_SHOWN_VIOLATIONS = 5
+MAX_SHOWN_STALE_ATTEMPTS = 5
 
 
 class Verdict(enum.StrEnum):
@@ -55,11 +55,9 @@
             judge.violation(Rule.ONE_ANSWER, last_at, f"txn {planned.number} had no end")
     record = make_record(judge)
     failures = _failures(plan, replay, record, result)
-    lateness_ms = {role: round(ms, 1) for role, ms in sorted(replay.lateness_ms.items())}
+    max_lag_ms = {role: round(ms, 1) for role, ms in sorted(replay.max_lag_ms.items())}
     void_reasons = [
-        f"{role} ran {ms:g} ms late, {plan.rig.late_ms:g} at the most"
-        for role, ms in lateness_ms.items()
-        if ms > plan.rig.late_ms
+        f"{role} ran {ms:g} ms late, {plan.rig.late_ms:g} at the most" for role, ms in max_lag_ms.items() if ms > plan.rig.late_ms
     ]
     is_broken = bool(failures) or any(record["rules"].values())
     if replay.audit.result:
@@ -67,12 +65,12 @@
     return record | {
         "plan": plan.name,
         "seed": seed,
-        "late_ms": lateness_ms,
+        "late_ms": max_lag_ms,
         "failed": failures,
         "void": void_reasons,
         "figures": result.figures,
         "struck": {str(number): targets.proxies for number, targets in enumerate(result.targets)},
-        "evidence": [evidence.of(violation) for violation in judge.violation_log[:SHOWN_VIOLATIONS]],
+        "evidence": [evidence.for_violation(violation) for violation in judge.violation_log[:MAX_SHOWN_VIOLATIONS]],
         "verdict": _verdict(bool(void_reasons), is_broken).value,
     }
 
@@ -93,7 +91,7 @@
     if lost > plan.expect.lost:
         failures.append(f"{lost} txns lost, {plan.expect.lost} at the most were to be")
     failures += replay.audit_failures()
-    failures += replay.stale_attempts[:SHOWN_STALE_ATTEMPTS]
+    failures += replay.stale_attempts[:MAX_SHOWN_STALE_ATTEMPTS]
     if plan.rig.audit_s and replay.audit.result is None:
         failures.append("the audit never ended")
     failures += [f"the rig itself: {fault}" for fault in result.tool_errors]
@@ -110,15 +108,15 @@
     def __init__(self, judge: RecordJudge, events: list[RecordedEvent]):
         self.events = events
         self._judge = judge
-        self._by_ident: defaultdict[str, list[RecordedEvent]] = defaultdict(list)
+        self._by_request_id: defaultdict[str, list[RecordedEvent]] = defaultdict(list)
         for event in events:
             for word in event[2:]:
                 if type(word) is str and len(word) == ID_CHARACTERS:
-                    self._by_ident[word].append(event)
+                    self._by_request_id[word].append(event)
 
-    def of(self, violation: Violation) -> dict[str, Any]:
+    def for_violation(self, violation: Violation) -> dict[str, Any]:
         """A broken rule, and what all processes recorded of its request."""
-        idents = (word for word in violation.text.replace(",", " ").split() if word in self._by_ident)
-        events = self._by_ident.get(next(idents, ""), [])
-        shown = [[round(at - self._judge.began_at, 4), event, *fields] for at, event, *fields in events[:SHOWN_EVENTS]]
+        request_ids = (word for word in violation.text.replace(",", " ").split() if word in self._by_request_id)
+        events = self._by_request_id.get(next(request_ids, ""), [])
+        shown = [[round(at - self._judge.began_at, 4), event, *fields] for at, event, *fields in events[:MAX_SHOWN_EVENTS]]
         return {"rule": violation.rule, "text": violation.text, "events": shown}
--- a/sloeferry/fault_testing/worker.py
+++ b/sloeferry/fault_testing/worker.py
@@ -12,10 +12,10 @@
 import uvloop
 
 from sloeferry.fault_testing.event_recorder import EventRecorder
-from sloeferry.fault_testing.measuring import tune_garbage_collection
+from sloeferry.fault_testing.garbage_collection import tune_garbage_collection
 from sloeferry.fault_testing.plan import parse_plan, resize
 from sloeferry.fault_testing.worker_protocol import ReportKind, WorkerConfig
-from sloeferry.fault_testing.worker_roles import ROLES, Worker, report
+from sloeferry.fault_testing.worker_roles import WORKER_CLASSES, Worker, send_report
 
 
 class CommandReader(asyncio.Protocol):
@@ -35,7 +35,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """The driver has gone."""
-        self._worker.is_over.set()
+        self._worker.stop_requested.set()
 
     async def _run(self) -> None:
         while True:
@@ -43,25 +43,25 @@
             try:
                 await getattr(self._worker, name)(*arguments)
             except Exception as error:  # a worker goes on: the driver has the run fail
-                report(ReportKind.FAILED, f"{name} {arguments!r:.200}: {error!r}")
+                send_report(ReportKind.FAILED, f"{name} {arguments!r:.200}: {error!r}")
 
 
 def _report_exception(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    report(ReportKind.FAILED, f"{context.get('message')}: {context.get('exception')!r}")
+    send_report(ReportKind.FAILED, f"{context.get('message')}: {context.get('exception')!r}")
 
 
-async def serve(config: WorkerConfig) -> None:
+async def run_worker(config: WorkerConfig) -> None:
     """One worker, until it is told to end."""
     loop = asyncio.get_running_loop()
     plan = resize(parse_plan(config.plan_text), config.proxy_count, config.backend_count)
     recorder = EventRecorder(plan, config.seed, config.record_path, loop.time)
     loop.set_exception_handler(_report_exception)
-    worker = ROLES[config.role](loop, config, plan, recorder)
+    worker = WORKER_CLASSES[config.role](loop, config, plan, recorder)
     tune_garbage_collection()
-    recorder.watch_lateness(loop, config.role.value)
+    recorder.monitor_loop_lag(loop, config.role.value)
     await loop.connect_read_pipe(lambda: CommandReader(worker), sys.stdin)
-    report(ReportKind.READY)
-    await worker.is_over.wait()
+    send_report(ReportKind.READY)
+    await worker.stop_requested.wait()
     recorder.close()
 
 
@@ -70,7 +70,7 @@
     with os.fdopen(os.dup(0), "rb", 0) as first_line:
         config = msgspec.json.decode(first_line.readline(), type=WorkerConfig)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(serve(config))
+        runner.run(run_worker(config))
 
 
 if __name__ == "__main__":
--- a/sloeferry/fault_testing/worker_processes.py
+++ b/sloeferry/fault_testing/worker_processes.py
@@ -16,7 +16,7 @@
 from sloeferry.rehearsal.proxy_fleet import make_backend_id
 from sloeferry.rehearsal.scenario_tables import Backends
 
-END_SECONDS = 10.0  # until a worker that was told to end is killed
+SHUTDOWN_TIMEOUT_SECONDS = 10.0  # until a worker that was told to end is killed
 
 
 class WorkerProcess:
@@ -77,7 +77,7 @@
             return
         self.command("end")
         try:
-            await asyncio.wait_for(self._process.wait(), END_SECONDS)
+            await asyncio.wait_for(self._process.wait(), SHUTDOWN_TIMEOUT_SECONDS)
         except TimeoutError:
             self._process.kill()
             await self._process.wait()
--- a/sloeferry/fault_testing/worker_roles.py
+++ b/sloeferry/fault_testing/worker_roles.py
@@ -20,7 +20,7 @@
 OPEN_CALLS_REPORT_SECONDS = 0.1
 
 
-def report(kind: ReportKind, value: Any = None) -> None:
+def send_report(kind: ReportKind, value: Any = None) -> None:
     """Writes a report to the driver."""
     sys.stdout.buffer.write(msgspec.json.encode(WorkerReport(kind, value)) + b"\n")
     sys.stdout.buffer.flush()
@@ -30,7 +30,7 @@
     """What all roles have."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: WorkerConfig, plan: Plan, recorder: EventRecorder):
-        self.is_over = asyncio.Event()
+        self.stop_requested = asyncio.Event()
         self._loop = loop
         self._config = config
         self._plan = plan
@@ -38,7 +38,7 @@
 
     async def end(self) -> None:
         """Ends the process; its record is complete then."""
-        self.is_over.set()
+        self.stop_requested.set()
 
 
 class BackendsWorker(Worker):
@@ -49,12 +49,12 @@
         self._backends: dict[int, StandInBackend] = {}
         self._deduplication_stores = DeduplicationStores()
 
-    async def create(self, number: int, ident: str, address: list, zone: str, group: int) -> None:
+    async def create(self, number: int, backend_id: str, address: list, zone: str, group: int) -> None:
         """A backend of that group of the plan's; it does not listen yet."""
         self._backends[number] = StandInBackend(
             self._loop,
             self._plan.backends[group],
-            ident,
+            backend_id,
             tuple(address),
             zone,
             self._recorder,
@@ -66,7 +66,7 @@
     async def start(self, number: int, is_warm: bool) -> None:
         """It listens."""
         await self._backends[number].start(is_warm)
-        report(ReportKind.BACKEND_STARTED, number)
+        send_report(ReportKind.BACKEND_STARTED, number)
 
     async def crash(self, number: int) -> None:
         """At once, with all that it has."""
@@ -94,7 +94,7 @@
         if backend.is_up and backend.in_flight():
             self._loop.call_later(DRAIN_CHECK_SECONDS, lambda: self._loop.create_task(self.drain(number)))
         else:
-            report(ReportKind.BACKEND_IDLE, number)
+            send_report(ReportKind.BACKEND_IDLE, number)
 
 
 class ClientsWorker(Worker):
@@ -104,9 +104,9 @@
         super().__init__(*arguments)
         places = [ProxyPlace(name, tuple(address), zone) for name, address, zone in self._config.places]
         self._balancer = ConnectionBalancer(self._loop, self._plan.balancer, places)
-        self._clients = [self._clients_of_zone(index, zone) for index, zone in enumerate(self._plan.network.zones)]
+        self._clients = [self._create_clients(index, zone) for index, zone in enumerate(self._plan.network.zones)]
 
-    def _clients_of_zone(self, index: int, zone: str) -> StandInClients:
+    def _create_clients(self, index: int, zone: str) -> StandInClients:
         zone_count = len(self._plan.network.zones)
         config = self._config
         calls = [
@@ -125,7 +125,7 @@
         self._loop.call_at(now + self._plan.seconds, self._report_open_calls)
 
     def _report_open_calls(self) -> None:
-        report(ReportKind.OPEN_CALLS, sum(clients.open_count for clients in self._clients))
+        send_report(ReportKind.OPEN_CALLS, sum(clients.open_count for clients in self._clients))
         self._loop.call_later(OPEN_CALLS_REPORT_SECONDS, self._report_open_calls)
 
     async def set_alive(self, proxy: str, is_alive: bool) -> None:
@@ -148,15 +148,15 @@
 
     async def confirm_links(self) -> None:
         """Reports that all commands before this one are done."""
-        report(ReportKind.LINKS_OPEN)
+        send_report(ReportKind.LINKS_OPEN)
 
     async def set_condition(self, names: list[str], kind: str, keys: dict[str, Any]) -> None:
         """From now on, for all those links, by the words of a plan."""
-        condition = LinkCondition.of_plan(kind, keys)
+        condition = LinkCondition.from_plan(kind, keys)
         await asyncio.gather(*(self._links[name].set_condition(condition) for name in names))
 
 
-ROLES: dict[WorkerRole, type[Worker]] = {
+WORKER_CLASSES: dict[WorkerRole, type[Worker]] = {
     WorkerRole.BACKENDS: BackendsWorker,
     WorkerRole.CLIENTS: ClientsWorker,
     WorkerRole.RELAY: RelayWorker,
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -49,9 +49,9 @@
 
 class Plans(unittest.TestCase):
     def test_shipped(self):
-        for name in plans.shipped():
-            self.assertEqual(plans.read(name).name, name)
-        self.assertLessEqual({one.plan for one in PLANTED.values()}, set(plans.shipped()))
+        for name in plans.shipped_names():
+            self.assertEqual(plans.read_plan(name).name, name)
+        self.assertLessEqual({one.plan for one in PLANTED.values()}, set(plans.shipped_names()))
 
     def test_drawn(self):
         """A seed stands for the same plan everywhere: the texts of some, byte for byte as they were first drawn."""
@@ -59,7 +59,7 @@
             ("drawn", "583495791073821cc910a82cf2cb8307409d9052df2b492477d4b10a5a23e9c0"),
             ("soak", "dd27eb572230da3e96f85d313293d63fb580484721ee71df23b3beb3c482794c"),
         ):
-            texts = "".join(plans.plan_text(f"{kind}-{seed}") for seed in range(1, 31))
+            texts = "".join(plans.read_plan_text(f"{kind}-{seed}") for seed in range(1, 31))
             self.assertEqual(hashlib.sha256(texts.encode()).hexdigest(), digest, kind)
 
     def test_faults(self):
@@ -89,17 +89,17 @@
             self.assertIsInstance(CliRunner().invoke(rig, words).exception, s.ScenarioError, words)
 
     def test_altered(self):
-        told = plans.resize(plans.read("calm"), 40, 24)
+        told = plans.resize(plans.read_plan("calm"), 40, 24)
         self.assertEqual((told.proxies.count, sum(n.count for n in told.backends)), (40, 24))
-        self.assertEqual(told.clients.load_curve[0][1], 2 * plans.read("calm").clients.load_curve[0][1])
+        self.assertEqual(told.clients.load_curve[0][1], 2 * plans.read_plan("calm").clients.load_curve[0][1])
 
     def test_twin(self):
         """The same plan in virtual time: what has its part there is played, the rest is named."""
-        scenario, without = plans.virtual_twin(plans.read("deaths"))
+        scenario, without = plans.to_virtual_scenario(plans.read_plan("deaths"))
         self.assertEqual(
             ([t.__struct_config__.tag for t in scenario.scenario_faults], without), (["proxies-die", "proxies-roll"], [])
         )
-        self.assertEqual(plans.virtual_twin(plans.read("links"))[1], ["break", "cut", "hold", "half-open", "delay"])
+        self.assertEqual(plans.to_virtual_scenario(plans.read_plan("links"))[1], ["break", "cut", "hold", "half-open", "delay"])
 
 
 class Clocks(unittest.TestCase):
@@ -114,11 +114,11 @@
                     starts.set_discovery_time(now, now + 5e9 - 300.0)
                 elif confirmed == "news":
                     starts.started_at(now, "first", now + 5e9 - 700.0, True)
-                for ident, ago, news in (("old", 50_000.0, False), ("young", 400.0, False), ("new", 400.0, True)):
-                    at = starts.started_at(now, ident, now + 5e9 - ago, news)
-                    same = starts.started_at(now + 9.0, ident, now + 5e9 - ago, False) == at
+                for endpoint_id, ago, news in (("old", 50_000.0, False), ("young", 400.0, False), ("new", 400.0, True)):
+                    at = starts.started_at(now, endpoint_id, now + 5e9 - ago, news)
+                    same = starts.started_at(now + 9.0, endpoint_id, now + 5e9 - ago, False) == at
                     lines.lines.append(
-                        f"clock off by {off / 3600e3:g} h, {confirmed} confirms it: {ident}, started {ago:g} ms "
+                        f"clock off by {off / 3600e3:g} h, {confirmed} confirms it: {endpoint_id}, started {ago:g} ms "
                         f"ago, news {news}: taken for {now - at:.0f} ms ago, stays {same}"
                     )
                 starts.set_discovery_time(now, now + 5e9 - 300.0)
@@ -146,15 +146,15 @@
             path.write_bytes(path.read_bytes() + b'[11.0, 11.0, "post')  # its writer was killed
             return judge_run(plan, 1, RunResult([path]))
 
-    IDENT = f"{3:012x}0000"
-    ASKED = (11.0, "asked", IDENT, "p1", 11.8), (11.0, "sent", IDENT, 11.8)
+    REQUEST_ID = f"{3:012x}0000"
+    ASKED = (11.0, "asked", REQUEST_ID, "p1", 11.8), (11.0, "sent", REQUEST_ID, 11.8)
 
     def test_kept(self):
         said = self.judged(
             *self.ASKED,
-            (11.01, "posted", "s-0001", "a", self.IDENT, 11.01),
-            (11.01, "ran", "s-0001", self.IDENT),
-            (11.05, "answered", self.IDENT, 200, True),
+            (11.01, "posted", "s-0001", "a", self.REQUEST_ID, 11.01),
+            (11.01, "ran", "s-0001", self.REQUEST_ID),
+            (11.05, "answered", self.REQUEST_ID, 200, True),
             (11.05, "ended", 3, "settled", 11.0, 1),
         )
         self.assertEqual((said["verdict"], said["txns"]["settled"]), ("kept", 1))
@@ -162,43 +162,49 @@
     def test_broken(self):
         """Each with the two records that contradict each other."""
         lines = trace.Lines()
-        ran = [(11.01, "posted", "s-0001", "a", self.IDENT, 11.01), (11.01, "ran", "s-0001", self.IDENT)]
+        ran = [(11.01, "posted", "s-0001", "a", self.REQUEST_ID, 11.01), (11.01, "ran", "s-0001", self.REQUEST_ID)]
         end = (12.0, "ended", 3, "settled", 11.0, 1)
         for what, *events in (
-            ("ran twice", *ran, (11.2, "posted", "s-0000", "a", self.IDENT, 11.2), (11.2, "ran", "s-0000", self.IDENT), end),
-            ("declined and ran", *ran, (11.3, "answered", self.IDENT, 503, True), end),
-            ("posted after its expiry", (11.9, "posted", "s-0001", "a", self.IDENT, 11.9), end),
+            (
+                "ran twice",
+                *ran,
+                (11.2, "posted", "s-0000", "a", self.REQUEST_ID, 11.2),
+                (11.2, "ran", "s-0000", self.REQUEST_ID),
+                end,
+            ),
+            ("declined and ran", *ran, (11.3, "answered", self.REQUEST_ID, 503, True), end),
+            ("posted after its expiry", (11.9, "posted", "s-0001", "a", self.REQUEST_ID, 11.9), end),
             (
                 "posted in time, held on its way",
-                (11.7, "entered", "nodes/1/1", self.IDENT, 11.7),
-                (11.9, "posted", "s-0001", "a", self.IDENT, 11.9),
+                (11.7, "entered", "nodes/1/1", self.REQUEST_ID, 11.7),
+                (11.9, "posted", "s-0001", "a", self.REQUEST_ID, 11.9),
                 end,
             ),
             ("told of a drain", (10.5, "told", "p1", "s-0001", "leaving", 0), *ran, end),
-            ("no answer", (11.9, "lost", self.IDENT, "its time was over"), (12.0, "ended", 3, "lost", 11.0, 1)),
+            ("no answer", (11.9, "lost", self.REQUEST_ID, "its time was over"), (12.0, "ended", 3, "lost", 11.0, 1)),
             (
                 "no answer, its proxy was killed",
                 (11.1, "killed", "p1"),
-                (11.2, "lost", self.IDENT, "its connection ended"),
+                (11.2, "lost", self.REQUEST_ID, "its connection ended"),
                 (12.0, "ended", 3, "lost", 11.0, 1),
             ),
             (
                 "no answer, its way was cut",
                 (11.1, "apart", "p1", 11.3),
-                (11.2, "lost", self.IDENT, "its connection ended"),
+                (11.2, "lost", self.REQUEST_ID, "its connection ended"),
                 (12.0, "ended", 3, "lost", 11.0, 1),
             ),
             (
                 "fell, and nobody had been told",
                 (10.9, "started", "s-0001", 500),
-                (11.1, "fell", "s-0001", 0.5, [(11.0, 900, self.IDENT)]),
+                (11.1, "fell", "s-0001", 0.5, [(11.0, 900, self.REQUEST_ID)]),
                 end,
             ),
             (
                 "fell, and its proxy had been told",
                 (10.9, "started", "s-0001", 500),
                 (10.95, "told", "p1", "s-0001", "active", 500),
-                (11.1, "fell", "s-0001", 0.5, [(11.0, 900, self.IDENT)]),
+                (11.1, "fell", "s-0001", 0.5, [(11.0, 900, self.REQUEST_ID)]),
                 end,
             ),
             ("measured too late", (11.5, "late", "callers", 900.0), end),
@@ -267,7 +273,7 @@
                 lines.lines.append(f"{what or 'whole'} {told}")
                 lines.lines.append(f"  before: {await ask(kept, b'a')}")
                 seen.clear()
-                await link.set_condition(LinkCondition.of_plan(what, told))
+                await link.set_condition(LinkCondition.from_plan(what, told))
                 lines.lines.append(f"  kept: {await ask(kept, b'bcd')}; the far end saw {seen}")
                 seen.clear()
                 new = await dial()
@@ -304,7 +310,7 @@
             calls = []
             loop = types.SimpleNamespace(time=lambda: 5.0, call_later=lambda *what: calls.append(what))
             recorder.close()
-            recorder.watch_lateness(loop, "nodes", 1.0)
+            recorder.monitor_loop_lag(loop, "nodes", 1.0)
             self.assertEqual(calls, [])
 
 
@@ -324,7 +330,7 @@
             judge=types.SimpleNamespace(note=lambda at, event, *_: found.append(event), proxy_stopped=lambda *_: None),
             relay=types.SimpleNamespace(command=lambda *words: found.append(words[0])),
         )
-        LinkAction(fleet, 0, CutLink(at_seconds=1.0, between=between)).strike()
+        LinkAction(fleet, 0, CutLink(at_seconds=1.0, between=between)).inject()
         return found
 
     def test_each_fault_has_an_action(self):
