--- a/sloeferry/network/attempt.py
+++ b/sloeferry/network/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request, from the policy's command to the report of its end."""
+"""Attempts: each sends a request to one endpoint and reports the result to the dispatcher."""
 
 import asyncio
 from collections.abc import Sequence
@@ -20,23 +20,26 @@
 from sloeferry.policy.interface import SendAttempt
 
 REJECTION_STATUSES = (503, 504)
-# Given up past half of its time a request is given up too late (protocol): until then a failing dial is waited out,
-# and for no longer than two of the longest pauses.
-MAX_DIAL_PAUSES = 2
+# Failing dials are retried for at most this multiple of the pool's `max_pause_seconds`, and never past half of the request's
+# time: the protocol counts a request that is given up after that as given up too late.
+MAX_DIAL_PAUSE_MULTIPLE = 2
 
 
 @dataclass(slots=True)
 class OutgoingRequest:
-    """What each attempt of a request sends; `head` lacks only the time that is left."""
+    """A request as its attempts send it.
+
+    `head` holds all header lines except those of one attempt: the versions and the time left.
+    """
 
     context: RequestContext
     head: bytes
     body: bytes | RequestBodyStream
-    attempts: dict[int, asyncio.Task] = field(default_factory=dict)  # by number, of those that are out
+    attempts: dict[int, asyncio.Task] = field(default_factory=dict)  # the running attempts, by attempt number
 
 
 class AttemptRunner:
-    """Carries out attempts."""
+    """Runs the attempts that the policy commands."""
 
     def __init__(self, dispatcher: Dispatcher, pool: ConnectionPool, timers: DeadlineTimers, load_reports: LoadReportReader):
         self._dispatcher = dispatcher
@@ -45,48 +48,48 @@
         self._load_reports = load_reports
 
     async def run(self, request: OutgoingRequest, command: SendAttempt, is_inline: bool = False) -> bool:
-        """Runs one attempt and reports its end.
+        """Run one attempt, report its end, and return whether another task has taken the request over meanwhile.
 
-        `is_inline`: the task that carries the request runs it itself.  Returns whether another task took the request over
-        meanwhile (`RequestContext.on_command`).
+        `is_inline`: the task that carries the request runs the attempt itself.  A takeover by another task clears
+        `RequestContext.on_command`.
         """
         context, number = request.context, command.attempt_number
-        began_at = environment.monotonic_ms()
-        ended = await Exchange(self._plan(request, command, began_at), self._dispatcher, self._pool, self._timers).run()
+        started_at = environment.monotonic_ms()
+        result = await Exchange(self._plan(request, command, started_at), self._dispatcher, self._pool, self._timers).run()
         body = request.body if isinstance(request.body, RequestBodyStream) else None
         if body and not body.is_bound:
-            body.release(number)  # it is all there still: another attempt may have it
+            body.release(number)  # none of it has been consumed: another attempt may send it
         elif body and body.last_byte_at:
-            began_at = body.last_byte_at  # until then the client took the time
-        end, load_report, response = ended.end, NO_REPORT, ended.response
+            started_at = body.last_byte_at  # the time before that was spent by the client, not by the backend
+        end, load_report, response = result.end, NO_REPORT, result.response
         if response:
             load_report = self._load_reports.read(response.header(protocol.LOAD_REPORT))
             end = _classify(response)
         was_taken_over = is_inline and context.on_command is None
         if is_inline:
-            context.on_command = None  # back: what the report commands needs nobody else
-        took_ms = environment.monotonic_ms() - began_at
-        is_used = self._report(context, number, ended._replace(end=end), took_ms, load_report)
+            context.on_command = None  # the task is free again and carries out the commands that follow from the report itself
+        duration_ms = environment.monotonic_ms() - started_at
+        is_used = self._report(context, number, result._replace(end=end), duration_ms, load_report)
         if response and response.body_stream and (not is_used or context.is_abandoned):
             response.body_stream.close()
         return was_taken_over
 
-    def _plan(self, request: OutgoingRequest, command: SendAttempt, began_at: float) -> ExchangePlan:
+    def _plan(self, request: OutgoingRequest, command: SendAttempt, started_at: float) -> ExchangePlan:
         context, number, endpoint_id = request.context, command.attempt_number, command.endpoint_id
         body = request.body if isinstance(request.body, RequestBodyStream) else None
 
         def make_request() -> bytes:
             first_part = body.held() if body else request.body
             versions = context.version_headers[number] if context.version_headers else b""
-            left_ms = max(1, context.deadline - environment.monotonic_ms())
-            left = b"%b: %d\r\n" % (protocol.ATTEMPT_TIME_LEFT_MS, left_ms)
-            return b"%b%b%b\r\n%b" % (request.head, versions, left, first_part)
+            time_left_ms = max(1, context.deadline - environment.monotonic_ms())
+            time_left = b"%b: %d\r\n" % (protocol.ATTEMPT_TIME_LEFT_MS, time_left_ms)
+            return b"%b%b%b\r\n%b" % (request.head, versions, time_left, first_part)
 
         def may_begin() -> bool:
             is_allowed = self._dispatcher.may_begin_attempt(context, number, endpoint_id)
             return is_allowed and (not body or body.claim(number))
 
-        max_dial_ms = MAX_DIAL_PAUSES * self._pool.max_pause_seconds * 1000
+        max_dial_ms = MAX_DIAL_PAUSE_MULTIPLE * self._pool.max_pause_seconds * 1000
         return ExchangePlan(
             endpoint_id,
             context.deadline,
@@ -96,20 +99,20 @@
             body=body,
             attempt_number=number,
             needs_settled=True,
-            dial_deadline=min((context.arrived_at + context.deadline) / 2, began_at + max_dial_ms),
+            dial_deadline=min((context.arrived_at + context.deadline) / 2, started_at + max_dial_ms),
         )
 
     def _report(
-        self, context: RequestContext, number: int, ended: ExchangeResult, took_ms: float, load_report: Sequence[float]
+        self, context: RequestContext, number: int, result: ExchangeResult, duration_ms: float, load_report: Sequence[float]
     ) -> bool:
-        """Whether the attempt's response is the request's."""
+        """Report an attempt's end and return whether its response is sent to the client."""
         try:
             return self._dispatcher.attempt_ended(
-                context, number, ended.progress, ended.end, took_ms, load_report, ended.response
+                context, number, result.progress, result.end, duration_ms, load_report, result.response
             )
-        except Exception as error:  # a decision that failed ends no more than its own part
+        except Exception as error:  # an exception in a policy decision must not affect other requests
             logger.opt(exception=True).error("report failed: request={} attempt={} error={!r}", context.request_id, number, error)
-            return context.is_answered  # its response is under way all the same
+            return context.is_answered  # the response is already being sent
 
 
 def _classify(response: Message) -> AttemptEnd:
--- a/sloeferry/network/backend_connection.py
+++ b/sloeferry/network/backend_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend, which carries one request at a time and is then kept."""
+"""One connection to a backend, which carries one request at a time and is reused."""
 
 import socket
 from typing import TYPE_CHECKING
@@ -13,7 +13,7 @@
 
 
 class BackendConnection:
-    """A connection of the pool, at rest or in use."""
+    """A connection of the pool, idle or in use."""
 
     def __init__(self, pool: "ConnectionPool", endpoint_id: str, address: Address, sock: socket.socket):
         self._pool = pool
@@ -24,45 +24,48 @@
         self.idle_since = environment.monotonic()
 
     def is_usable(self) -> bool:
-        """Whether it still stands, and its backend will not close it for idleness any moment."""
+        """Return whether the connection is open and not close to its backend's idle timeout."""
         if environment.monotonic() - self.idle_since > self._pool.max_idle_seconds:
             return False
-        return is_open_and_idle(self.sock)  # else an end, or bytes that nobody asked for
+        return is_open_and_idle(self.sock)  # False: it is closed, or unexpected bytes have arrived
 
     def has_current_address(self) -> bool:
-        """Whether its endpoint still listens where this leads: it may have moved meanwhile."""
+        """Return whether the connection leads to the endpoint's current address, which may have changed since the dial."""
         return self._pool.addresses.get(self.endpoint_id) == self.address
 
     def mark_idle(self) -> None:
-        """It is kept until it is needed again."""
+        """Put the connection into the pool."""
         self.idle_since = environment.monotonic()
         self._pool.idle.setdefault(self.endpoint_id, []).append(self)
         self._pool.budget.mark_waiting(self, self.close)
 
     def mark_in_use(self) -> None:
-        """It is needed again."""
+        """Take the connection out of the pool."""
         self._pool.idle[self.endpoint_id].remove(self)
         self._pool.budget.mark_active(self)
 
     def finish(self, keep_alive: bool) -> None:
-        """A response has ended.  What more there is belongs to no attempt: the next would take it for its response."""
-        has_more = self.stream.completed or self.stream.has_begun
-        if keep_alive and not has_more and self.has_current_address():
+        """Return the connection to the pool after use, or close it if it cannot be reused.
+
+        Surplus bytes belong to no attempt: the next one would read them as its response, so the connection is closed.
+        """
+        has_surplus_bytes = self.stream.completed or self.stream.has_begun
+        if keep_alive and not has_surplus_bytes and self.has_current_address():
             self.mark_idle()
         else:
             self.close()
 
     def abort(self) -> None:
-        """Ends it in the middle of a request or response.
+        """Reset the connection in the middle of a request or response.
 
-        What the machine still holds of the request must not go out when a network cut is over: its request has had its final
-        answer by then (rule 1), and a repeat may be known no more (rule 2).
+        Bytes of the request in the kernel's send buffer must not reach the backend once a network partition ends: by then the
+        client has its final answer (rule 1), and the backend's deduplication window may have ended (rule 2).
         """
         reset_on_close(self.sock)
         self.close()
 
     def close(self) -> None:
-        """It is gone, and its place in the budget free."""
+        """Close the connection and release its descriptor."""
         if self in self._pool.idle.get(self.endpoint_id, ()):
             self.mark_in_use()
         self.stream.close()
--- a/sloeferry/network/connection_pool.py
+++ b/sloeferry/network/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to backends: where each backend listens, which connections rest, and new ones."""
+"""The connection pool: endpoint addresses, idle connections to backends, and dialing."""
 
 import asyncio
 import socket
@@ -14,28 +14,28 @@
 from sloeferry.network.limited_log import warn
 from sloeferry.network.sockets import is_open_and_idle
 
-# A second response to one request may come so much later (some ms, by the protocol).
+# A backend may send a duplicate response up to this long after the first (the protocol says some ms).
 DUPLICATE_RESPONSE_SECONDS = 0.006
-IDLE_LIMIT_RATIO = 0.8  # of the time after which a backend closes a connection at rest
+IDLE_LIMIT_RATIO = 0.8  # of the time after which a backend closes an idle connection
 SWEEPS_PER_IDLE_LIMIT = 8
-# What has begun goes on within so much of the shortest latency objective, or it is given up.
+# A dial or a response that makes no progress for this ratio of the shortest latency objective is given up.
 MAX_PAUSE_RATIO = 1 / 4
-FIRST_REDIAL_MS, MAX_REDIAL_MS = 5.0, 80.0  # between two dials that this machine could not make
+FIRST_REDIAL_MS, MAX_REDIAL_MS = 5.0, 80.0  # backoff between dials that fail with a local error
 
 
 class ConnectionPool:
-    """All connections to backends."""
+    """Holds the idle connections to all endpoints and dials new ones."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, settings: Settings, budget: DescriptorBudget, buffers: Buffers):
         self.loop = loop
         self.budget = budget
         self.buffers = buffers
-        self.addresses: dict[str, Address] = {}  # of each endpoint
-        self.idle: dict[str, list[BackendConnection]] = {}  # by endpoint, the newest last
+        self.addresses: dict[str, Address] = {}  # by endpoint id
+        self.idle: dict[str, list[BackendConnection]] = {}  # by endpoint id, the most recently used last
         self._update(settings)
 
     def update_config(self, config: InstanceConfig) -> None:
-        """Takes over timeouts, from now on."""
+        """Apply the timeouts of a new configuration."""
         self._update(config.settings)
 
     def _update(self, settings: Settings) -> None:
@@ -45,7 +45,7 @@
         self.max_pause_seconds = shortest_objective_ms * MAX_PAUSE_RATIO / 1000
 
     def set_address(self, endpoint_id: str, address: Address | None) -> None:
-        """Where an endpoint listens; None once it is gone."""
+        """Set an endpoint's address, or remove it (None), and close the idle connections to the old one."""
         if self.addresses.get(endpoint_id) == address:
             return
         for connection in list(self.idle.get(endpoint_id, ())):
@@ -57,24 +57,27 @@
             self.addresses[endpoint_id] = address
 
     async def acquire(self, endpoint_id: str, needs_settled: bool, dial_deadline: float) -> BackendConnection | AttemptEnd:
-        """A connection to write on; else why there is none.
+        """Return a connection that is ready for a request, or the reason why there is none.
 
-        `needs_settled`: the caller cannot do with one that may still have a second response to come; `dial_deadline`: until
-        when (ms) this machine's failing to dial is waited out.
+        `needs_settled`: the connection must have been idle for `DUPLICATE_RESPONSE_SECONDS`, so that no duplicate response is
+        still due on it.  `dial_deadline` (ms): until then, dials that fail with a local error are retried.
         """
-        return await self._kept(endpoint_id, needs_settled) or await self._dial(endpoint_id, dial_deadline)
+        return await self._take_idle(endpoint_id, needs_settled) or await self._dial(endpoint_id, dial_deadline)
 
-    async def _kept(self, endpoint_id: str, needs_settled: bool) -> BackendConnection | None:
-        """A kept connection found alive.
+    async def _take_idle(self, endpoint_id: str, needs_settled: bool) -> BackendConnection | None:
+        """Take an idle connection that is still usable; return None if there is none.
 
-        The newest, which its backend will close last, of those that have rested: a second response, on its way still, would
-        pass for the next request's own, and one that was rejected be sent again (rules 1 and 2).  Where none has rested, that
-        time is waited for: another connection costs its backend more than a few ms.
+        Among the settled connections the most recently used is taken, which its backend will close last.  On a connection that
+        is not settled, a late duplicate response could be taken for the next request's response, and a duplicate rejection
+        could cause a request that runs to be sent again (rules 1 and 2).  If none is settled, the oldest is waited for: a new
+        connection costs its backend more than a few ms.
         """
-        while kept := self.idle.get(endpoint_id):
+        while idle_connections := self.idle.get(endpoint_id):
             now = environment.monotonic()
-            rested = now - DUPLICATE_RESPONSE_SECONDS
-            connection = next((each for each in reversed(kept) if each.idle_since <= rested), kept[0])
+            settled_before = now - DUPLICATE_RESPONSE_SECONDS
+            connection = next(
+                (each for each in reversed(idle_connections) if each.idle_since <= settled_before), idle_connections[0]
+            )
             if not connection.is_usable():
                 connection.close()
                 continue
@@ -92,9 +95,9 @@
         return None
 
     async def _dial(self, endpoint_id: str, dial_deadline: float) -> BackendConnection | AttemptEnd:
-        """A new connection; where this machine cannot dial just now, it is tried again until then at the most."""
+        """Open a new connection, or return the reason why there is none; local errors are retried until `dial_deadline`."""
         address = self.addresses.get(endpoint_id)
-        # No place, no socket: this proxy's own want, no word against the backend.
+        # A missing address or descriptor is a local condition and does not count against the backend.
         if address is None or not self.budget.take():
             return AttemptEnd.NOT_WANTED
         sock: socket.socket | AttemptEnd = AttemptEnd.NOT_WANTED
@@ -106,11 +109,11 @@
         return sock if isinstance(sock, AttemptEnd) else BackendConnection(self, endpoint_id, address, sock)
 
     async def _dial_with_retries(self, endpoint_id: str, address: Address, dial_deadline: float) -> socket.socket | AttemptEnd:
-        """A connected socket, or why there is none."""
+        """Return a connected socket, or the reason why there is none."""
         pause_ms = FIRST_REDIAL_MS
         while True:
             try:
-                # A backend that does not come up in that time has not run the request: another one still may, in time.
+                # A backend that does not accept within this time has not run the request, which leaves time for another.
                 timeout_ms = min(self.connect_timeout_ms, self.max_pause_seconds * 1000)
                 return await sockets.connect(self.loop, address, timeout_ms) or AttemptEnd.CONNECTION_LOST
             except OSError as error:
@@ -121,7 +124,7 @@
                 pause_ms = min(2 * pause_ms, MAX_REDIAL_MS)
 
     async def sweep(self) -> None:
-        """Closes kept connections before their backend does, for as long as the program runs."""
+        """Close idle connections before their backends do, until cancelled."""
         while True:
             await asyncio.sleep(self.max_idle_seconds / SWEEPS_PER_IDLE_LIMIT)
             for connections in list(self.idle.values()):
@@ -130,6 +133,6 @@
                         connection.close()
 
     def close(self) -> None:
-        """The program ends."""
+        """Close all idle connections and forget all addresses."""
         for endpoint_id in list(self.idle):
             self.set_address(endpoint_id, None)
--- a/sloeferry/network/exchange.py
+++ b/sloeferry/network/exchange.py
@@ -1,4 +1,4 @@
-"""One request to a backend and its response: connect, write, read, classify."""
+"""One HTTP exchange with a backend: connect, write the request, read the response, classify the result."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,7 +24,10 @@
 
 
 class ExchangeResult(NamedTuple):
-    """How far an exchange came, and why it ended there; where a response came, its reader says how that counts."""
+    """The result of an exchange: its progress and why it ended.
+
+    `end` does not depend on the response's status: the caller classifies the response, if there is one.
+    """
 
     progress: AttemptProgress
     end: AttemptEnd
@@ -33,21 +36,21 @@
 
 @dataclass(slots=True)
 class ExchangePlan:
-    """What an exchange is to do.  Times in ms, monotonic."""
+    """The parameters of one exchange.  Times in ms, monotonic."""
 
     endpoint_id: str
     deadline: float
-    may_begin: Callable[[], bool]  # asked right before the first byte
-    make_request: Callable[[], bytes]  # once the connection stands
-    on_first_byte: Callable[[], None] | None = None  # told as it goes out
-    body: RequestBodyStream | None = None  # longer than what is written at first
+    may_begin: Callable[[], bool]  # called right before the first byte is written
+    make_request: Callable[[], bytes]  # called once the connection is established
+    on_first_byte: Callable[[], None] | None = None  # called right before the first byte is written
+    body: RequestBodyStream | None = None  # a body of which `make_request` contains only the first part
     attempt_number: int = 0
-    needs_settled: bool = False  # `ConnectionPool.acquire`
-    dial_deadline: float = 0.0  # until when this machine's failing to dial is waited out
+    needs_settled: bool = False  # see `ConnectionPool.acquire`
+    dial_deadline: float = 0.0  # until then, dials that fail with a local error are retried
 
 
 class Exchange:
-    """One run of a plan, in the task that calls `run`."""
+    """Runs one plan, once, in the task that calls `run`."""
 
     def __init__(self, plan: ExchangePlan, dispatcher: Dispatcher, pool: ConnectionPool, timers: DeadlineTimers):
         self._plan = plan
@@ -61,7 +64,7 @@
         self._response: Message | None = None
 
     async def run(self) -> ExchangeResult:
-        """Runs it to its end; what goes wrong is part of the result, never an exception."""
+        """Run the exchange and return its result; failures are part of the result and never raised."""
         plan = self._plan
         self._task = asyncio.current_task()
         self._read_by = (plan.deadline - environment.monotonic_ms()) / 1000 + self._loop.time()
@@ -74,19 +77,19 @@
         except OSError:
             pass
         except asyncio.CancelledError:
-            self._task.uncancel()  # the cancellation ends this exchange only; the task goes on
+            self._task.uncancel()  # the cancellation ends only this exchange; the task continues
             self._end = self._cancelled_end()
-        except Exception as error:  # whatever it was, it has ended, and may have run
+        except Exception as error:  # an unexpected error: assume that the backend may have run the request
             warn("exchange failed", "backend={} error={!r}", plan.endpoint_id, error)
             self._progress = AttemptProgress.COMPLETELY_WRITTEN
         self._timer.cancel()
         self._release_connection()
-        return ExchangeResult(self._progress_in_doubt(), self._end, self._response)
+        return ExchangeResult(self._conservative_progress(), self._end, self._response)
 
     # Phases
 
     async def _begin(self) -> bool:
-        """Connects; whether the request may be written."""
+        """Connect, and return whether the request may be written."""
         plan = self._plan
         connection = await self._pool.acquire(plan.endpoint_id, plan.needs_settled, plan.dial_deadline)
         if isinstance(connection, AttemptEnd):
@@ -95,7 +98,7 @@
         self._connection = connection
         while catching_up := self._dispatcher.loop_turned():
             await asyncio.wait([catching_up])
-        # A dial takes time: the address may be another endpoint's by now.
+        # The deadline may have passed and the address may belong to another endpoint since the dial began.
         is_late = environment.monotonic_ms() >= plan.deadline
         if is_late or not connection.has_current_address() or not plan.may_begin():
             self._end = AttemptEnd.NOT_WANTED
@@ -103,7 +106,7 @@
         return True
 
     async def _write(self) -> None:
-        """Writes the request; the rest of a long body as it comes."""
+        """Write the request, and the rest of a streamed body as it is received."""
         plan = self._plan
         self._progress = AttemptProgress.PARTLY_WRITTEN
         request = plan.make_request()
@@ -121,7 +124,10 @@
             self._progress = AttemptProgress.COMPLETELY_WRITTEN
 
     async def _write_body(self, body: RequestBodyStream) -> bool:
-        """Writes the rest of a body; whether the backend has answered already, or ended: the rest is not wanted."""
+        """Write the rest of a streamed body, and return whether the backend responded or closed before its end.
+
+        The backend does not want the rest then, and it is not written.
+        """
         body.bind(self._plan.attempt_number, self._task)
         sock = self._connection.sock
         try:
@@ -140,11 +146,11 @@
         return False
 
     async def _read(self) -> None:
-        """Reads the response: all of it, or as much as shows that it is passed on as it comes."""
+        """Read the whole response, or its beginning if it is to be streamed to the client."""
         stream = self._connection.stream
         while not stream.completed and not stream.oversized_message():
             if stream.has_unknown_length() and stream.message.body_bytes:
-                # Nobody said how long it is: where it pauses, it is passed on as it comes.
+                # The length is not known in advance: once the backend pauses, the response is streamed to the client.
                 if not await stream.receive_within(self._pool.max_pause_seconds):
                     self._response = stream.message
                     break
@@ -153,19 +159,22 @@
             if stream.fault:
                 break
             if stream.has_begun:
-                self._response_began(stream.has_unknown_length())
+                self._limit_response_time(stream.has_unknown_length())
         self._take_response()
 
-    def _response_began(self, has_unknown_length: bool) -> None:
-        """What has begun is written: if the rest stays out, its length was a wrong one."""
+    def _limit_response_time(self, has_unknown_length: bool) -> None:
+        """Record that the response has begun, and limit the wait for the rest of it.
+
+        The backend writes a response without pauses: if the rest does not arrive, its stated length was wrong.
+        """
         self._progress = AttemptProgress.RESPONSE_BEGUN
         self._timer.cancel()
-        pause_ends = self._read_by if has_unknown_length else self._loop.time() + self._pool.max_pause_seconds
-        self._timer = self._timers.set(min(self._read_by, pause_ends), self._task)
+        pause_ends_at = self._read_by if has_unknown_length else self._loop.time() + self._pool.max_pause_seconds
+        self._timer = self._timers.set(min(self._read_by, pause_ends_at), self._task)
 
     def _take_response(self) -> None:
-        # Noise behind a complete response does not spoil it: its one length says where it ends.  With two lengths nobody
-        # knows; the parser refuses that at the head, so it never counts as complete.
+        # Bytes after a complete response do not invalidate it, since its length states where it ends.  A response with two
+        # lengths has no defined end; the parser rejects its head, so it never counts as complete.
         stream = self._connection.stream
         self._response = self._response or stream.oversized_message()
         if self._response is None and stream.completed:
@@ -175,7 +184,7 @@
         elif stream.fault is not StreamEnd.CLOSED:
             self._end = AttemptEnd.MALFORMED
 
-    # Its end
+    # Result
 
     def _cancelled_end(self) -> AttemptEnd:
         if not self._timer.has_expired:
@@ -188,9 +197,10 @@
     def _release_connection(self) -> None:
         connection, response, body = self._connection, self._response, self._plan.body
         if response and body and not body.is_complete:
-            response.keep_alive = False  # it came before all of the request had gone out: what is left there is no response
+            # The request was not written completely, so the connection cannot carry another one.
+            response.keep_alive = False
         if response and not response.is_complete:
-            # Whoever passes it on, or has no use for it, lets go of it.
+            # The stream owns the connection from here on; it is released when the response is forwarded or closed.
             response.body_stream = ResponseBodyStream(connection, response)
         elif connection is None:
             return
@@ -203,10 +213,10 @@
         else:
             connection.close()
 
-    def _progress_in_doubt(self) -> AttemptProgress:
-        """Cancelled or late half way through writing: nobody knows whether the last byte went out.
+    def _conservative_progress(self) -> AttemptProgress:
+        """Return the progress; an interrupted write counts as complete, since its last byte may have been sent.
 
-        Unless it has not even come.
+        It counts as partial if the client has not sent the body's last byte yet.
         """
         body = self._plan.body
         is_body_incomplete = body is not None and not body.is_complete
--- a/sloeferry/network/health_checker.py
+++ b/sloeferry/network/health_checker.py
@@ -1,4 +1,4 @@
-"""Health checks of endpoints, which also bring their load reports."""
+"""Health checks of endpoints, whose responses also carry load reports."""
 
 from sloeferry import environment
 from sloeferry.dispatch.attempt_end import AttemptEnd
@@ -13,7 +13,7 @@
 
 
 class HealthChecker:
-    """Carries out the health checks that the policy commands."""
+    """Runs the health checks that the policy commands."""
 
     def __init__(
         self,
@@ -32,27 +32,27 @@
         self._request = writer.request(b"GET", path, [(b"Host", protocol.BACKEND_HOST)])
 
     async def run(self) -> None:
-        """Carries out commands for as long as the program runs."""
+        """Run health checks as they are commanded, until cancelled."""
         while True:
             command = await self._dispatcher.host.health_check_commands.next()
             self._tasks.spawn(self._check(command.endpoint_id))
 
     async def _check(self, endpoint_id: str) -> None:
-        # It does not wait for a rested connection: the wait could exceed the policy's own patience (`check_timeout_ms`), and a
-        # second response to an earlier request does no harm here.  The connect timeout bounds the whole check.
-        began_at = environment.monotonic_ms()
+        # A health check does not need a settled connection: waiting for one could exceed the policy's `check_timeout_ms`, and a
+        # duplicate response to an earlier request is harmless here.  The connect timeout bounds the whole check.
+        started_at = environment.monotonic_ms()
         plan = ExchangePlan(
             endpoint_id,
-            began_at + self._pool.connect_timeout_ms,
+            started_at + self._pool.connect_timeout_ms,
             may_begin=lambda: self._dispatcher.may_begin_health_check(endpoint_id),
             make_request=lambda: self._request,
         )
-        ended = await Exchange(plan, self._dispatcher, self._pool, self._timers).run()
-        end, load_report, response = ended.end, NO_REPORT, ended.response
+        result = await Exchange(plan, self._dispatcher, self._pool, self._timers).run()
+        end, load_report, response = result.end, NO_REPORT, result.response
         if response:
             end = AttemptEnd.SERVED if response.status == 200 else AttemptEnd.ERROR
             load_report = self._load_reports.read(response.body())
             if response.body_stream:
                 response.body_stream.close()
-        took_ms = environment.monotonic_ms() - began_at
-        self._dispatcher.health_check_ended(endpoint_id, ended.progress, end, took_ms, load_report)
+        duration_ms = environment.monotonic_ms() - started_at
+        self._dispatcher.health_check_ended(endpoint_id, result.progress, end, duration_ms, load_report)
