--- a/sloeferry/network/connection_pool.py
+++ b/sloeferry/network/connection_pool.py
@@ -99,8 +99,8 @@
         address = self.addresses.get(endpoint_id)
         # A missing address or descriptor is a local condition and does not count against the backend.
         if address is None or not self.budget.take():
-            return AttemptEnd.NOT_WANTED
-        sock: socket.socket | AttemptEnd = AttemptEnd.NOT_WANTED
+            return AttemptEnd.ABORTED_LOCALLY
+        sock: socket.socket | AttemptEnd = AttemptEnd.ABORTED_LOCALLY
         try:
             sock = await self._dial_with_retries(endpoint_id, address, dial_deadline)
         finally:
@@ -119,7 +119,7 @@
             except OSError as error:
                 warn("dial failed", "backend={} address={}:{} error={!r}", endpoint_id, *address, error)
                 if environment.monotonic_ms() + pause_ms > dial_deadline:
-                    return AttemptEnd.NOT_WANTED
+                    return AttemptEnd.ABORTED_LOCALLY
                 await asyncio.sleep(pause_ms / 1000)
                 pause_ms = min(2 * pause_ms, MAX_REDIAL_MS)
 
--- a/sloeferry/network/exchange.py
+++ b/sloeferry/network/exchange.py
@@ -72,7 +72,7 @@
         try:
             if await self._begin():
                 await self._write()
-                if self._end is not AttemptEnd.NOT_WANTED:
+                if self._end is not AttemptEnd.ABORTED_LOCALLY:
                     await self._read()
         except OSError:
             pass
@@ -96,12 +96,12 @@
             self._end = connection
             return False
         self._connection = connection
-        while catching_up := self._dispatcher.loop_turned():
+        while catching_up := self._dispatcher.record_loop_iteration():
             await asyncio.wait([catching_up])
         # The deadline may have passed and the address may belong to another endpoint since the dial began.
         is_late = environment.monotonic_ms() >= plan.deadline
         if is_late or not connection.has_current_address() or not plan.may_begin():
-            self._end = AttemptEnd.NOT_WANTED
+            self._end = AttemptEnd.ABORTED_LOCALLY
             return False
         return True
 
@@ -120,7 +120,7 @@
         is_answered_early = await self._write_body(plan.body)
         self._read_by = self._loop.time() + plan.body.time_left_ms / 1000
         self._timer = self._timers.set(self._read_by, self._task)
-        if not is_answered_early and self._end is not AttemptEnd.NOT_WANTED:
+        if not is_answered_early and self._end is not AttemptEnd.ABORTED_LOCALLY:
             self._progress = AttemptProgress.COMPLETELY_WRITTEN
 
     async def _write_body(self, body: RequestBodyStream) -> bool:
@@ -142,7 +142,7 @@
                     timer.cancel()
         except BodyInterruptedError:
             self._dispatcher.client_left(body.context)
-            self._end = AttemptEnd.NOT_WANTED
+            self._end = AttemptEnd.ABORTED_LOCALLY
         return False
 
     async def _read(self) -> None:
@@ -206,7 +206,7 @@
             return
         elif response:
             connection.finish(response.keep_alive)
-        elif self._end is not AttemptEnd.NOT_WANTED:
+        elif self._end is not AttemptEnd.ABORTED_LOCALLY:
             connection.abort()
         elif self._progress is AttemptProgress.NOTHING_WRITTEN:
             connection.finish(keep_alive=True)
