--- a/sloeferry/network/discovery_watch.py
+++ b/sloeferry/network/discovery_watch.py
@@ -1,4 +1,4 @@
-"""One poll of discovery, and the watch that it becomes once its list has come."""
+"""One poll of discovery, which becomes a watch once its list has arrived."""
 
 import asyncio
 import contextlib
@@ -20,44 +20,44 @@
 if TYPE_CHECKING:
     from sloeferry.network.discovery_client import DiscoveryClient
 
-MAX_SILENCE_SECONDS = 2.5  # a watch says something every 2 s
-# Of a poll's patience: discovery that ends it sooner is there, and has no time.
+MAX_SILENCE_SECONDS = 2.5  # discovery sends a list or a keep-alive line on an open watch at least every 2 s
+# Discovery that ends a poll within this ratio of the poll timeout is reachable but overloaded.
 QUICK_END_RATIO = 0.25
-# Of it: a poll that waits on with no byte of a response is taken for an outage's.
+# A poll without a byte of a response after this ratio of the poll timeout counts as a sign of an outage.
 OUTAGE_RATIO = 0.5
 MAX_LIST_CHARACTERS = 1 << 22
-MAX_QUOTED = 120  # characters of what was cut short
-SILENT = "silent"
+MAX_QUOTED = 120  # characters of a truncated list in a log line
+SILENT_REASON = "silent"
 
 
 class PollPhase(enum.IntEnum):
-    """How far a poll came."""
+    """The phases of a poll, in their order."""
 
-    NOT_DIALED = 0  # this machine could not dial: no descriptor, or another local error
+    NOT_DIALED = 0  # no descriptor, or the dial failed with a local error
     DIALED = 1
     CONNECTED = 2
     ANSWERED = 3  # a response with status 200 has begun
-    WATCHING = 4  # it brought its list
+    WATCHING = 4  # the list has arrived
 
 
 class DiscoveryWatch:
-    """Dials, asks for the list, and follows its changes until it ends.  Times in ms, monotonic."""
+    """Dials discovery, requests the list, and applies its changes until the watch ends.  Times in ms, monotonic."""
 
     def __init__(self, client: "DiscoveryClient", number: int):
         self._client = client
         self._loop = client.loop
-        self.number = number  # in the log
+        self.number = number  # identifies the poll in the log
         self.phase = PollPhase.NOT_DIALED
         self.began_at = environment.monotonic_ms()
-        self.tried_at = self.began_at  # when its last dial began, or its request was written
-        self.silent_since: float | None = None  # when it was last heard, if it was given up as silent
+        self.tried_at = self.began_at  # when the last dial began, or the request was written
+        self.silent_since: float | None = None  # when the watch was last heard from, if it was given up as silent
         self._is_outage_considered = False
         self._json = JsonStream()
-        self._documents: list[Any] = []  # received and not taken in yet
-        self._is_alive = False  # an empty line came, a sign of life
+        self._documents: list[Any] = []  # received and not yet applied
+        self._is_alive = False  # a keep-alive line has arrived
 
     def poll_end(self, now: float, poll_timeout_ms: float) -> PollEnd:
-        """How it failed, if it brought no list; `poll_timeout_ms` is for how long a poll may take."""
+        """Return how a poll that brought no list failed."""
         if self.phase is PollPhase.NOT_DIALED:
             return PollEnd.NOT_MADE
         if self.phase is PollPhase.DIALED:
@@ -67,7 +67,7 @@
         return PollEnd.UNANSWERED
 
     async def run(self) -> str:
-        """From its dial to its end; why it ended."""
+        """Run the poll and its watch to the end, and return the reason for the end."""
         sock = await self._dial()
         if sock is None:
             return "no connection"
@@ -83,22 +83,22 @@
     # Dial
 
     async def _dial(self) -> socket.socket | None:
-        """Dials again and again for as long as a poll may take.
+        """Dial until a connection is established or the poll timeout has passed; return None on a timeout.
 
-        One that never arrived cost discovery nothing, and after a network cut every second without the list is one in which
-        drains go unheard (rule 3).  Where one may have been missed nothing is sent from some time on, and it dials until it
-        is through: a pause between two polls would go on when the cut is over.
+        A dial that does not arrive costs discovery nothing, and during a network partition drains go unnoticed for as long as
+        the list is missing (rule 3).  While a silent watch has not been replaced, no attempt is sent once the list is stale;
+        the dialing then continues past the timeout, since a backoff between polls would outlast the partition.
         """
         client = self._client
         if not client.budget.take():
             return None
-        until, sock = self._loop.time() + client.poll_timeout_ms / 1000, None
+        ends_at, sock = self._loop.time() + client.poll_timeout_ms / 1000, None
         try:
             while not (sock := await self._dial_once()):
                 client.use_cached_list()
                 if self.phase is PollPhase.DIALED and client.is_current_task():
                     client.events.poll_waiting(self.began_at, self.tried_at)
-                if self._loop.time() >= until and not client.events.is_watch_overdue():
+                if self._loop.time() >= ends_at and not client.events.is_watch_overdue():
                     return None
                 await asyncio.sleep(client.redial_pause_ms / 1000)
             self.phase = PollPhase.CONNECTED
@@ -108,7 +108,10 @@
                 client.budget.give()
 
     async def _dial_once(self) -> socket.socket | None:
-        """One dial; None if no connection came up.  What this machine cannot do tells nothing of discovery."""
+        """Dial once, and return None if no connection is established.
+
+        A local error is not evidence that discovery is unreachable: the phase returns to `NOT_DIALED`.
+        """
         self.tried_at = environment.monotonic_ms()
         try:
             sock = await sockets.connect(self._loop, self._client.address, self._client.connect_timeout_ms)
@@ -119,32 +122,34 @@
         self.phase = PollPhase.DIALED
         return sock
 
-    # Ask and follow
+    # Request and watch
 
     def _request(self) -> bytes:
         client = self._client
-        after = "" if client.revision is None else f"{protocol.REVISION_PARAMETER}{client.revision}"
+        parameter = "" if client.revision is None else f"{protocol.REVISION_PARAMETER}{client.revision}"
         host = "{}:{}".format(*client.address).encode()
-        return writer.request(b"GET", (protocol.ENDPOINTS_PATH + after).encode(), [(b"Host", host)])
+        return writer.request(b"GET", (protocol.ENDPOINTS_PATH + parameter).encode(), [(b"Host", host)])
 
     async def _follow(self, sock: socket.socket) -> str:
-        """Takes what comes, list by list, until it ends; why it did."""
+        """Request the list, apply lists and changes until the response ends, and return the reason for the end."""
         client = self._client
-        stream = HttpStream(self._loop, sock, client.buffers, is_response=True, on_body=self._body_came)
+        stream = HttpStream(self._loop, sock, client.buffers, is_response=True, on_body=self._receive_body)
         try:
-            # A poll waits its turn at discovery; a watch that stands says something now and then.
-            due = self._loop.time() + client.poll_timeout_ms / 1000
-            async with asyncio.timeout_at(due):
+            # Before the list arrives the poll timeout applies, since the poll may wait in discovery's queue; after that the
+            # silence limit of a watch applies.
+            silent_at = self._loop.time() + client.poll_timeout_ms / 1000
+            async with asyncio.timeout_at(silent_at):
                 await self._loop.sock_sendall(sock, self._request())
-            if not await self._take_in_until_end(stream, sock, due):
-                return SILENT
+            if not await self._apply_until_end(stream, sock, silent_at):
+                return SILENT_REASON
         except TimeoutError:
             self.silent_since = self.tried_at
-            return SILENT
+            return SILENT_REASON
         except OSError as error:
             return str(error)
         finally:
-            # It may know nothing of the revision named, having begun anew: nothing would ever have changed after that.
+            # A restarted discovery may have lost its revisions and never report a change after the requested revision: the next
+            # poll requests the complete list.
             if self.phase is not PollPhase.WATCHING and 200 <= stream.message.status < 500:
                 client.revision = None
             stream.close()
@@ -152,31 +157,37 @@
             warn("endpoint list", "cut short, ignored: {!r}", self._json.pending[:MAX_QUOTED])
         return stream.fault.value if stream.fault else f"answered {stream.message.status}, ended"
 
-    async def _take_in_until_end(self, stream: HttpStream, sock: socket.socket, due: float) -> bool:
-        """Whether discovery ended it; else it fell silent.  `due` is in seconds of the loop."""
+    async def _apply_until_end(self, stream: HttpStream, sock: socket.socket, silent_at: float) -> bool:
+        """Apply lists until the response ends; return False if the watch has fallen silent instead.
+
+        `silent_at`: the event loop's time (seconds) at which the watch counts as silent if nothing arrives before.
+        """
         heard_at = self.tried_at = environment.monotonic_ms()
         while not stream.fault and not stream.completed and len(self._json.pending) < MAX_LIST_CHARACTERS:
-            if not await self._receive(stream, sock, due):
-                # After this program stood still the time is over before anything is read: what lies there are changes,
-                # and dropped with the watch they would be heard only when the next one stands (rule 3).
+            if not await self._receive(stream, sock, silent_at):
+                # After a stall of this process the time is over although changes lie unread in the socket.  If they were
+                # dropped with the watch, they would be known only once the next watch has its list (rule 3).
                 if is_open_and_idle(sock):
                     self.silent_since = heard_at
                     return False
-                due = self._loop.time() + MAX_SILENCE_SECONDS
+                silent_at = self._loop.time() + MAX_SILENCE_SECONDS
             is_alive = self._is_alive or bool(self._documents)
             while self._documents:
                 if self._client.apply_list(self._documents.pop(0), self.number):
                     self.phase = PollPhase.WATCHING
-            # A sign of life, an empty line or what cannot be read, is one of a watch that has told its list and is not
-            # half way through another.
+            # A keep-alive line, empty or unreadable, confirms the list only if the watch has received its list and is not in
+            # the middle of another document.
             if is_alive and self.phase is PollPhase.WATCHING:
-                due, heard_at = self._loop.time() + MAX_SILENCE_SECONDS, environment.monotonic_ms()
+                silent_at, heard_at = self._loop.time() + MAX_SILENCE_SECONDS, environment.monotonic_ms()
                 self._client.watch_confirmed()
             self._is_alive = False
         return True
 
-    async def _receive(self, stream: HttpStream, sock: socket.socket, due: float) -> bool:
-        """Receives once, until `due`; whether anything came."""
+    async def _receive(self, stream: HttpStream, sock: socket.socket, receive_until: float) -> bool:
+        """Receive once, and return False if nothing arrives until `receive_until` (event loop time).
+
+        A first response that takes long is reported as a possible outage meanwhile.
+        """
         if self.phase < PollPhase.ANSWERED and not self._is_outage_considered:
             self._is_outage_considered = True
             outage_at = self.tried_at + OUTAGE_RATIO * self._client.poll_timeout_ms
@@ -184,19 +195,19 @@
                 return True
             if self._client.is_current_task() and is_open_and_idle(sock):
                 self._client.events.poll_waiting(self.began_at, self.tried_at)
-        return await stream.receive_within(max(0.0, due - self._loop.time()))
+        return await stream.receive_within(max(0.0, receive_until - self._loop.time()))
 
-    def _body_came(self, message: Message, data: bytes) -> None:
+    def _receive_body(self, message: Message, data: bytes) -> None:
         if message.status != 200:
             return
         if self.phase < PollPhase.ANSWERED:
-            self._tell_time(message)
+            self._report_discovery_time(message)
             self.phase = PollPhase.ANSWERED
         self._documents.extend(self._json.feed(data))
         self._is_alive = self._is_alive or b"\n" in data and not self._json.pending
 
-    def _tell_time(self, message: Message) -> None:
-        """What time discovery says it is, where it says so (RFC 9110, 6.6.1)."""
+    def _report_discovery_time(self, message: Message) -> None:
+        """Report discovery's clock from the Date header, if there is one (RFC 9110, 6.6.1)."""
         if date := message.header(b"date"):
             with contextlib.suppress(ValueError, OverflowError):
                 self._client.events.discovery_time_received(parsedate_to_datetime(date.decode("latin-1")).timestamp() * 1000)
--- a/sloeferry/network/json_stream.py
+++ b/sloeferry/network/json_stream.py
@@ -1,21 +1,21 @@
-"""JSON objects out of a stream of bytes: one a line, or each over as many lines as its writer likes.  No socket here."""
+"""An incremental parser for a stream of JSON objects, each on one line or spread over several.  It does no I/O."""
 
 import codecs
 import json
 import re
 from typing import Any
 
-# Where an object may have ended: nothing follows, or the next one.  Within an object a comma or a bracket would.
+# A possible end of an object: the end of the text or the next object follows, not a comma or bracket as within an object.
 _OBJECT_END = re.compile(r"}\s*(?:{|\Z)")
 _LAST_WORD = re.compile(r"[\w.+-]*\s*\Z")
-_decode_first = json.JSONDecoder().raw_decode  # the value that a text begins with, and where that ends
+_decode_first = json.JSONDecoder().raw_decode  # returns the first value of a text and the position of its end
 
 
 class JsonStream:
-    """Objects are taken as soon as their last byte is there.
+    """Parses objects as soon as their last byte has arrived.
 
-    A line that begins no object, or one that cannot go on as JSON, is dropped alone.  `pending` is the text of the object
-    under way: whoever reads limits its length.
+    A line that does not begin an object, or that cannot be continued to valid JSON, is dropped without those that follow.
+    `pending` is the text of the incomplete object; the caller has to limit its length.
     """
 
     def __init__(self):
@@ -23,13 +23,13 @@
         self._decoder = codecs.getincrementaldecoder("utf-8")("replace")
 
     def feed(self, data: bytes) -> list[dict[str, Any] | None]:
-        """The objects that are complete by now, in order; None for each line that cannot be read."""
+        """Add data and return the objects that it completes, in order, with None for each unreadable line."""
         search_from = max(0, self.pending.rfind("}"))
         self.pending = (self.pending + self._decoder.decode(data)).lstrip()
         values: list[dict[str, Any] | None] = []
         while self.pending:
             if self.pending[0] == "{":
-                # Not at each byte that comes: a list of some MB would be read again with each of them.
+                # Parse only at a possible end: a list of some MB would otherwise be parsed again with each piece received.
                 if not _OBJECT_END.search(self.pending, search_from):
                     break
                 try:
@@ -38,7 +38,7 @@
                     self.pending, search_from = self.pending[end:].lstrip(), 0
                     continue
                 except json.JSONDecodeError as error:
-                    if self._may_go_on(error):
+                    if self._may_be_incomplete(error):
                         break
                 except RecursionError:
                     pass
@@ -49,11 +49,11 @@
             self.pending, search_from = rest.lstrip(), 0
         return values
 
-    def _may_go_on(self, error: json.JSONDecodeError) -> bool:
-        """Whether the text may just not have come to its end.
+    def _may_be_incomplete(self, error: json.JSONDecodeError) -> bool:
+        """Return whether the text may be the beginning of a valid object.
 
-        So it is where it ends at the error, or in the middle of a word, a number or a string (which cannot hold the end of a
-        line).
+        It may be if the text ends at the error, or in the middle of a word, a number or a string.  A string cannot contain a
+        newline.
         """
         is_in_string = error.msg.startswith("Unterminated")
         is_in_escape = error.msg.startswith("Invalid \\") and "\n" not in self.pending[error.pos :]
