--- a/sloeferry/network/attempt.py
+++ b/sloeferry/network/attempt.py
@@ -59,8 +59,8 @@
         body = request.body if isinstance(request.body, RequestBodyStream) else None
         if body and not body.is_bound:
             body.release(number)  # none of it has been consumed: another attempt may send it
-        elif body and body.last_byte_at:
-            started_at = body.last_byte_at  # the time before that was spent by the client, not by the backend
+        elif body and body.last_byte_at_ms:
+            started_at = body.last_byte_at_ms  # the time before that was spent by the client, not by the backend
         end, load_report, response = result.end, NO_REPORT, result.response
         if response:
             load_report = self._load_reports.read(response.header(protocol.LOAD_REPORT))
@@ -79,7 +79,7 @@
         body = request.body if isinstance(request.body, RequestBodyStream) else None
 
         def make_request() -> bytes:
-            first_part = body.held() if body else request.body
+            first_part = body.buffered_part() if body else request.body
             versions = context.version_headers[number] if context.version_headers else b""
             time_left_ms = max(1, context.deadline - environment.monotonic_ms())
             time_left = b"%b: %d\r\n" % (protocol.ATTEMPT_TIME_LEFT_MS, time_left_ms)
--- a/sloeferry/network/connection_pool.py
+++ b/sloeferry/network/connection_pool.py
@@ -9,7 +9,7 @@
 from sloeferry.dispatch.attempt_end import AttemptEnd
 from sloeferry.network import sockets
 from sloeferry.network.backend_connection import BackendConnection
-from sloeferry.network.buffers import Buffers
+from sloeferry.network.buffers import BufferPool
 from sloeferry.network.descriptor_budget import DescriptorBudget
 from sloeferry.network.limited_log import warn
 from sloeferry.network.sockets import is_open_and_idle
@@ -26,7 +26,7 @@
 class ConnectionPool:
     """Holds the idle connections to all endpoints and dials new ones."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, settings: Settings, budget: DescriptorBudget, buffers: Buffers):
+    def __init__(self, loop: asyncio.AbstractEventLoop, settings: Settings, budget: DescriptorBudget, buffers: BufferPool):
         self.loop = loop
         self.budget = budget
         self.buffers = buffers
@@ -98,14 +98,14 @@
         """Open a new connection, or return the reason why there is none; local errors are retried until `dial_deadline`."""
         address = self.addresses.get(endpoint_id)
         # A missing address or descriptor is a local condition and does not count against the backend.
-        if address is None or not self.budget.take():
+        if address is None or not self.budget.acquire():
             return AttemptEnd.ABORTED_LOCALLY
         sock: socket.socket | AttemptEnd = AttemptEnd.ABORTED_LOCALLY
         try:
             sock = await self._dial_with_retries(endpoint_id, address, dial_deadline)
         finally:
             if isinstance(sock, AttemptEnd):
-                self.budget.give()
+                self.budget.release()
         return sock if isinstance(sock, AttemptEnd) else BackendConnection(self, endpoint_id, address, sock)
 
     async def _dial_with_retries(self, endpoint_id: str, address: Address, dial_deadline: float) -> socket.socket | AttemptEnd:
--- a/sloeferry/network/discovery_watch.py
+++ b/sloeferry/network/discovery_watch.py
@@ -78,7 +78,7 @@
         finally:
             del client.open_sockets[sock]
             sock.close()
-            client.budget.give()
+            client.budget.release()
 
     # Dial
 
@@ -90,7 +90,7 @@
         the dialing then continues past the timeout, since a backoff between polls would outlast the partition.
         """
         client = self._client
-        if not client.budget.take():
+        if not client.budget.acquire():
             return None
         ends_at, sock = self._loop.time() + client.poll_timeout_ms / 1000, None
         try:
@@ -105,7 +105,7 @@
             return sock
         finally:
             if not sock:
-                client.budget.give()
+                client.budget.release()
 
     async def _dial_once(self) -> socket.socket | None:
         """Dial once, and return None if no connection is established.
