--- a/sloeferry/network/admin_server.py
+++ b/sloeferry/network/admin_server.py
@@ -1,7 +1,7 @@
-"""The operators' own address: HTTP/1.1, one call to a connection, each answered at once whatever the load.
+"""The admin server for operators: HTTP/1.1, one request per connection, answered at once even under overload.
 
-It has descriptors of its own, set aside from those of clients and backends, and holds no more callers than those.  Some call
-and say nothing: the one that has said nothing for longest makes room for the next.
+Its descriptors are reserved, separate from those of clients and backends, and limit its connections.  When all are in use, the
+oldest connection that has sent nothing is closed to accept the next one, so that idle connections cannot block it.
 """
 
 import asyncio
@@ -22,38 +22,42 @@
 from sloeferry.network.limited_log import warn
 from sloeferry.network.sockets import is_open_and_idle, prepare_accepted
 
-MAX_CALLERS = 12  # at a time, a descriptor each
-BEGIN_SECONDS = 0.02  # a caller's own to begin, before others push it out
-CALL_SECONDS = 5.0  # for a whole call
-REOPENS_PER_BEGIN = 5
+MAX_CONNECTIONS = 12  # one reserved descriptor each
+EVICTION_GRACE_SECONDS = 0.02  # a new connection has this long to send its request before it may be closed for another
+REQUEST_TIMEOUT_SECONDS = 5.0  # for reading a request and sending its response
+RESUMES_PER_GRACE = 5  # attempts to accept again within one grace
 BACKLOG = 128
 JSON_HEADERS = [(b"Content-Type", b"application/json")]
 NOT_FOUND, METHOD_NOT_ALLOWED, CONFLICT, UNAVAILABLE = 404, 405, 409, 503
 
-AdminReply = tuple[int, dict[str, Any]]  # status, JSON
-AdminRoute = tuple[bytes, Callable[[bytes], AdminReply]]  # method, what answers a query
+AdminReply = tuple[int, dict[str, Any]]  # status, JSON body
+AdminRoute = tuple[bytes, Callable[[bytes], AdminReply]]  # method, handler of the query string
 
 
 class AdminServer:
-    """Answers operators."""
+    """Serves the admin requests of operators."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         lifecycle: Lifecycle,
         buffers: BufferPool,
-        client_figures: Callable[[], dict[str, Any]],
-        guard_figures: Callable[[], dict[str, Any]] = dict,
+        connection_counts: Callable[[], dict[str, Any]],
+        guard_counters: Callable[[], dict[str, Any]] = dict,
     ):
-        """`client_figures`: what is told beside the state; `guard_figures`: the send guard's counters."""
+        """Create the server.
+
+        `connection_counts`: returns the fields reported beside the state; `guard_counters`: returns the send guard's counters.
+        """
         self._loop = loop
         self._lifecycle = lifecycle
         self._buffers = buffers
-        self._client_figures = client_figures
-        self._guard_figures = guard_figures
-        self._callers: dict[asyncio.Task, tuple[float, socket.socket]] = {}  # since when, in the order they came
+        self._connection_counts = connection_counts
+        self._guard_counters = guard_counters
+        # The time of acceptance (seconds) and the socket by task, in the order of acceptance.
+        self._connections: dict[asyncio.Task, tuple[float, socket.socket]] = {}
         self._sock: socket.socket | None = None
-        self._reopening: asyncio.TimerHandle | None = None
+        self._resume_timer: asyncio.TimerHandle | None = None
         self.routes: dict[bytes, AdminRoute] = {  # by path
             b"/admin/health": (b"GET", self._health),
             b"/admin/quiesce": (b"POST", self._drain),
@@ -61,7 +65,7 @@
             b"/admin/guard": (b"GET", self._guard),
         }
 
-    # Calls
+    # Requests
 
     def _health(self, query: bytes) -> AdminReply:
         return self._state(self._lifecycle.is_ready())
@@ -70,31 +74,31 @@
         return self._state(self._lifecycle.drain(environment.monotonic_ms()))
 
     def _resume(self, query: bytes) -> AdminReply:
-        return self._state(self._lifecycle.resume(), status_if_not=CONFLICT)
+        return self._state(self._lifecycle.resume(), status_if_not_ok=CONFLICT)
 
     def _guard(self, query: bytes) -> AdminReply:
-        return 200, self._guard_figures()
+        return 200, self._guard_counters()
 
-    def _state(self, is_so: bool, status_if_not: int = UNAVAILABLE) -> AdminReply:
-        figures = self._client_figures()
-        return 200 if is_so else status_if_not, {"state": self._lifecycle.state(figures["connections"]), **figures}
+    def _state(self, is_ok: bool, status_if_not_ok: int = UNAVAILABLE) -> AdminReply:
+        counts = self._connection_counts()
+        return 200 if is_ok else status_if_not_ok, {"state": self._lifecycle.state(counts["connections"]), **counts}
 
-    def _respond(self, message: Message) -> bytes:
+    def _handle_request(self, message: Message) -> bytes:
         target, _, query = message.url.partition(b"?")
         path = target[target.find(b"/", 8) :] if target.startswith(b"http://") else target
-        method, answer = self.routes.get(path, (None, None))
-        if answer is None:
+        method, handler = self.routes.get(path, (None, None))
+        if handler is None:
             return writer.response(NOT_FOUND, b'{"error":"no such call"}\n', JSON_HEADERS, keep_alive=False)
         if message.method != method:
             headers = [*JSON_HEADERS, (b"Allow", method)]
             return writer.response(METHOD_NOT_ALLOWED, b'{"error":"%b only"}\n' % method, headers, keep_alive=False)
-        status, body = answer(query)
+        status, body = handler(query)
         return writer.response(status, json.dumps(body).encode() + b"\n", JSON_HEADERS, keep_alive=False)
 
-    # Callers
+    # Connections
 
     def bind(self, address: Address) -> OSError | None:
-        """Takes the address; why not, if it cannot be had."""
+        """Listen on the address; return the error if that fails."""
         self._sock = environment.tcp_socket()
         try:
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -107,11 +111,11 @@
         return None
 
     def _accept(self) -> None:
-        for _ in range(MAX_CALLERS):
-            if len(self._callers) >= MAX_CALLERS and not self._make_room():
-                # All of them have only just come: who is next waits outside for as long as they may take to begin.
+        for _ in range(MAX_CONNECTIONS):
+            if len(self._connections) >= MAX_CONNECTIONS and not self._evict_idle():
+                # No connection may be closed yet: the next ones stay in the listen backlog until the grace of one has ended.
                 self._loop.remove_reader(self._sock)
-                self._reopening = self._loop.call_later(BEGIN_SECONDS / REOPENS_PER_BEGIN, self._reopen)
+                self._resume_timer = self._loop.call_later(EVICTION_GRACE_SECONDS / RESUMES_PER_GRACE, self._resume_accepting)
                 return
             try:
                 sock, _ = self._sock.accept()
@@ -122,21 +126,21 @@
             if not prepare_accepted(sock):
                 continue
             task = self._loop.create_task(self._serve(sock))
-            self._callers[task] = environment.monotonic(), sock
-            task.add_done_callback(lambda task: self._callers.pop(task, None))
+            self._connections[task] = environment.monotonic(), sock
+            task.add_done_callback(lambda task: self._connections.pop(task, None))
 
-    def _reopen(self) -> None:
-        self._reopening = None
+    def _resume_accepting(self) -> None:
+        self._resume_timer = None
         self._loop.add_reader(self._sock, self._accept)
 
-    def _make_room(self) -> bool:
-        """The caller that has been here for longest and has nothing there to be read goes."""
+    def _evict_idle(self) -> bool:
+        """Close the oldest connection without unread input; return False if all are too new or have input."""
         now = environment.monotonic()
-        for task, (since, sock) in self._callers.items():
-            if now - since < BEGIN_SECONDS:
+        for task, (accepted_at, sock) in self._connections.items():
+            if now - accepted_at < EVICTION_GRACE_SECONDS:
                 return False
             if is_open_and_idle(sock):
-                del self._callers[task]
+                del self._connections[task]
                 task.cancel()
                 return True
         return False
@@ -144,38 +148,38 @@
     async def _serve(self, sock: socket.socket) -> None:
         stream = HttpStream(self._loop, sock, self._buffers, is_response=False, max_body_bytes=MAX_HEAD_BYTES)
         try:
-            async with asyncio.timeout(CALL_SECONDS):
-                response = await self._answer(stream, sock)
+            async with asyncio.timeout(REQUEST_TIMEOUT_SECONDS):
+                response = await self._read_and_handle(stream, sock)
                 if response is None:
                     return
                 await self._loop.sock_sendall(sock, response)
                 sock.shutdown(socket.SHUT_WR)
         except (OSError, TimeoutError):
-            pass  # gone, or silent for too long
-        except Exception as error:  # this call ends, nothing else
+            pass  # the connection was closed, or timed out
+        except Exception as error:  # an unexpected error must end only this request
             warn("admin call failed", "error={!r}", error)
         finally:
             stream.close()
             sock.close()
 
-    async def _answer(self, stream: HttpStream, sock: socket.socket) -> bytes | None:
-        """The response to the one call of a connection; None if there is none to be given."""
+    async def _read_and_handle(self, stream: HttpStream, sock: socket.socket) -> bytes | None:
+        """Read the connection's one request and return the response; return None if the client has closed it."""
         while not stream.completed and not stream.fault:
             await stream.receive()
             if stream.has_begun and stream.message.expects_continue and not stream.fault:
                 stream.message.expects_continue = False
                 await self._loop.sock_sendall(sock, writer.CONTINUE)
         if stream.completed:
-            return self._respond(stream.completed.pop(0))
+            return self._handle_request(stream.completed.pop(0))
         status = client_replies.STATUS_BY_FAULT.get(stream.fault)
         return writer.response(status, keep_alive=False) if status else None
 
     def close(self) -> None:
-        """The program ends."""
-        if self._reopening:
-            self._reopening.cancel()
+        """Stop listening and close all connections."""
+        if self._resume_timer:
+            self._resume_timer.cancel()
         if self._sock and self._sock.fileno() >= 0:
             self._loop.remove_reader(self._sock)
             self._sock.close()
-        for task in list(self._callers):
+        for task in list(self._connections):
             task.cancel()
--- a/sloeferry/network/sockets.py
+++ b/sloeferry/network/sockets.py
@@ -1,4 +1,4 @@
-"""Calls on sockets that asyncio does not have."""
+"""Socket operations that asyncio does not provide."""
 
 import asyncio
 import contextlib
@@ -9,7 +9,7 @@
 from sloeferry import environment
 from sloeferry.config.instance import Address
 
-# connect(2): what tells of this machine, not of the one called.  It may have passed in a moment.
+# Errors of connect(2) that come from this machine, not from the peer.  They are often transient.
 LOCAL_CONNECT_ERRORS = frozenset(
     {
         errno.EADDRNOTAVAIL,
@@ -28,7 +28,7 @@
 
 
 def is_open_and_idle(sock: socket.socket) -> bool:
-    """Whether a socket stands and there is nothing to be read from it: no bytes and no end."""
+    """Return whether a socket is open with nothing to read: neither bytes nor the end of the stream."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -39,9 +39,9 @@
 
 
 def prepare_accepted(sock: socket.socket) -> bool:
-    """Makes a socket just accepted one that never blocks and holds no small writes back.
+    """Make an accepted socket non-blocking and disable Nagle's algorithm; close it and return False if it is broken.
 
-    What is held back would be lost when it is closed over unread bytes.  False, and closed, if it is broken already.
+    Small writes that the kernel delays would be lost if the socket is closed while unread bytes remain.
     """
     try:
         sock.setblocking(False)
@@ -53,18 +53,18 @@
 
 
 def reset_on_close(sock: socket.socket) -> None:
-    """Has the machine throw away what of this side's bytes is not out yet once the socket is closed, and say so.
+    """Make close() discard unsent bytes and reset the connection.
 
-    Closed without that they go on whenever they can, be it seconds later, with the end behind them.
+    Otherwise the kernel keeps sending them after the close, even seconds later, followed by the end of the stream.
     """
-    with contextlib.suppress(OSError):  # it has ended already
+    with contextlib.suppress(OSError):  # the connection has already ended
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
 async def connect(loop: asyncio.AbstractEventLoop, address: Address, timeout_ms: float) -> socket.socket | None:
-    """A connected socket, or None if it was refused or did not come up in time.
+    """Return a connected socket, or None if the connection was refused or not established within the timeout.
 
-    Raises OSError if this machine has none to give, or cannot reach anybody now.
+    Raises OSError for the errors of this machine (`LOCAL_CONNECT_ERRORS`), such as a lack of descriptors or of a network.
     """
     sock = environment.tcp_socket()
     try:
@@ -80,6 +80,6 @@
         if error.errno in LOCAL_CONNECT_ERRORS:
             raise
         return None
-    except BaseException:  # cancelled meanwhile
+    except BaseException:  # including a cancellation
         sock.close()
         raise
