--- a/tests/network/test_admin_server.py
+++ b/tests/network/test_admin_server.py
@@ -21,11 +21,11 @@
 )
 
 
-def test_response_is_not_held_back(play_story: PlayStory):
+def test_response_is_sent_without_delay(play_story: PlayStory):
     """A response follows a 100 Continue, the caller's bytes unread.  The kernel holds no small write back, or it would be lost
     with the close."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         serve = AdminServer._serve
         sent_at_once: list[bool] = []
 
@@ -41,13 +41,13 @@
             harness.record(f"caller gets: {(await reader.read()).splitlines()[1]}, sent at once: {sent_at_once}")
             writer.close()
 
-    play_story(story, "crossing_operators", ProxyHarness({"b": response()}, has_admin=True))
+    play_story(scenario, "admin_response_not_delayed", ProxyHarness({"b": response()}, has_admin=True))
 
 
-def test_calls(play_story: PlayStory):
+def test_requests_beside_idle_connections(play_story: PlayStory):
     """One response to each call; a caller that says nothing, or half a call, keeps nobody out."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         for call in CALLS:
             await harness.ask_admin(call + " HTTP/1.1\r\nHost: x\r\n\r\n")
         await harness.ask_admin("POST /admin/resume HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}")
@@ -60,4 +60,4 @@
         for _, writer in silent:
             writer.close()
 
-    play_story(story, "desk_calls", ProxyHarness({"b": response()}, has_admin=True))
+    play_story(scenario, "admin_requests", ProxyHarness({"b": response()}, has_admin=True))
--- a/tests/network/test_attempt.py
+++ b/tests/network/test_attempt.py
@@ -16,4 +16,4 @@
         outcomes = [attempt_outcome(progress, end) for end in AttemptEnd]
         words = {word: OUTCOME_WORDS[outcome] for word, outcome in zip(END_WORDS, outcomes, strict=True)}
         lines.append(f"{name}: {words}")
-    golden.check(lines, "outcomes")
+    golden.check(lines, "attempt_outcomes")
--- a/tests/network/test_discovery_client.py
+++ b/tests/network/test_discovery_client.py
@@ -20,10 +20,10 @@
 ARRIVAL_SECONDS = 0.1  # for a list that was written to have arrived
 
 
-def test_endpoint_list(play_story: PlayStory):
+def test_changes_apply_and_unreadable_documents_are_ignored(play_story: PlayStory):
     """Changes act; what cannot be read is ignored."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         discovery = harness.discovery
         await harness.request("safe")
         discovery.push("{ nonsense")
@@ -42,25 +42,25 @@
         await asyncio.sleep(ARRIVAL_SECONDS)
         await harness.request("safe")
 
-    play_story(story, "sockets_list", ProxyHarness({"b": response()}))
+    play_story(scenario, "discovery_list_changes", ProxyHarness({"b": response()}))
 
 
-def test_discovery_is_down(play_story: PlayStory):
+def test_cached_list_serves_while_discovery_is_down(play_story: PlayStory):
     """Discovery is down while a proxy starts.  It is ready on the cached list, which serves: forty that restart at once would all
     ask in the same moment."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         harness.record(f"calls for the list before the first client: {len(harness.discovery.polls)}")
         await harness.request("safe")
 
     harness = ProxyHarness({"b": response()}, cached_endpoints=["b"], poll_within_ms=400_000)
-    play_story(story, "sockets_list_down", harness)
+    play_story(scenario, "discovery_down_at_start", harness)
 
 
-def test_watch_that_ends_in_any_way(play_story: PlayStory):
+def test_poll_after_any_end_of_a_watch(play_story: PlayStory):
     """Whatever ends a watch, or leaves it silent, the next poll asks from the last revision on."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         discovery = harness.discovery
         await wait_until(lambda: len(discovery.polls) >= 6)
         harness.lines.extend(discovery.polls[:6])
@@ -78,13 +78,13 @@
         STREAM_HEAD + b'30\r\n{"revision":7,"complete":false,"members":[]}   \n\r\n',
     ]
     with mock.patch("sloeferry.network.discovery_watch.MAX_SILENCE_SECONDS", 0.1):
-        play_story(story, "sockets_rough_discovery", harness)
+        play_story(scenario, "discovery_watch_ends", harness)
 
 
-def test_discovery_comes_back(play_story: PlayStory):
+def test_dials_until_discovery_is_back(play_story: PlayStory):
     """Discovery is cut off.  It is connected to until it is there, not once a poll; the cached list serves meanwhile."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         loop, port = asyncio.get_running_loop(), await harness.free_port()
         settings = build_settings({"schemes.count": 1, "limits.dial_timeout": 20.0})
         config = InstanceConfig("n0", ("", 0), ("127.0.0.1", port), 7, 64, 1 << 27, {}, settings)
@@ -101,4 +101,4 @@
         server.close()
         harness.record(f"connected, seats taken: {budget.in_use}")
 
-    play_story(story, "sockets_discovery_back", ProxyHarness({}, cached_endpoints=["nobody"]))
+    play_story(scenario, "discovery_reconnects", ProxyHarness({}, cached_endpoints=["nobody"]))
--- a/tests/network/test_discovery_push.py
+++ b/tests/network/test_discovery_push.py
@@ -43,19 +43,19 @@
         return result
 
 
-def test_new_process(play_story: PlayStory):
+def test_new_process_waits_for_pushed_list(play_story: PlayStory):
     """Where changes are pushed, what was told while no process was there binds the new one from its first moment: a cached list
     names a backend that drains since.  The proxy becomes ready, and sends, with the list in hand."""
     backends = {"b": response("of b"), "c": response("of c")}
     harness = LateDiscoveryHarness(backends, cached_endpoints=["b", "c"], settings=PUSHED)
-    play_story(lambda harness: harness.request("safe"), "crossing_pushed", harness)
+    play_story(lambda harness: harness.request("safe"), "push_new_process", harness)
 
 
-def test_watch_reset(play_story: PlayStory):
+def test_reconnect_within_drain_grace(play_story: PlayStory):
     """What the agent gets counts as notified, watch or no watch.  A failed connection, the pause behind a watch's end and the one
     behind a connection are over within the drain grace."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         sleep, loop = asyncio.sleep, harness.discovery_client.loop
         sleeps_seconds: list[float] = []
         patience_ms: list[float] = []  # of each connection
@@ -84,14 +84,14 @@
         harness.record(f"a dial and two pauses within the grace of a drain: {is_within}")
 
     settings = PUSHED | {"obligations": {"drain_grace": 250000}}
-    play_story(story, "crossing_pushed_reset", InstrumentedHarness({"b": response()}, settings=settings))
+    play_story(scenario, "push_watch_reset", InstrumentedHarness({"b": response()}, settings=settings))
 
 
-def test_former_watch(play_story: PlayStory):
+def test_polls_again_while_former_watch_is_open(play_story: PlayStory):
     """Where changes are pushed, after a move, the new watch fails and the former one stands.  The new place is polled again all
     the same; what the agent there has counts as notified."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         polls, client = harness.discovery.polls, harness.discovery_client
         harness.discovery.scripted_responses = [b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"]
         client.poll_complete_list()
@@ -101,4 +101,4 @@
 
     # The former one is not to end by itself.
     with mock.patch("sloeferry.network.discovery_watch.MAX_SILENCE_SECONDS", 60.0):
-        play_story(story, "crossing_pushed_former", InstrumentedHarness({"b": response()}, settings=PUSHED))
+        play_story(scenario, "push_former_watch", InstrumentedHarness({"b": response()}, settings=PUSHED))
--- a/tests/network/test_discovery_watch.py
+++ b/tests/network/test_discovery_watch.py
@@ -36,11 +36,11 @@
     return json.dumps({"revision": revision, "complete": is_complete, "members": members}, indent=indent)
 
 
-def test_indented(play_story: PlayStory):
+def test_documents_over_several_lines(play_story: PlayStory):
     """A drain told over many lines, in pieces, is a drain; so is one of an entry that else cannot be read; a list that its end
     cuts short is logged."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         discovery, client = harness.discovery, harness.discovery_client
         await harness.request("safe")
         text = list_document(5, discovery.documents(("b", "leaving")), indent=2)
@@ -63,17 +63,17 @@
         await wait_until(lambda: not client.open_sockets)
         harness.record(f"said: {warnings}")
 
-    play_story(story, "crossing_indented", InstrumentedHarness({"b": response()}))
+    play_story(scenario, "watch_multiline_documents", InstrumentedHarness({"b": response()}))
 
 
-def test_silent_from_the_start(play_story: PlayStory):
+def test_watch_without_list_is_given_up(play_story: PlayStory):
     """With a list that may be old for long, a watch that never tells its own is given up as soon as another: no head, half a
     head, no list, half a list.  What it missed counts as notified like any silent one's."""
     half_a_list = b'2f\r\n{"revision": 7, "complete": true, "members": [\n\r\n'
     watches = [b"", b"HTTP/1.1 200 OK\r\nTransf", STREAM_HEAD, STREAM_HEAD + half_a_list]
     silent_since: list[float] = []
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         polls = harness.discovery.polls
         await wait_until(lambda: len(polls) > len(watches) and harness.discovery_client.is_watching)
         harness.record(f"{len(polls)} calls, {len(silent_since)} silent")
@@ -83,10 +83,10 @@
     harness.discovery.scripted_responses = list(watches)
     watch_silent = "sloeferry.dispatch.endpoint_events.EndpointEvents.watch_silent"
     with mock.patch(watch_silent, lambda events, since: silent_since.append(since)), impatient(0.05):
-        play_story(story, "crossing_silent", harness)
+        play_story(scenario, "watch_silent_from_start", harness)
 
 
-def test_blank_lines_and_no_list(play_story: PlayStory):
+def test_keepalive_lines_are_no_list(play_story: PlayStory):
     """Signs of life are no list, and none while half a list is out."""
 
     async def give_signs_of_life(harness: InstrumentedHarness) -> None:
@@ -96,7 +96,7 @@
                     writer.write(BLANK_LINE)
             await asyncio.sleep(0.01)
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         task = asyncio.ensure_future(give_signs_of_life(harness))
         await wait_until(lambda: harness.discovery_client.is_watching)
         assert not task.done()
@@ -110,13 +110,13 @@
         STREAM_HEAD + b'1c\r\n{"revision": 7, "members":\n\r\n',
     ]
     with impatient(0.05):
-        play_story(story, "crossing_blank", harness)
+        play_story(scenario, "watch_keepalive_without_list", harness)
 
 
 def test_silent_watch_is_reported(play_story: PlayStory):
     """The watch falls silent, also the former one, with its successor not standing yet.  What it missed counts."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         discovery, client = harness.discovery, harness.discovery_client
         with mock.patch.object(harness.dispatcher.endpoint_events, "watch_silent") as watch_silent, impatient(0.05):
             discovery.list_endpoints("b", is_complete=False)
@@ -130,13 +130,13 @@
             harness.record(f"the former one: {watch_silent.call_count} silent")
 
     with mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0):
-        play_story(story, "crossing_said_silent", InstrumentedHarness({"b": response()}, poll_within_ms=LIST_MAY_BE_OLD_MS))
+        play_story(scenario, "watch_silence_reported", InstrumentedHarness({"b": response()}, poll_within_ms=LIST_MAY_BE_OLD_MS))
 
 
-def test_connects_until_it_is_through(play_story: PlayStory):
+def test_dials_until_connected_after_silent_watch(play_story: PlayStory):
     """A watch fell silent, and no connection comes up.  It goes on connecting, without the backoff of failed polls."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         client, events = harness.discovery_client, harness.dispatcher.endpoint_events
         client.poll_timeout_ms = 50.0
         connect, watch_unavailable = sockets.connect, events.watch_unavailable
@@ -163,14 +163,14 @@
 
     harness = InstrumentedHarness({"b": response()}, poll_within_ms=LIST_MAY_BE_OLD_MS, dial_timeout=5000)
     with mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0):
-        play_story(story, "crossing_dials", harness)
+        play_story(scenario, "watch_dials_until_connected", harness)
 
 
-def test_discovery_begins_anew(play_story: PlayStory):
+def test_discovery_loses_its_revisions(play_story: PlayStory):
     """Discovery has lost its revisions.  The poll after this proxy's revision is accepted and brings nothing, or is rejected.
     The next one asks for the complete list."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         discovery, client = harness.discovery, harness.discovery_client
         for answer in (
             STREAM_HEAD + BLANK_LINE,
@@ -186,13 +186,13 @@
             harness.record(f"calls after {answer[9:12].decode()}: {discovery.polls[count:]}")
 
     with impatient(0.3):
-        play_story(story, "crossing_anew", InstrumentedHarness({"b": response()}, poll_within_ms=LIST_MAY_BE_OLD_MS))
+        play_story(scenario, "watch_revisions_lost", InstrumentedHarness({"b": response()}, poll_within_ms=LIST_MAY_BE_OLD_MS))
 
 
-def test_stall_with_a_former_watch(play_story: PlayStory):
+def test_former_watch_is_read_after_stall(play_story: PlayStory):
     """After a stall the former watch's events are read, too, before anything is sent, however long they are."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         discovery, monitor = harness.discovery, harness.dispatcher.loop_monitor
         discovery.scripted_responses = [b""] * 9
         harness.discovery_client.poll_complete_list()
@@ -205,13 +205,13 @@
         await harness.dispatcher.record_loop_iteration()
         harness.record(f"known of b: {harness.discovery_client.known_endpoints['b'].state.value}")
 
-    play_story(story, "crossing_former", InstrumentedHarness({"b": response()}))
+    play_story(scenario, "watch_former_after_stall", InstrumentedHarness({"b": response()}))
 
 
-def test_unnamed_zones(play_story: PlayStory):
+def test_unknown_zones_are_distinct(play_story: PlayStory):
     """Zones that the settings do not name are not one zone: a deduplicated request's retry may go to its own alone."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         documents = harness.discovery.documents("b", "c", "b")
         members = [dict(document, locality=zone) for document, zone in zip(documents, "pqp", strict=True)]
         members[2]["id"] = "d"
@@ -223,4 +223,4 @@
         # decision_log/versions.py digests these entries.
         harness.record(f"whichever a proxy met first: {zones['b']}, {zones['c']}")
 
-    play_story(story, "crossing_zones", InstrumentedHarness({"b": response(), "c": response()}))
+    play_story(scenario, "watch_unknown_zones", InstrumentedHarness({"b": response(), "c": response()}))
--- a/tests/network/test_exchange.py
+++ b/tests/network/test_exchange.py
@@ -46,10 +46,10 @@
     return list(AttemptEnd).index(end)
 
 
-def test_endpoint_that_left_while_connecting(play_story: PlayStory):
+def test_endpoint_removed_while_connecting(play_story: PlayStory):
     """Rule 3 counts the first byte: an endpoint that left the list while its connection came up gets none."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         exchanges = ExchangeMaker(harness)
         for may_begin in (True, False):
             result = await exchanges.run(b"GET /x HTTP/1.1\r\n\r\n", may_begin)
@@ -61,14 +61,14 @@
         kept = len(exchanges.pool.idle["b"])
         harness.record(f"withdrawn: reached {result.progress}, why {end_number(result.end)}, {kept} kept")
 
-    play_story(story, "sockets_withdrawn", ProxyHarness({"b": lambda number: response() if number < 2 else None}))
+    play_story(scenario, "exchange_endpoint_removed", ProxyHarness({"b": lambda number: response() if number < 2 else None}))
 
 
-def test_two_cancels_and_a_response(play_story: PlayStory):
+def test_cancelled_twice_with_unread_response(play_story: PlayStory):
     """An attempt is cancelled twice in one turn of the loop, with its response there but not read.  It may have run, its
     connection is not kept, and the next attempt gets its own response."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         exchanges = ExchangeMaker(harness)
         connect = sockets.connect
         connected: list[socket.socket] = []
@@ -91,7 +91,11 @@
             result = await exchanges.run(b"GET /y HTTP/1.1\r\n\r\n")
             harness.record(f"the next one's: {result.response.body()}, seats {exchanges.pool.budget.in_use}")
 
-    play_story(story, "crossing_cancels", InstrumentedHarness({"b": lambda number: None if number == 1 else response("second")}))
+    play_story(
+        scenario,
+        "exchange_cancelled_twice",
+        InstrumentedHarness({"b": lambda number: None if number == 1 else response("second")}),
+    )
 
 
 @contextlib.contextmanager
@@ -111,10 +115,10 @@
         yield
 
 
-def test_moved_while_connecting(play_story: PlayStory):
+def test_address_changes_while_connecting(play_story: PlayStory):
     """A backend is listed elsewhere while its connection comes up.  That address may be another's by now."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         gate = Gate()
         with patched_connect(gate, is_held_before=lambda: False, is_held_after=lambda: not gate.held.is_set()):
             request = asyncio.ensure_future(harness.request("once"))
@@ -123,13 +127,13 @@
             gate.opened.set()
             await request
 
-    play_story(story, "crossing_moved", InstrumentedHarness({"b": response("from b"), "c": response("from c")}))
+    play_story(scenario, "exchange_address_changes", InstrumentedHarness({"b": response("from b"), "c": response("from c")}))
 
 
 def test_deduplication_window_ends_while_connecting(play_story: PlayStory):
     """A deduplicated request's retry is connecting as the window ends in which a repeat is known.  It is not begun."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         gate = Gate()
         with patched_connect(gate, lambda: harness.backends.requests_received, is_held_after=lambda: False):
             task = asyncio.ensure_future(harness.request("keyed"))
@@ -140,14 +144,14 @@
             await task
         harness.record(harness.remaining().partition(", out")[0])
 
-    play_story(story, "crossing_window", InstrumentedHarness({"b": b"", "c": b""}))
+    play_story(scenario, "exchange_deduplication_window_ends", InstrumentedHarness({"b": b"", "c": b""}))
 
 
-def test_cancelled_while_it_reads_the_body(play_story: PlayStory):
+def test_cancelled_while_reading_request_body(play_story: PlayStory):
     """An attempt is cancelled as the next piece of its body is waited for.  The wait is forgotten with it, or the sweep would end
     the response under way 3 s later."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         client = await harness.send_raw(harness.request_head(body_bytes=200000) + b"x" * 100000)
         connection = await client.until(lambda connection: connection.reader.receiving_body_since)
         harness.dispatcher.host.cancel_attempt(connection.request_runner.context.request_id, 0)
@@ -155,13 +159,13 @@
         harness.record(f"its body is waited for still: {bool(connection.reader.receiving_body_since)}")
         client.close()
 
-    play_story(story, "crossing_pull", InstrumentedHarness({"b": response()}))
+    play_story(scenario, "exchange_cancelled_reading_body", InstrumentedHarness({"b": response()}))
 
 
 def test_new_endpoint_at_the_same_address(play_story: PlayStory):
     """An endpoint drains, vanishes, and another is listed at its address.  The new one is none of the former's."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         client = harness.discovery_client
         await harness.request("safe")
         harness.discovery.list_endpoints(("b", "leaving"))
@@ -173,7 +177,7 @@
         await harness.request("safe")
         harness.record(f"kept connections of {list(harness.pool.idle)}; known {list(harness.dispatcher.policy.table.by_id)}")
 
-    play_story(story, "crossing_new", InstrumentedHarness({"b": response()}, deadline_ms=300))
+    play_story(scenario, "exchange_new_endpoint_same_address", InstrumentedHarness({"b": response()}, deadline_ms=300))
 
 
 async def received_behind_cut(listener: socket.socket, request: asyncio.Future[str], harness: ProxyHarness) -> int:
@@ -189,11 +193,11 @@
     return byte_count
 
 
-def test_given_up_behind_a_cut(play_story: PlayStory):
+def test_unsent_bytes_are_discarded_on_timeout(play_story: PlayStory):
     """A backend reads nothing, as behind a network cut.  Its request is given up and answered; then the cut is over.  What the
     kernel still held of the request does not reach the backend any more."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         with socket.socket() as listener:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             listener.bind(("127.0.0.1", 0))
@@ -207,7 +211,7 @@
             byte_count = await received_behind_cut(listener, request, harness)
             harness.record(f"then the backend gets all of it: {byte_count > CUT_BODY_BYTES}")
 
-    play_story(story, "crossing_cut", InstrumentedHarness({"b": response()}, deadline_ms=400))
+    play_story(scenario, "exchange_network_partition", InstrumentedHarness({"b": response()}, deadline_ms=400))
 
 
 class UnsettledHarness(InstrumentedHarness):
@@ -216,11 +220,11 @@
     SECOND_RESPONSE_SECONDS = NEVER_SECONDS
 
 
-def test_second_response(play_story: PlayStory):
+def test_duplicate_response(play_story: PlayStory):
     """A connection just used rests before the next request goes out on it: a second response, still on its way, would pass for
     that one's.  So does the first of a process, which nothing has warned.  Cancelled meanwhile, the connection is kept."""
 
-    async def story(harness: UnsettledHarness) -> None:
+    async def scenario(harness: UnsettledHarness) -> None:
         backends = harness.backends
         await harness.request("safe", X_Call_Id="c1")
         [connection] = harness.pool.idle["b"]
@@ -243,4 +247,4 @@
         harness.record(f"kept: {len(harness.pool.idle['b'])}")
         client.close()
 
-    play_story(story, "crossing_second", UnsettledHarness({"b": lambda number: response(f"answer {number}")}))
+    play_story(scenario, "exchange_duplicate_response", UnsettledHarness({"b": lambda number: response(f"answer {number}")}))
--- a/tests/network/test_failing_polls.py
+++ b/tests/network/test_failing_polls.py
@@ -3,7 +3,7 @@
 from tests import test_rig
 
 
-def test_polls_that_fail_at_once():
+def test_no_rule_is_broken_while_polls_fail():
     """Incident 1: watches end, polls are refused, reset, cut short or not answered, and backends begin to drain meanwhile.  No
     rule is broken."""
     code, text = test_rig.Processes.play(["refusals"])
--- a/tests/network/test_forwarding.py
+++ b/tests/network/test_forwarding.py
@@ -45,13 +45,13 @@
 def test_request_and_response_are_forwarded(play_story: PlayStory):
     """Method, path, query, body, id and key are forwarded unchanged, the response back; connections are kept."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         client = await harness.connect()
         await harness.request("keyed", "some body", client)
         await harness.request("safe", connection=client)
         await harness.request("safe", connection=client, X_Budget_Ms="99999999")
 
-    play_story(story, "sockets_passing_on", ProxyHarness({"b": response("done", 200, LOAD_REPORT)}))
+    play_story(scenario, "forwarding_unchanged", ProxyHarness({"b": response("done", 200, LOAD_REPORT)}))
 
 
 class CaseHarness(ProxyHarness):
@@ -70,59 +70,59 @@
         self.class_name = class_name
 
 
-def test_progress_decides_what_follows(play_story: PlayStory):
+def test_bad_response_is_retried_or_failed_by_progress(play_story: PlayStory):
     """A backend fails in every way, on its first request.  How many bytes went out decides: a non-idempotent request is rejected
     only where nothing ran, else it fails; an idempotent one is retried at the other backend; a backend's own 429 or 503 is
     never forwarded."""
 
-    async def story(harness: CaseHarness) -> None:
+    async def scenario(harness: CaseHarness) -> None:
         harness.record(f"-- {harness.case}")
         await harness.request(harness.class_name)
 
     cases = [CaseHarness(case, class_name, bad) for case, bad in BAD_RESPONSES for class_name in ("once", "safe")]
     cases.append(CaseHarness("refused", "once", None))
-    play_story(story, "sockets_bytes", *cases)
+    play_story(scenario, "forwarding_bad_responses", *cases)
 
 
-def test_bytes_beyond_a_response(play_story: PlayStory):
+def test_surplus_bytes_after_a_response(play_story: PlayStory):
     """A good response stands, however large within memory and whatever comes behind it, ahead of it or in its load report.  A
     connection on which more came is closed."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         for _ in RESPONSES_WITH_MORE:
             await harness.request("once")
 
-    play_story(story, "sockets_more", ProxyHarness({"b": lambda number: RESPONSES_WITH_MORE[number - 1]}))
+    play_story(scenario, "forwarding_surplus_bytes", ProxyHarness({"b": lambda number: RESPONSES_WITH_MORE[number - 1]}))
 
 
-def test_silent_backend(play_story: PlayStory):
+def test_silent_backend_times_out(play_story: PlayStory):
     """Nothing comes back.  There is a final answer all the same, before the client gives up."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         await harness.request("once")
         await asyncio.sleep(0.7)  # what was given up on counts as in flight for as long again
         await harness.request("safe")
 
-    play_story(story, "sockets_silent", ProxyHarness({"b": None}, deadline_ms=300))
+    play_story(scenario, "forwarding_silent_backend", ProxyHarness({"b": None}, deadline_ms=300))
 
 
-def test_dead_connection(play_story: PlayStory):
+def test_closed_idle_connection_is_not_reused(play_story: PlayStory):
     """A kept connection that its backend has closed is found before anything is written to it."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         for _ in range(3):
             await harness.request("once")
             for writer in harness.backends.writers:
                 writer.close()
             await asyncio.sleep(0.05)  # for the end to arrive
 
-    play_story(story, "sockets_dead_connection", ProxyHarness({"b": response()}))
+    play_story(scenario, "forwarding_closed_idle_connection", ProxyHarness({"b": response()}))
 
 
-def test_what_http_allows_a_client(play_story: PlayStory):
+def test_http_features_of_clients(play_story: PlayStory):
     """What HTTP/1.1 allows a client, and an old one: all of it is served."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         pipelining = await harness.connect()
         pipelining[1].write((REQUEST_HEAD + "Content-Length: 3\r\n\r\none").encode())  # both at once
         await harness.send(REQUEST_HEAD + "Content-Length: 3\r\n\r\ntwo", pipelining)
@@ -141,13 +141,13 @@
         await harness.send("drip", slow)
 
     chunked = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nit\r\n3\r\n is\r\n0\r\n\r\n"
-    play_story(story, "sockets_manners", ProxyHarness({"b": chunked}))
+    play_story(scenario, "forwarding_http_features", ProxyHarness({"b": chunked}))
 
 
 def test_failing_policy(play_story: PlayStory):
     """The policy raises, or never decides.  One request is lost with it, answered in time; others go on."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         with mock.patch.object(Policy, "request_arrived", side_effect=ZeroDivisionError):
             await harness.request("once")
         with mock.patch.object(Policy, "request_arrived"):
@@ -157,4 +157,4 @@
             await harness.request("safe")
         await harness.request("safe")
 
-    play_story(story, "sockets_failing_decisions", ProxyHarness({"b": response()}, deadline_ms=300))
+    play_story(scenario, "forwarding_failing_policy", ProxyHarness({"b": response()}, deadline_ms=300))
--- a/tests/network/test_json_stream.py
+++ b/tests/network/test_json_stream.py
@@ -20,7 +20,7 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(PIECES, max_size=6), st.lists(st.integers(0, 4000), max_size=8))
-def test_any_layout(pieces: list[tuple[str, int | str | None, str]], cuts: list[int]):
+def test_objects_in_any_layout(pieces: list[tuple[str, int | str | None, str]], cuts: list[int]):
     """Objects come out complete and in order whatever white space stands in them and wherever their bytes are cut.  What cannot
     be read takes none of them along, once another one follows it."""
     text, unreadable_count = "", 0
@@ -45,7 +45,7 @@
     assert (stream.pending, values.count(None)) == ("", unreadable_count)
 
 
-def test_any_one_cut():
+def test_object_split_at_each_byte():
     """An object over many lines is cut in two at each byte in turn, with what looks like an object's end and the next one's
     beginning in a string.  Neither it nor what follows is dropped."""
     expected = [OBJECTS["text"], {"revision": 3, "members": [{"id": "b"}, {}]}]
--- a/tests/network/test_mixed_fleet.py
+++ b/tests/network/test_mixed_fleet.py
@@ -24,7 +24,7 @@
 
         return script
 
-    async def story() -> None:
+    async def scenario() -> None:
         backends = FakeBackends({name: script_of(name) for name in "bcd"})
         old = ProxyHarness(backends, settings={"instances": 2})
         new = ProxyHarness(backends, settings=NEW_SHAPE)
@@ -49,5 +49,5 @@
                     assert result.startswith(SERVED)
             lines.append(f"to the one that drains, of {len(begun)}: {begun.count(kept)}")
 
-    run_coroutine(story())
-    golden.check(lines, "migration_sockets")
+    run_coroutine(scenario())
+    golden.check(lines, "mixed_fleet_forwarding")
