--- a/sloeferry/network/discovery_watch.py
+++ b/sloeferry/network/discovery_watch.py
@@ -59,7 +59,7 @@
     def poll_end(self, now: float, poll_timeout_ms: float) -> PollEnd:
         """Return how a poll that brought no list failed."""
         if self.phase is PollPhase.NOT_DIALED:
-            return PollEnd.NOT_MADE
+            return PollEnd.NOT_SENT
         if self.phase is PollPhase.DIALED:
             return PollEnd.UNREACHABLE
         if self.phase is PollPhase.ANSWERED or now - self.tried_at < QUICK_END_RATIO * poll_timeout_ms:
