--- a/tests/network/test_admin_server.py
+++ b/tests/network/test_admin_server.py
@@ -1,4 +1,4 @@
-"""The admin address."""
+"""The admin server, asked by operators over HTTP."""
 
 import asyncio
 import socket
@@ -9,7 +9,7 @@
 from tests.support.fake_backends import response
 from tests.support.proxy_harness import PlayStory, ProxyHarness
 
-CALLS = (
+REQUEST_LINES = (
     "GET /admin/health",
     "POST /admin/health",
     "GET /admin/nothing",
@@ -22,18 +22,20 @@
 
 
 def test_response_is_sent_without_delay(play_story: PlayStory):
-    """A response follows a 100 Continue, the caller's bytes unread.  The kernel holds no small write back, or it would be lost
-    with the close."""
+    """A response follows a 100 Continue while bytes of the caller are unread.
+
+    The kernel must not delay the small write (Nagle's algorithm), or it would be lost with the close.
+    """
 
     async def scenario(harness: ProxyHarness) -> None:
         serve = AdminServer._serve
         sent_at_once: list[bool] = []
 
-        def serve_and_look(server: AdminServer, sock: socket.socket) -> Awaitable[None]:
+        def serve_and_record(server: AdminServer, sock: socket.socket) -> Awaitable[None]:
             sent_at_once.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) > 0)
             return serve(server, sock)
 
-        with mock.patch.object(AdminServer, "_serve", serve_and_look):
+        with mock.patch.object(AdminServer, "_serve", serve_and_record):
             reader, writer = await asyncio.open_connection("127.0.0.1", harness.admin_port)
             writer.write(b"POST /admin/resume HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n")
             harness.record(f"caller gets: {await reader.readline()}")
@@ -45,19 +47,19 @@
 
 
 def test_requests_beside_idle_connections(play_story: PlayStory):
-    """One response to each call; a caller that says nothing, or half a call, keeps nobody out."""
+    """Each request gets one response, and connections that send nothing or half a request do not block others."""
 
     async def scenario(harness: ProxyHarness) -> None:
-        for call in CALLS:
-            await harness.ask_admin(call + " HTTP/1.1\r\nHost: x\r\n\r\n")
+        for request_line in REQUEST_LINES:
+            await harness.ask_admin(request_line + " HTTP/1.1\r\nHost: x\r\n\r\n")
         await harness.ask_admin("POST /admin/resume HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}")
         await harness.ask_admin("nonsense\r\n\r\n")
-        silent = [await asyncio.open_connection("127.0.0.1", harness.admin_port) for _ in range(60)]
-        for _, writer in silent[::2]:
+        idle = [await asyncio.open_connection("127.0.0.1", harness.admin_port) for _ in range(60)]
+        for _, writer in idle[::2]:
             writer.write(b"GET /admin/hea")
         await harness.ask_admin("GET /admin/health HTTP/1.1\r\n\r\n")
-        harness.record(f"beside {len(silent)} that say nothing or half a call")
-        for _, writer in silent:
+        harness.record(f"beside {len(idle)} that say nothing or half a call")
+        for _, writer in idle:
             writer.close()
 
     play_story(scenario, "admin_requests", ProxyHarness({"b": response()}, has_admin=True))
--- a/tests/network/test_attempt.py
+++ b/tests/network/test_attempt.py
@@ -1,16 +1,16 @@
-"""An attempt's end: what the policy is told of it."""
+"""The outcome that the policy gets for the end of an attempt."""
 
 from sloeferry.dispatch.attempt_end import AttemptEnd, AttemptProgress, attempt_outcome
 from tests.support.golden import GoldenFiles
 from tests.support.policy_recorder import OUTCOME_WORDS
 
-# In the words of the golden file.
+# The golden file's names of the progress and the ends.
 PROGRESS_WORDS = ("NOTHING", "PART", "WHOLE", "BEGUN")
 END_WORDS = ("SERVED", "ERRED", "REJECTED", "BROKEN", "LATE", "WITHDRAWN", "VOID", "SPOILT")
 
 
 def test_outcome_by_progress(golden: GoldenFiles):
-    """What the policy is told of an attempt's end, by its progress."""
+    """Every pair of progress and end maps to the outcome in the golden file."""
     lines: list[str] = []
     for name, progress in zip(PROGRESS_WORDS, AttemptProgress, strict=True):
         outcomes = [attempt_outcome(progress, end) for end in AttemptEnd]
--- a/tests/network/test_connect_errors.py
+++ b/tests/network/test_connect_errors.py
@@ -1,4 +1,4 @@
-"""connect(2) that fails: what was taken on is still answered, and nothing is at fault for it that is not."""
+"""Errors of connect(2): accepted requests still get a response, and local errors don't count against the peer."""
 
 import errno
 import socket
@@ -17,18 +17,18 @@
 
 
 def test_transient_local_connect_errors(play_story: PlayStory):
-    """connect(2) fails on this machine for a while.  The request is served all the same, and its backend is not at fault."""
+    """connect(2) fails with local errors a few times.  The request is served, and its backend has no failure recorded."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         connect = sockets.connect
         failing = [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EINTR]
 
-        async def connect_at_last(*arguments: Any) -> socket.socket | None:
+        async def connect_after_errors(*arguments: Any) -> socket.socket | None:
             if failing:
                 raise OSError(failing.pop(), "no")
             return await connect(*arguments)
 
-        with mock.patch("sloeferry.network.sockets.connect", connect_at_last):
+        with mock.patch("sloeferry.network.sockets.connect", connect_after_errors):
             await harness.request("once")
         failures = harness.dispatcher.policy.table.by_id["b"].consecutive_failures
         harness.record(f"left to fail: {failing}; failures held against it: {failures}")
@@ -37,7 +37,7 @@
 
 
 def test_persistent_local_connect_error(play_story: PlayStory):
-    """connect(2) goes on failing.  The request is rejected by half of its time."""
+    """connect(2) keeps failing with a local error.  The request is rejected before half of its time has passed."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         with mock.patch("sloeferry.network.sockets.connect", side_effect=OSError(errno.EADDRNOTAVAIL, "no")):
@@ -48,12 +48,12 @@
 
 @pytest.mark.parametrize("number", [errno.ECONNREFUSED, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET])
 def test_remote_connect_error_is_not_local(number: int):
-    """What connect(2) says of the other side, or of the way to it, is no lack of this machine's."""
+    """Errors of connect(2) that come from the peer or the network do not count as local errors."""
     assert number not in sockets.LOCAL_CONNECT_ERRORS
 
 
 def test_poll_without_a_dial_is_not_unreachable():
-    """A poll whose connection was not tried is no sign that discovery is out of reach; one that failed is."""
+    """A poll without a dial is not evidence that discovery is unreachable; a poll whose dial failed is."""
     watch = DiscoveryWatch(types.SimpleNamespace(loop=None), 1)
     now = watch.began_at + 10.0
     assert watch.poll_end(now, 2500.0) == PollEnd.NOT_SENT
--- a/tests/network/test_discovery_client.py
+++ b/tests/network/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The endpoint list: polls, watches and what keeps serving without them."""
+"""The discovery client: polls, watches, and serving with the cached list while discovery is down."""
 
 import asyncio
 import types
@@ -17,11 +17,11 @@
 from tests.support.instrumented_harness import InstrumentedHarness, wait_until
 from tests.support.proxy_harness import PlayStory, ProxyHarness
 
-ARRIVAL_SECONDS = 0.1  # for a list that was written to have arrived
+ARRIVAL_SECONDS = 0.1  # within which a written list arrives
 
 
 def test_changes_apply_and_unreadable_documents_are_ignored(play_story: PlayStory):
-    """Changes act; what cannot be read is ignored."""
+    """Changes of the list take effect; unreadable documents and entries are ignored."""
 
     async def scenario(harness: ProxyHarness) -> None:
         discovery = harness.discovery
@@ -46,8 +46,10 @@
 
 
 def test_cached_list_serves_while_discovery_is_down(play_story: PlayStory):
-    """Discovery is down while a proxy starts.  It is ready on the cached list, which serves: forty that restart at once would all
-    ask in the same moment."""
+    """Discovery is down while a proxy starts.  The proxy is ready with the cached list and serves without a poll.
+
+    Otherwise forty proxies that restart at once would all poll at the same moment.
+    """
 
     async def scenario(harness: ProxyHarness) -> None:
         harness.record(f"calls for the list before the first client: {len(harness.discovery.polls)}")
@@ -58,7 +60,7 @@
 
 
 def test_poll_after_any_end_of_a_watch(play_story: PlayStory):
-    """Whatever ends a watch, or leaves it silent, the next poll asks from the last revision on."""
+    """After any end of a watch, and after a silent one, the next poll continues from the last revision."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         discovery = harness.discovery
@@ -82,7 +84,7 @@
 
 
 def test_dials_until_discovery_is_back(play_story: PlayStory):
-    """Discovery is cut off.  It is connected to until it is there, not once a poll; the cached list serves meanwhile."""
+    """Discovery is unreachable.  One poll dials until it is reachable, and the cached list is used meanwhile."""
 
     async def scenario(harness: ProxyHarness) -> None:
         loop, port = asyncio.get_running_loop(), await harness.free_port()
--- a/tests/network/test_discovery_push.py
+++ b/tests/network/test_discovery_push.py
@@ -1,4 +1,4 @@
-"""Endpoint lists that are pushed: what the agent gets counts as notified."""
+"""Pushed endpoint lists: a change counts as notified once the platform's agent has it."""
 
 import asyncio
 from typing import Any
@@ -13,14 +13,14 @@
 
 
 class LateDiscovery(FakeDiscovery):
-    """Tells that b drains, once the proxy was seen not to be ready."""
+    """Sends a list in which b drains, but only after a response has shown that the proxy is not ready."""
 
     def __init__(self, backends: FakeBackends):
         super().__init__(backends)
         self.was_not_ready = asyncio.Event()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One poll."""
+        """Answer one poll once the proxy was seen not to be ready."""
         await reader.readuntil(b"\r\n\r\n")
         await self.was_not_ready.wait()
         writer.write(STREAM_HEAD)
@@ -29,14 +29,14 @@
 
 
 class LateDiscoveryHarness(InstrumentedHarness):
-    """A proxy with a cached list, whose discovery tells of a change once the proxy was seen not to be ready."""
+    """A proxy with a cached list, whose discovery sends a change after the proxy was seen not to be ready."""
 
     def __init__(self, *arguments: Any, **options: Any):
         super().__init__(*arguments, **options)
         self.discovery = LateDiscovery(self.backends)
 
     async def send(self, text: str | bytes, connection: Connection | None = None, is_recorded: bool = True) -> str:
-        """As ever; a 503 is seen."""
+        """Send a request, and let discovery answer after a 503."""
         result = await super().send(text, connection, is_recorded)
         if "503" in result:
             self.discovery.was_not_ready.set()
@@ -44,28 +44,33 @@
 
 
 def test_new_process_waits_for_pushed_list(play_story: PlayStory):
-    """Where changes are pushed, what was told while no process was there binds the new one from its first moment: a cached list
-    names a backend that drains since.  The proxy becomes ready, and sends, with the list in hand."""
+    """A backend in the cached list has begun to drain while no process was running.
+
+    Where changes are pushed, that change counts as notified for the new process: the proxy becomes ready, and sends requests,
+    only once it has received the list.
+    """
     backends = {"b": response("of b"), "c": response("of c")}
     harness = LateDiscoveryHarness(backends, cached_endpoints=["b", "c"], settings=PUSHED)
     play_story(lambda harness: harness.request("safe"), "push_new_process", harness)
 
 
 def test_reconnect_within_drain_grace(play_story: PlayStory):
-    """What the agent gets counts as notified, watch or no watch.  A failed connection, the pause behind a watch's end and the one
-    behind a connection are over within the drain grace."""
+    """A pushed change counts as notified even while no watch is open.
+
+    A failed dial, the pause after the end of a watch and the pause after a dial together fit into the drain grace.
+    """
 
     async def scenario(harness: InstrumentedHarness) -> None:
         sleep, loop = asyncio.sleep, harness.discovery_client.loop
         sleeps_seconds: list[float] = []
-        patience_ms: list[float] = []  # of each connection
+        timeouts_ms: list[float] = []  # of each dial
 
-        async def sleep_shortly(seconds: float) -> None:
+        async def record_sleep(seconds: float) -> None:
             sleeps_seconds.append(seconds)
             await sleep(0)
 
-        async def connect_in_vain(loop: Any, address: Any, patience: float) -> None:
-            patience_ms.append(patience)
+        async def fail_to_connect(loop: Any, address: Any, timeout_ms: float) -> None:
+            timeouts_ms.append(timeout_ms)
 
         def call_later(seconds: float, *arguments: Any) -> None:
             sleeps_seconds.append(seconds)
@@ -74,13 +79,13 @@
         harness.discovery_client.loop = mock.Mock(wraps=loop)
         harness.discovery_client.loop.call_later = call_later
         with (
-            mock.patch("sloeferry.network.discovery_watch.asyncio.sleep", sleep_shortly),
-            mock.patch("sloeferry.network.sockets.connect", connect_in_vain),
+            mock.patch("sloeferry.network.discovery_watch.asyncio.sleep", record_sleep),
+            mock.patch("sloeferry.network.sockets.connect", fail_to_connect),
         ):
             harness.discovery.watches[0].close()
-            await wait_until(lambda: len(patience_ms) > 3)
+            await wait_until(lambda: len(timeouts_ms) > 3)
         grace_ms = harness.dispatcher.policy.settings.obligations.drain_grace_ms
-        is_within = patience_ms[0] + 2000 * max(sleeps_seconds) <= grace_ms
+        is_within = timeouts_ms[0] + 2000 * max(sleeps_seconds) <= grace_ms
         harness.record(f"a dial and two pauses within the grace of a drain: {is_within}")
 
     settings = PUSHED | {"obligations": {"drain_grace": 250000}}
@@ -88,17 +93,19 @@
 
 
 def test_polls_again_while_former_watch_is_open(play_story: PlayStory):
-    """Where changes are pushed, after a move, the new watch fails and the former one stands.  The new place is polled again all
-    the same; what the agent there has counts as notified."""
+    """After a move of discovery, the new watch fails while the former one is open.
+
+    The new address is polled again, since changes that its agent has count as notified where changes are pushed.
+    """
 
     async def scenario(harness: InstrumentedHarness) -> None:
         polls, client = harness.discovery.polls, harness.discovery_client
         harness.discovery.scripted_responses = [b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"]
         client.poll_complete_list()
         await wait_until(lambda: len(polls) == 3 and client.is_watching)
-        await wait_until(lambda: len(client.open_sockets) == 1)  # the former one ends a turn of the loop later
+        await wait_until(lambda: len(client.open_sockets) == 1)  # the former one ends one loop iteration later
         harness.record(f"{len(polls)} calls, {len(client.open_sockets)} watches")
 
-    # The former one is not to end by itself.
+    # The former watch must not end because of silence.
     with mock.patch("sloeferry.network.discovery_watch.MAX_SILENCE_SECONDS", 60.0):
         play_story(scenario, "push_former_watch", InstrumentedHarness({"b": response()}, settings=PUSHED))
--- a/tests/network/test_discovery_watch.py
+++ b/tests/network/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""Watches as another event comes: each order is forced by what discovery has written or seen."""
+"""Races between a watch and another event; each order is forced by what discovery has written or received."""
 
 import asyncio
 import contextlib
@@ -17,13 +17,13 @@
 from tests.support.instrumented_harness import InstrumentedHarness, wait_until
 from tests.support.proxy_harness import PlayStory
 
-BLANK_LINE = b"1\r\n\n\r\n"  # a chunk of it: a sign of life
-LIST_MAY_BE_OLD_MS = 400_000
+BLANK_LINE = b"1\r\n\n\r\n"  # a chunk that contains a keep-alive line
+MAX_LIST_AGE_MS = 400_000  # so long that no poll is due because of the list's age
 
 
 @contextlib.contextmanager
-def impatient(silent_seconds: float) -> Iterator[None]:
-    """A watch is silent after that time, and polls back off shortly."""
+def short_silence(silent_seconds: float) -> Iterator[None]:
+    """Set the time after which a watch counts as silent, and shorten the backoff of polls."""
     with (
         mock.patch("sloeferry.network.discovery_watch.MAX_SILENCE_SECONDS", silent_seconds),
         mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0),
@@ -32,20 +32,22 @@
 
 
 def list_document(revision: int, members: list[dict[str, Any]], is_complete: bool = False, indent: int | None = None) -> str:
-    """A list, or a change of it, as discovery writes it."""
+    """Return a list document, complete or with changes, as discovery writes it."""
     return json.dumps({"revision": revision, "complete": is_complete, "members": members}, indent=indent)
 
 
 def test_documents_over_several_lines(play_story: PlayStory):
-    """A drain told over many lines, in pieces, is a drain; so is one of an entry that else cannot be read; a list that its end
-    cuts short is logged."""
+    """A drain is recognized in a document over many lines that arrives in pieces, and in an entry with an unreadable address.
+
+    A list that is truncated by the end of the response is logged.
+    """
 
     async def scenario(harness: InstrumentedHarness) -> None:
         discovery, client = harness.discovery, harness.discovery_client
         await harness.request("safe")
         text = list_document(5, discovery.documents(("b", "leaving")), indent=2)
-        for at in range(0, len(text), 40):
-            piece = text[at : at + 40].encode()
+        for offset in range(0, len(text), 40):
+            piece = text[offset : offset + 40].encode()
             discovery.watches[0].write(b"%x\r\n%b\r\n" % (len(piece), piece))
         discovery.push("")
         await wait_until(lambda: client.known_endpoints["b"].state is EndpointState.DRAINING or client.revision == 99)
@@ -67,8 +69,11 @@
 
 
 def test_watch_without_list_is_given_up(play_story: PlayStory):
-    """With a list that may be old for long, a watch that never tells its own is given up as soon as another: no head, half a
-    head, no list, half a list.  What it missed counts as notified like any silent one's."""
+    """A watch that never sends its list is given up after the time that any silent watch has, even if the list may be old.
+
+    Discovery sends nothing, half a head, a head without a list, or half a list.  Each end is reported as that of a silent watch,
+    since changes that it missed count as notified.
+    """
     half_a_list = b'2f\r\n{"revision": 7, "complete": true, "members": [\n\r\n'
     watches = [b"", b"HTTP/1.1 200 OK\r\nTransf", STREAM_HEAD, STREAM_HEAD + half_a_list]
     silent_since: list[float] = []
@@ -79,17 +84,17 @@
         harness.record(f"{len(polls)} calls, {len(silent_since)} silent")
         await harness.request("safe")
 
-    harness = InstrumentedHarness({"b": response()}, poll_within_ms=LIST_MAY_BE_OLD_MS)
+    harness = InstrumentedHarness({"b": response()}, poll_within_ms=MAX_LIST_AGE_MS)
     harness.discovery.scripted_responses = list(watches)
     watch_silent = "sloeferry.dispatch.endpoint_events.EndpointEvents.watch_silent"
-    with mock.patch(watch_silent, lambda events, since: silent_since.append(since)), impatient(0.05):
+    with mock.patch(watch_silent, lambda events, since: silent_since.append(since)), short_silence(0.05):
         play_story(scenario, "watch_silent_from_start", harness)
 
 
 def test_keepalive_lines_are_no_list(play_story: PlayStory):
-    """Signs of life are no list, and none while half a list is out."""
+    """Keep-alive lines do not replace the list, and they do not count in the middle of a list."""
 
-    async def give_signs_of_life(harness: InstrumentedHarness) -> None:
+    async def send_keepalive_lines(harness: InstrumentedHarness) -> None:
         while True:
             for writer in harness.discovery.scripted_writers:
                 with contextlib.suppress(OSError, RuntimeError):
@@ -97,28 +102,31 @@
             await asyncio.sleep(0.01)
 
     async def scenario(harness: InstrumentedHarness) -> None:
-        task = asyncio.ensure_future(give_signs_of_life(harness))
+        task = asyncio.ensure_future(send_keepalive_lines(harness))
         await wait_until(lambda: harness.discovery_client.is_watching)
         assert not task.done()
         task.cancel()
         harness.record(f"{len(harness.discovery.polls)} calls")
 
-    harness = InstrumentedHarness({"b": response()}, poll_within_ms=LIST_MAY_BE_OLD_MS)
+    harness = InstrumentedHarness({"b": response()}, poll_within_ms=MAX_LIST_AGE_MS)
     harness.discovery.scripted_responses = [
         STREAM_HEAD + BLANK_LINE,
         STREAM_HEAD + b"3\r\nno\n\r\n",
         STREAM_HEAD + b'1c\r\n{"revision": 7, "members":\n\r\n',
     ]
-    with impatient(0.05):
+    with short_silence(0.05):
         play_story(scenario, "watch_keepalive_without_list", harness)
 
 
 def test_silent_watch_is_reported(play_story: PlayStory):
-    """The watch falls silent, also the former one, with its successor not standing yet.  What it missed counts."""
+    """A silent watch is reported, and so is a silent former watch while the new one has no list yet.
+
+    Changes that it missed count as notified.
+    """
 
     async def scenario(harness: InstrumentedHarness) -> None:
         discovery, client = harness.discovery, harness.discovery_client
-        with mock.patch.object(harness.dispatcher.endpoint_events, "watch_silent") as watch_silent, impatient(0.05):
+        with mock.patch.object(harness.dispatcher.endpoint_events, "watch_silent") as watch_silent, short_silence(0.05):
             discovery.list_endpoints("b", is_complete=False)
             await wait_until(lambda: watch_silent.called)
             harness.record(f"the watch: {watch_silent.call_count} silent")
@@ -130,45 +138,47 @@
             harness.record(f"the former one: {watch_silent.call_count} silent")
 
     with mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0):
-        play_story(scenario, "watch_silence_reported", InstrumentedHarness({"b": response()}, poll_within_ms=LIST_MAY_BE_OLD_MS))
+        play_story(scenario, "watch_silence_reported", InstrumentedHarness({"b": response()}, poll_within_ms=MAX_LIST_AGE_MS))
 
 
 def test_dials_until_connected_after_silent_watch(play_story: PlayStory):
-    """A watch fell silent, and no connection comes up.  It goes on connecting, without the backoff of failed polls."""
+    """After a silent watch no connection is established.  One poll keeps dialing, without the backoff of failed polls."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         client, events = harness.discovery_client, harness.dispatcher.endpoint_events
         client.poll_timeout_ms = 50.0
         connect, watch_unavailable = sockets.connect, events.watch_unavailable
-        tries: list[tuple[str, int]] = []
-        failed_polls: list[int] = []  # the tries before each
+        dials: list[tuple[str, int]] = []
+        failed_polls: list[int] = []  # the number of dials before each
 
         def count_failed_poll(has_watch_ended: bool) -> None:
             if not has_watch_ended:
-                failed_polls.append(len(tries))
+                failed_polls.append(len(dials))
             watch_unavailable(has_watch_ended)
 
-        async def connect_at_last(loop: Any, address: tuple[str, int], patience: float) -> socket.socket | None:
-            tries.append(address)
-            return None if len(tries) < 60 else await connect(loop, address, patience)
+        async def connect_after_failures(loop: Any, address: tuple[str, int], timeout_ms: float) -> socket.socket | None:
+            dials.append(address)
+            return None if len(dials) < 60 else await connect(loop, address, timeout_ms)
 
         with (
             mock.patch.object(events, "watch_unavailable", count_failed_poll),
-            mock.patch("sloeferry.network.sockets.connect", connect_at_last),
+            mock.patch("sloeferry.network.sockets.connect", connect_after_failures),
             mock.patch("sloeferry.network.discovery_watch.MAX_SILENCE_SECONDS", 0.05),
         ):
             harness.discovery.list_endpoints("b", is_complete=False)
             await wait_until(lambda: len(harness.discovery.polls) == 2 and client.is_watching)
         harness.record(f"failed calls, by dials before them: {failed_polls}")
 
-    harness = InstrumentedHarness({"b": response()}, poll_within_ms=LIST_MAY_BE_OLD_MS, dial_timeout=5000)
+    harness = InstrumentedHarness({"b": response()}, poll_within_ms=MAX_LIST_AGE_MS, dial_timeout=5000)
     with mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0):
         play_story(scenario, "watch_dials_until_connected", harness)
 
 
 def test_discovery_loses_its_revisions(play_story: PlayStory):
-    """Discovery has lost its revisions.  The poll after this proxy's revision is accepted and brings nothing, or is rejected.
-    The next one asks for the complete list."""
+    """Discovery has lost its revisions, so a poll from the known revision is accepted without a list, or is rejected.
+
+    The next poll requests the complete list.
+    """
 
     async def scenario(harness: InstrumentedHarness) -> None:
         discovery, client = harness.discovery, harness.discovery_client
@@ -185,12 +195,12 @@
             await wait_until(lambda count=count: len(discovery.polls) == count + 2 and client.is_watching)
             harness.record(f"calls after {answer[9:12].decode()}: {discovery.polls[count:]}")
 
-    with impatient(0.3):
-        play_story(scenario, "watch_revisions_lost", InstrumentedHarness({"b": response()}, poll_within_ms=LIST_MAY_BE_OLD_MS))
+    with short_silence(0.3):
+        play_story(scenario, "watch_revisions_lost", InstrumentedHarness({"b": response()}, poll_within_ms=MAX_LIST_AGE_MS))
 
 
 def test_former_watch_is_read_after_stall(play_story: PlayStory):
-    """After a stall the former watch's events are read, too, before anything is sent, however long they are."""
+    """After a stall, changes on the former watch are read completely, too, before anything is sent."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         discovery, monitor = harness.discovery, harness.dispatcher.loop_monitor
@@ -200,7 +210,7 @@
         [document] = discovery.documents("b")
         others = [dict(document, id=f"x{index}", phase="leaving") for index in range(900)]
         discovery.push(list_document(9, others + discovery.documents(("b", "leaving"))))
-        await asyncio.sleep(0)  # it is written; of its 150 KB a turn reads 16
+        await asyncio.sleep(0)  # the document of 150 KB is written; one loop iteration reads 16 KB
         monitor.last_iteration_at -= 1e6
         await harness.dispatcher.record_loop_iteration()
         harness.record(f"known of b: {harness.discovery_client.known_endpoints['b'].state.value}")
@@ -209,7 +219,7 @@
 
 
 def test_unknown_zones_are_distinct(play_story: PlayStory):
-    """Zones that the settings do not name are not one zone: a deduplicated request's retry may go to its own alone."""
+    """Zones that the settings do not contain are distinct: a deduplicated request may be retried only within its own zone."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         documents = harness.discovery.documents("b", "c", "b")
@@ -220,7 +230,7 @@
         known = harness.discovery_client.known_endpoints
         zones = {endpoint_id: entry[1] for endpoint_id, entry in known.items()}
         harness.record(f"b and c are of one zone: {zones['b'] == zones['c']}, b and d: {zones['b'] == zones['d']}")
-        # decision_log/versions.py digests these entries.
+        # decision_log/versions.py computes a digest of these entries, which must not depend on their order of arrival.
         harness.record(f"whichever a proxy met first: {zones['b']}, {zones['c']}")
 
     play_story(scenario, "watch_unknown_zones", InstrumentedHarness({"b": response(), "c": response()}))
--- a/tests/network/test_exchange.py
+++ b/tests/network/test_exchange.py
@@ -1,4 +1,4 @@
-"""One attempt on the wire as another event comes.  docs/race-conditions.md names the two of each test."""
+"""Races between an exchange with a backend and another event.  docs/race-conditions.md lists the two events of each test."""
 
 import asyncio
 import contextlib
@@ -22,12 +22,12 @@
 from tests.support.instrumented_harness import NEVER_SECONDS, Gate, InstrumentedHarness, wait_until
 from tests.support.proxy_harness import PlayStory, ProxyHarness
 
-FAR_AWAY_MS = 1e12  # a deadline that does not come
-CUT_BODY_BYTES = 60_000
+NO_DEADLINE_MS = 1e12  # a deadline that is never reached
+UNSENT_BODY_BYTES = 60_000  # more than the backend's receive buffer holds
 
 
 class ExchangeMaker:
-    """Exchanges with the backend b, by a connection pool of their own."""
+    """Runs exchanges with the backend b over a connection pool of its own."""
 
     def __init__(self, harness: ProxyHarness):
         self._loop = asyncio.get_running_loop()
@@ -36,18 +36,21 @@
         self.pool.set_address("b", ("127.0.0.1", harness.backends.ports["b"]))
 
     def run(self, request: bytes, may_begin: bool = True) -> Awaitable[Any]:
-        """Carries out that request."""
-        plan = ExchangePlan("b", FAR_AWAY_MS, may_begin=lambda: may_begin, make_request=lambda: request)
+        """Run an exchange with that request and return its result."""
+        plan = ExchangePlan("b", NO_DEADLINE_MS, may_begin=lambda: may_begin, make_request=lambda: request)
         return Exchange(plan, self._dispatcher, self.pool, DeadlineTimers(self._loop)).run()
 
 
 def end_number(end: AttemptEnd) -> int:
-    """The number of an end in the golden files."""
+    """Return the number that stands for an end in the golden files."""
     return list(AttemptEnd).index(end)
 
 
 def test_endpoint_removed_while_connecting(play_story: PlayStory):
-    """Rule 3 counts the first byte: an endpoint that left the list while its connection came up gets none."""
+    """An endpoint that is removed from the list while a connection to it is established gets no byte.
+
+    Rule 3 applies to the time of the first byte, not to that of the dial.
+    """
 
     async def scenario(harness: ProxyHarness) -> None:
         exchanges = ExchangeMaker(harness)
@@ -65,24 +68,26 @@
 
 
 def test_cancelled_twice_with_unread_response(play_story: PlayStory):
-    """An attempt is cancelled twice in one turn of the loop, with its response there but not read.  It may have run, its
-    connection is not kept, and the next attempt gets its own response."""
+    """An attempt is cancelled twice in one loop iteration while its response is unread.
+
+    It counts as possibly run, its connection is closed, and the next attempt gets its own response.
+    """
 
     async def scenario(harness: InstrumentedHarness) -> None:
         exchanges = ExchangeMaker(harness)
         connect = sockets.connect
         connected: list[socket.socket] = []
 
-        async def connect_and_remember(*arguments: Any) -> socket.socket:
+        async def connect_and_record(*arguments: Any) -> socket.socket:
             connected.append(await connect(*arguments))
             return connected[-1]
 
-        with mock.patch("sloeferry.network.sockets.connect", connect_and_remember):
+        with mock.patch("sloeferry.network.sockets.connect", connect_and_record):
             task = asyncio.get_running_loop().create_task(exchanges.run(b"GET /x HTTP/1.1\r\n\r\n"))
             await wait_until(lambda: harness.backends.requests_received == 1)
             harness.backends.writers[-1].write(response("first"))
             while not select.select(connected, [], [], 0)[0]:
-                pass  # not one turn of the loop in between
+                pass  # wait without yielding to the event loop
             task.cancel()
             task.cancel()
             result = await task
@@ -100,7 +105,7 @@
 
 @contextlib.contextmanager
 def patched_connect(gate: Gate, is_held_before: Callable[[], Any], is_held_after: Callable[[], Any]) -> Any:
-    """Holds a connection at a gate before or after it comes up, where the conditions say so."""
+    """Block connects at a gate, before or after the connection is established, while the conditions return true."""
     connect = sockets.connect
 
     async def connect_at_gate(*arguments: Any) -> socket.socket | None:
@@ -116,7 +121,10 @@
 
 
 def test_address_changes_while_connecting(play_story: PlayStory):
-    """A backend is listed elsewhere while its connection comes up.  That address may be another's by now."""
+    """A backend gets another address while a connection to the old one is established.
+
+    Nothing is sent to the old address, which may belong to another backend by then.
+    """
 
     async def scenario(harness: InstrumentedHarness) -> None:
         gate = Gate()
@@ -131,7 +139,7 @@
 
 
 def test_deduplication_window_ends_while_connecting(play_story: PlayStory):
-    """A deduplicated request's retry is connecting as the window ends in which a repeat is known.  It is not begun."""
+    """The deduplication window of a request ends while its retry is connecting.  The retry is not sent."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         gate = Gate()
@@ -148,8 +156,10 @@
 
 
 def test_cancelled_while_reading_request_body(play_story: PlayStory):
-    """An attempt is cancelled as the next piece of its body is waited for.  The wait is forgotten with it, or the sweep would end
-    the response under way 3 s later."""
+    """An attempt is cancelled while it waits for the next part of the request's body.
+
+    The wait is cleared with it; otherwise the connection sweeper would end the response 3 s later.
+    """
 
     async def scenario(harness: InstrumentedHarness) -> None:
         client = await harness.send_raw(harness.request_head(body_bytes=200000) + b"x" * 100000)
@@ -163,7 +173,10 @@
 
 
 def test_new_endpoint_at_the_same_address(play_story: PlayStory):
-    """An endpoint drains, vanishes, and another is listed at its address.  The new one is none of the former's."""
+    """An endpoint drains and is removed, and another is listed at its address.
+
+    The new endpoint takes over neither the connections nor the state of the old one.
+    """
 
     async def scenario(harness: InstrumentedHarness) -> None:
         client = harness.discovery_client
@@ -180,8 +193,8 @@
     play_story(scenario, "exchange_new_endpoint_same_address", InstrumentedHarness({"b": response()}, deadline_ms=300))
 
 
-async def received_behind_cut(listener: socket.socket, request: asyncio.Future[str], harness: ProxyHarness) -> int:
-    """Accepts a connection and reads nothing of it until the request is answered; the bytes that come then."""
+async def received_after_reply(listener: socket.socket, request: asyncio.Future[str], harness: ProxyHarness) -> int:
+    """Accept a connection, read nothing until the client has its reply, and return how many bytes arrive after that."""
     loop = asyncio.get_running_loop()
     sock, _ = await loop.sock_accept(listener)
     harness.record(f"client gets: {await request}")
@@ -194,8 +207,10 @@
 
 
 def test_unsent_bytes_are_discarded_on_timeout(play_story: PlayStory):
-    """A backend reads nothing, as behind a network cut.  Its request is given up and answered; then the cut is over.  What the
-    kernel still held of the request does not reach the backend any more."""
+    """A backend reads nothing, as during a network partition; its request times out, and then the backend reads again.
+
+    The unsent rest of the request in the kernel's send buffer is discarded and does not reach the backend.
+    """
 
     async def scenario(harness: InstrumentedHarness) -> None:
         with socket.socket() as listener:
@@ -203,26 +218,29 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen()
             listener.setblocking(False)
-            harness.backends.ports["cut"] = listener.getsockname()[1]
+            harness.backends.ports["cut"] = listener.getsockname()[1]  # the backend that reads nothing
             harness.discovery.list_endpoints("cut")
             await wait_until(lambda: set(harness.discovery_client.known_endpoints) == {"cut"})
-            data = harness.request_head(class_name="once", body_bytes=CUT_BODY_BYTES) + b"x" * CUT_BODY_BYTES
+            data = harness.request_head(class_name="once", body_bytes=UNSENT_BODY_BYTES) + b"x" * UNSENT_BODY_BYTES
             request = asyncio.ensure_future(harness.send(data, is_recorded=False))
-            byte_count = await received_behind_cut(listener, request, harness)
-            harness.record(f"then the backend gets all of it: {byte_count > CUT_BODY_BYTES}")
+            byte_count = await received_after_reply(listener, request, harness)
+            harness.record(f"then the backend gets all of it: {byte_count > UNSENT_BODY_BYTES}")
 
     play_story(scenario, "exchange_network_partition", InstrumentedHarness({"b": response()}, deadline_ms=400))
 
 
 class UnsettledHarness(InstrumentedHarness):
-    """Each connection to a backend rests before it is used again."""
+    """A proxy whose connections to backends never settle without the test's doing: the wait for duplicates is endless."""
 
     SECOND_RESPONSE_SECONDS = NEVER_SECONDS
 
 
 def test_duplicate_response(play_story: PlayStory):
-    """A connection just used rests before the next request goes out on it: a second response, still on its way, would pass for
-    that one's.  So does the first of a process, which nothing has warned.  Cancelled meanwhile, the connection is kept."""
+    """A backend sends a duplicate response just after the first.
+
+    The next request waits until the connection has settled, or it would get the duplicate as its response.  This holds for the
+    first duplicate that a process sees, too.  An attempt that is cancelled during the wait leaves the connection in the pool.
+    """
 
     async def scenario(harness: UnsettledHarness) -> None:
         backends = harness.backends
@@ -233,7 +251,7 @@
         gate = Gate()
         with mock.patch("asyncio.sleep", lambda seconds: gate.passed() if seconds > 1 else sleep(seconds)):
             request = asyncio.ensure_future(harness.request("safe", X_Call_Id="c2"))
-            await wait_until(lambda: gate.held.is_set() or backends.requests_received == 2)  # it rests, or it went out
+            await wait_until(lambda: gate.held.is_set() or backends.requests_received == 2)  # it waits, or was sent
             writer.write(response("again"))
             await wait_until(lambda: connection.sock.fileno() < 0 or not sockets.is_open_and_idle(connection.sock))
             gate.opened.set()
@@ -241,7 +259,7 @@
             gate = Gate()
             client = await harness.send_raw(harness.request_head("c3"))
             await wait_until(lambda: gate.held.is_set() or backends.requests_received == 3)
-            client.connection().task.cancel()  # it carries its attempt itself
+            client.connection().task.cancel()  # this task runs the attempt inline
             gate.opened.set()
             await wait_until(lambda: not harness.dispatcher.requests)
         harness.record(f"kept: {len(harness.pool.idle['b'])}")
--- a/tests/network/test_failing_polls.py
+++ b/tests/network/test_failing_polls.py
@@ -1,11 +1,13 @@
-"""Real proxies on loopback, their discovery reachable and each poll failing."""
+"""Real proxy processes on loopback while discovery is reachable and every poll fails."""
 
 from tests import test_rig
 
 
 def test_no_rule_is_broken_while_polls_fail():
-    """Incident 1: watches end, polls are refused, reset, cut short or not answered, and backends begin to drain meanwhile.  No
-    rule is broken."""
+    """Watches end; polls are refused, reset, cut short or not answered; backends begin to drain meanwhile (incident 1).
+
+    No safety rule is broken.
+    """
     code, text = test_rig.Processes.play(["refusals"])
     assert code == 0, text
     assert "rules kept" in text
--- a/tests/network/test_forwarding.py
+++ b/tests/network/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests and responses on their way through the proxy, on loopback.  Nothing is decided by how long anything takes."""
+"""Forwarding of requests and responses, on loopback.  No result depends on how long anything takes."""
 
 import asyncio
 import re
@@ -11,7 +11,7 @@
 LOAD_REPORT = 'X-Load-Report: {"inflight":1}'
 REQUEST_HEAD = "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: c1\r\nX-Call-Class: once\r\nX-Caller: acme\r\nX-Budget-Ms: 3000\r\n"
 
-# What a backend sends on its first request.
+# A backend's response to its first request, by the name of the case in the golden file.
 BAD_RESPONSES = (
     ("cut", b""),
     ("erred", response("no", 500)),
@@ -22,14 +22,14 @@
     ("endless", b"HTTP/1.1 200 X\r\n\r\nno end told, Connection: close"),
     ("huge", response("x" * (1 << 22))),
     ("nonsense", b"220 who is there?\r\n\r\n"),
-    # These come on connections that stay open, and none of them waits for more.
+    # The connection stays open after these, and the proxy must not wait for more.
     ("3 GB", b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nx"),
     ("head without end", b"HTTP/1.1 200 X\r\n" + b"A: b\r\n" * 9000),
     ("1xx without end", b"HTTP/1.1 103 X\r\n\r\n" * 2000),
     ("length too long", b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\nshort"),
     ("two lengths", b"HTTP/1.1 200 X\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc"),
 )
-# Good responses, with more behind them, ahead of them or in their load report.
+# Valid responses with surplus bytes after them, an interim response before them, or an unusual load report.
 RESPONSES_WITH_MORE = (
     response("x" * 400000),
     response() + b"\x00\xff noise\r\n\r\n",
@@ -43,7 +43,7 @@
 
 
 def test_request_and_response_are_forwarded(play_story: PlayStory):
-    """Method, path, query, body, id and key are forwarded unchanged, the response back; connections are kept."""
+    """Method, path, query, body, id and key are forwarded unchanged, as is the response; connections are reused."""
 
     async def scenario(harness: ProxyHarness) -> None:
         client = await harness.connect()
@@ -55,7 +55,7 @@
 
 
 class CaseHarness(ProxyHarness):
-    """One case of a table."""
+    """A proxy whose backends send one of the bad responses to their first request, or are unreachable."""
 
     def __init__(self, case: str, class_name: str, first_response: Script):
         def script(number: int) -> Script:
@@ -71,9 +71,11 @@
 
 
 def test_bad_response_is_retried_or_failed_by_progress(play_story: PlayStory):
-    """A backend fails in every way, on its first request.  How many bytes went out decides: a non-idempotent request is rejected
-    only where nothing ran, else it fails; an idempotent one is retried at the other backend; a backend's own 429 or 503 is
-    never forwarded."""
+    """A backend fails in various ways on its first request, and the bytes written decide what follows.
+
+    A non-idempotent request is rejected only if it has not run, and fails otherwise.  An idempotent one is retried at the other
+    backend.  A backend's own 429 or 503 is never forwarded.
+    """
 
     async def scenario(harness: CaseHarness) -> None:
         harness.record(f"-- {harness.case}")
@@ -85,8 +87,10 @@
 
 
 def test_surplus_bytes_after_a_response(play_story: PlayStory):
-    """A good response stands, however large within memory and whatever comes behind it, ahead of it or in its load report.  A
-    connection on which more came is closed."""
+    """A valid response is forwarded whatever its size, the bytes around it and its load report.
+
+    A connection with surplus bytes after a response is closed.
+    """
 
     async def scenario(harness: ProxyHarness) -> None:
         for _ in RESPONSES_WITH_MORE:
@@ -96,44 +100,44 @@
 
 
 def test_silent_backend_times_out(play_story: PlayStory):
-    """Nothing comes back.  There is a final answer all the same, before the client gives up."""
+    """A backend never responds.  The client gets a final response before its deadline."""
 
     async def scenario(harness: ProxyHarness) -> None:
         await harness.request("once")
-        await asyncio.sleep(0.7)  # what was given up on counts as in flight for as long again
+        await asyncio.sleep(0.7)  # an attempt that timed out counts as in flight for as long again
         await harness.request("safe")
 
     play_story(scenario, "forwarding_silent_backend", ProxyHarness({"b": None}, deadline_ms=300))
 
 
 def test_closed_idle_connection_is_not_reused(play_story: PlayStory):
-    """A kept connection that its backend has closed is found before anything is written to it."""
+    """An idle connection that its backend has closed is detected before a request is written to it."""
 
     async def scenario(harness: ProxyHarness) -> None:
         for _ in range(3):
             await harness.request("once")
             for writer in harness.backends.writers:
                 writer.close()
-            await asyncio.sleep(0.05)  # for the end to arrive
+            await asyncio.sleep(0.05)  # until the close has arrived
 
     play_story(scenario, "forwarding_closed_idle_connection", ProxyHarness({"b": response()}))
 
 
 def test_http_features_of_clients(play_story: PlayStory):
-    """What HTTP/1.1 allows a client, and an old one: all of it is served."""
+    """Pipelining, chunked bodies, HTTP/1.0, Connection: close, Expect: 100-continue and a slow head are supported."""
 
     async def scenario(harness: ProxyHarness) -> None:
         pipelining = await harness.connect()
-        pipelining[1].write((REQUEST_HEAD + "Content-Length: 3\r\n\r\none").encode())  # both at once
+        pipelining[1].write((REQUEST_HEAD + "Content-Length: 3\r\n\r\none").encode())  # with the next one, both at once
         await harness.send(REQUEST_HEAD + "Content-Length: 3\r\n\r\ntwo", pipelining)
         await harness.send(b"", pipelining)
         await harness.send(REQUEST_HEAD + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
         await harness.send(REQUEST_HEAD.replace("1.1", "1.0", 1) + "Content-Length: 0\r\n\r\n")
         await harness.send(REQUEST_HEAD + "Connection: close\r\nContent-Length: 0\r\n\r\n")
-        patient = await harness.connect()
-        patient[1].write((REQUEST_HEAD + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n").encode())
-        harness.record((await patient[0].readuntil(b"\r\n\r\n")).decode().strip())
-        await harness.send("body", patient)
+        expecting = await harness.connect()
+        expecting[1].write((REQUEST_HEAD + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n").encode())
+        harness.record((await expecting[0].readuntil(b"\r\n\r\n")).decode().strip())
+        await harness.send("body", expecting)
         slow = await harness.connect()
         for part in re.findall(r"(?s).{1,40}", REQUEST_HEAD + "Content-Length: 4\r\n\r\n"):
             slow[1].write(part.encode())
@@ -145,7 +149,10 @@
 
 
 def test_failing_policy(play_story: PlayStory):
-    """The policy raises, or never decides.  One request is lost with it, answered in time; others go on."""
+    """The policy raises an exception, or never decides.
+
+    Only the request concerned fails, with a response in time; the others are served.
+    """
 
     async def scenario(harness: ProxyHarness) -> None:
         with mock.patch.object(Policy, "request_arrived", side_effect=ZeroDivisionError):
--- a/tests/network/test_json_stream.py
+++ b/tests/network/test_json_stream.py
@@ -1,4 +1,4 @@
-"""JSON objects out of a stream of bytes."""
+"""The incremental parser for a stream of JSON objects."""
 
 import json
 
@@ -21,8 +21,10 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(PIECES, max_size=6), st.lists(st.integers(0, 4000), max_size=8))
 def test_objects_in_any_layout(pieces: list[tuple[str, int | str | None, str]], cuts: list[int]):
-    """Objects come out complete and in order whatever white space stands in them and wherever their bytes are cut.  What cannot
-    be read takes none of them along, once another one follows it."""
+    """Objects are returned complete and in order, whatever their white space and wherever their bytes are split.
+
+    An unreadable line does not affect the objects after it; it is recognized at the latest when another object follows.
+    """
     text, unreadable_count = "", 0
     expected = []
     for name, indent, end in pieces:
@@ -32,7 +34,7 @@
         else:
             unreadable_count += 1
             text += name + "\n"
-    # The last one that cannot be read shows by what follows.
+    # An unreadable line at the end is recognized only by the objects that follow.
     expected += [OBJECTS["list"], OBJECTS["nested"]]
     text += "".join(json.dumps(value) + "\n" for value in expected[-2:])
     data = text.encode()
@@ -46,8 +48,10 @@
 
 
 def test_object_split_at_each_byte():
-    """An object over many lines is cut in two at each byte in turn, with what looks like an object's end and the next one's
-    beginning in a string.  Neither it nor what follows is dropped."""
+    """An object over many lines is split at each byte in turn, and neither it nor the next one is dropped.
+
+    One of its strings looks like the end of an object and the beginning of the next.
+    """
     expected = [OBJECTS["text"], {"revision": 3, "members": [{"id": "b"}, {}]}]
     data = "".join(json.dumps(value, indent=1, ensure_ascii=False) + "\n" for value in expected).encode()
     for cut in range(len(data)):
