--- a/tests/network/test_discovery_watch.py
+++ b/tests/network/test_discovery_watch.py
@@ -26,7 +26,7 @@
     """Set the time after which a watch counts as silent, and shorten the backoff of polls."""
     with (
         mock.patch("sloeferry.network.discovery_watch.MAX_SILENCE_SECONDS", silent_seconds),
-        mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0),
+        mock.patch("sloeferry.policy.endpoint_polling.MAX_BACKOFF_BASE_MS", 50.0),
     ):
         yield
 
@@ -137,7 +137,7 @@
             await wait_until(lambda: watch_silent.call_count > 1)
             harness.record(f"the former one: {watch_silent.call_count} silent")
 
-    with mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0):
+    with mock.patch("sloeferry.policy.endpoint_polling.MAX_BACKOFF_BASE_MS", 50.0):
         play_story(scenario, "watch_silence_reported", InstrumentedHarness({"b": response()}, poll_within_ms=MAX_LIST_AGE_MS))
 
 
@@ -170,7 +170,7 @@
         harness.record(f"failed calls, by dials before them: {failed_polls}")
 
     harness = InstrumentedHarness({"b": response()}, poll_within_ms=MAX_LIST_AGE_MS, dial_timeout=5000)
-    with mock.patch("sloeferry.policy.endpoint_polling.LONGEST_BACKOFF_BASE_MS", 50.0):
+    with mock.patch("sloeferry.policy.endpoint_polling.MAX_BACKOFF_BASE_MS", 50.0):
         play_story(scenario, "watch_dials_until_connected", harness)
 
 
