--- a/sloeferry/network/attempt.py
+++ b/sloeferry/network/attempt.py
@@ -48,9 +48,9 @@
         self._load_reports = load_reports
 
     async def run(self, request: OutgoingRequest, command: SendAttempt, is_inline: bool = False) -> bool:
-        """Run one attempt, report its end, and return whether another task has taken the request over meanwhile.
+        """Run one attempt, report its end, and return whether another task has taken over the request during it.
 
-        `is_inline`: the task that carries the request runs the attempt itself.  A takeover by another task clears
+        `is_inline`: the task of the client connection runs the attempt itself.  A takeover by another task clears
         `RequestContext.on_command`.
         """
         context, number = request.context, command.attempt_number
--- a/sloeferry/network/discovery_client.py
+++ b/sloeferry/network/discovery_client.py
@@ -243,14 +243,14 @@
     def _read_entries(self, entries: list[Any]) -> dict[str, ListedEndpoint]:
         endpoints = {}
         for entry in entries:
-            read = self._documents.read_entry(entry, self.known_endpoints)
-            if read is None:
+            decoded = self._documents.read_entry(entry, self.known_endpoints)
+            if decoded is None:
                 continue
-            endpoint = endpoints[read.endpoint.endpoint_id] = read.endpoint
+            endpoint = endpoints[decoded.endpoint.endpoint_id] = decoded.endpoint
             if endpoint.state is EndpointState.GONE:
                 self._pool.set_address(endpoint.endpoint_id, None)
-            elif read.address:
-                self._pool.set_address(endpoint.endpoint_id, read.address)
+            elif decoded.address:
+                self._pool.set_address(endpoint.endpoint_id, decoded.address)
         return endpoints
 
     def _newly_started(self, endpoints: Mapping[str, ListedEndpoint]) -> set[str]:
--- a/sloeferry/network/discovery_watch.py
+++ b/sloeferry/network/discovery_watch.py
@@ -41,7 +41,7 @@
 
 
 class DiscoveryWatch:
-    """Dials discovery, requests the list, and applies its changes until the watch ends.  Times in ms, monotonic."""
+    """Dials discovery, requests the list, and applies its changes until the response ends.  Times in ms, monotonic."""
 
     def __init__(self, client: "DiscoveryClient", number: int):
         self._client = client
@@ -51,8 +51,8 @@
         self.began_at = environment.monotonic_ms()
         self.tried_at = self.began_at  # when the last dial began, or the request was written
         self.silent_since: float | None = None  # when the watch was last heard from, if it was given up as silent
-        self._is_outage_considered = False
-        self._json = JsonStream()
+        self._is_outage_check_done = False
+        self._json_stream = JsonStream()
         self._documents: list[Any] = []  # received and not yet applied
         self._is_alive = False  # a keep-alive line has arrived
 
@@ -83,7 +83,7 @@
     # Dial
 
     async def _dial(self) -> socket.socket | None:
-        """Dial until a connection is established or the poll timeout has passed; return None on a timeout.
+        """Dial until a connection is established; return None without a descriptor or after the poll timeout.
 
         A dial that does not arrive costs discovery nothing, and during a network partition drains go unnoticed for as long as
         the list is missing (rule 3).  While a silent watch has not been replaced, no attempt is sent once the list is stale;
@@ -153,8 +153,8 @@
             if self.phase is not PollPhase.WATCHING and 200 <= stream.message.status < 500:
                 client.revision = None
             stream.close()
-        if self._json.pending:
-            warn("endpoint list", "cut short, ignored: {!r}", self._json.pending[:MAX_QUOTED])
+        if self._json_stream.pending:
+            warn("endpoint list", "cut short, ignored: {!r}", self._json_stream.pending[:MAX_QUOTED])
         return stream.fault.value if stream.fault else f"answered {stream.message.status}, ended"
 
     async def _apply_until_end(self, stream: HttpStream, sock: socket.socket, silent_at: float) -> bool:
@@ -163,9 +163,9 @@
         `silent_at`: the event loop's time (seconds) at which the watch counts as silent if nothing arrives before.
         """
         heard_at = self.tried_at = environment.monotonic_ms()
-        while not stream.fault and not stream.completed and len(self._json.pending) < MAX_LIST_CHARACTERS:
+        while not stream.fault and not stream.completed and len(self._json_stream.pending) < MAX_LIST_CHARACTERS:
             if not await self._receive(stream, sock, silent_at):
-                # After a stall of this process the time is over although changes lie unread in the socket.  If they were
+                # After a stall of this process the time may have passed while changes lie unread in the socket.  If they were
                 # dropped with the watch, they would be known only once the next watch has its list (rule 3).
                 if is_open_and_idle(sock):
                     self.silent_since = heard_at
@@ -186,10 +186,10 @@
     async def _receive(self, stream: HttpStream, sock: socket.socket, receive_until: float) -> bool:
         """Receive once, and return False if nothing arrives until `receive_until` (event loop time).
 
-        A first response that takes long is reported as a possible outage meanwhile.
+        If the response has not begun after `OUTAGE_RATIO` of the poll timeout, a possible outage is reported once.
         """
-        if self.phase < PollPhase.ANSWERED and not self._is_outage_considered:
-            self._is_outage_considered = True
+        if self.phase < PollPhase.ANSWERED and not self._is_outage_check_done:
+            self._is_outage_check_done = True
             outage_at = self.tried_at + OUTAGE_RATIO * self._client.poll_timeout_ms
             if await stream.receive_within(max(0.0, (outage_at - environment.monotonic_ms()) / 1000)):
                 return True
@@ -203,8 +203,8 @@
         if self.phase < PollPhase.ANSWERED:
             self._report_discovery_time(message)
             self.phase = PollPhase.ANSWERED
-        self._documents.extend(self._json.feed(data))
-        self._is_alive = self._is_alive or b"\n" in data and not self._json.pending
+        self._documents.extend(self._json_stream.feed(data))
+        self._is_alive = self._is_alive or b"\n" in data and not self._json_stream.pending
 
     def _report_discovery_time(self, message: Message) -> None:
         """Report discovery's clock from the Date header, if there is one (RFC 9110, 6.6.1)."""
--- a/sloeferry/network/exchange.py
+++ b/sloeferry/network/exchange.py
@@ -126,7 +126,7 @@
     async def _write_body(self, body: RequestBodyStream) -> bool:
         """Write the rest of a streamed body, and return whether the backend responded or closed before its end.
 
-        The backend does not want the rest then, and it is not written.
+        In that case the backend does not need the rest, and it is not written.
         """
         body.bind(self._plan.attempt_number, self._task)
         sock = self._connection.sock
--- a/tests/network/test_discovery_client.py
+++ b/tests/network/test_discovery_client.py
@@ -103,4 +103,4 @@
         server.close()
         harness.record(f"connected, seats taken: {budget.in_use}")
 
-    play_story(scenario, "discovery_reconnects", ProxyHarness({}, cached_endpoints=["nobody"]))
+    play_story(scenario, "discovery_reconnects", ProxyHarness({}, cached_endpoints=["unreachable"]))
--- a/tests/network/test_forwarding.py
+++ b/tests/network/test_forwarding.py
@@ -65,7 +65,7 @@
         if is_reachable:
             super().__init__({"b": script, "c": script})
         else:
-            super().__init__({}, cached_endpoints=["nobody"])
+            super().__init__({}, cached_endpoints=["unreachable"])
         self.case = case
         self.class_name = class_name
 
