--- a/sloeferry/network/attempt.py
+++ b/sloeferry/network/attempt.py
@@ -58,7 +58,7 @@
         result = await Exchange(self._plan(request, command, started_at), self._dispatcher, self._pool, self._timers).run()
         body = request.body if isinstance(request.body, RequestBodyStream) else None
         if body and not body.is_bound:
-            body.release(number)  # none of it has been consumed: another attempt may send it
+            body.release(number)  # all of it is still buffered: another attempt may send it
         elif body and body.last_byte_at_ms:
             started_at = body.last_byte_at_ms  # the time before that was spent by the client, not by the backend
         end, load_report, response = result.end, NO_REPORT, result.response
