--- a/sloeferry/decision_log/decision_log.py
+++ b/sloeferry/decision_log/decision_log.py
@@ -12,28 +12,37 @@
 
 MAX_ENTRIES = 64
 MAX_REASON_CHARACTERS = 200
-HELD = "known"  # the source of a list as last held: nobody has confirmed that it still stands
+CACHED_SOURCE = "known"  # the source of a list as last held: nobody has confirmed that it still stands
 
 
 class LogEntry:
     """One version, and what was done under it."""
 
-    __slots__ = ("version", "source", "heard_at", "applied_at", "first_act_at", "last_act_at", "acts", "open_requests")
+    __slots__ = (
+        "version",
+        "source",
+        "heard_at",
+        "applied_at",
+        "first_action_at",
+        "last_action_at",
+        "action_count",
+        "open_requests",
+    )
 
     def __init__(self, version: Version, now: float, source: str):
         self.version = version
         self.source = source
         self.heard_at = self.applied_at = now
-        self.first_act_at: float | None = None
-        self.last_act_at: float | None = None
-        self.acts = 0  # requests taken on under settings, attempts by a list
+        self.first_action_at: float | None = None
+        self.last_action_at: float | None = None
+        self.action_count = 0  # requests taken on under settings, attempts by a list
         self.open_requests = 0
 
-    def act(self, now: float) -> None:
+    def record_action(self, now: float) -> None:
         """Something was done under it."""
-        self.first_act_at = self.first_act_at or now
-        self.last_act_at = now
-        self.acts += 1
+        self.first_action_at = self.first_action_at or now
+        self.last_action_at = now
+        self.action_count += 1
 
     def as_json(self, now: float) -> dict[str, Any]:
         """What operators are told of it."""
@@ -45,9 +54,9 @@
             "by": self.source,
             "heard_ms": age_ms(self.heard_at),
             "applied_ms": age_ms(self.applied_at),
-            "first_ms": age_ms(self.first_act_at),
-            "last_ms": age_ms(self.last_act_at),
-            "acts": self.acts,
+            "first_ms": age_ms(self.first_action_at),
+            "last_ms": age_ms(self.last_action_at),
+            "acts": self.action_count,
             "open": self.open_requests,
         }
 
@@ -85,7 +94,7 @@
 
     def list_applied(self, now: float, revision: int, digest: str, source: str) -> None:
         """A list, or a change of it, has come and acts."""
-        if source != HELD:
+        if source != CACHED_SOURCE:
             self.list_confirmed(now)
         before = self.lists[-1].version if self.lists else ListVersion(1, revision, "")
         if before.revision == revision and before.digest == digest:
@@ -130,7 +139,7 @@
     def request_accepted(self, now: float, request: Any) -> None:
         """A request belongs to the newest settings."""
         entry = self._settings_by_request[request.request_id] = self.settings[-1]
-        entry.act(now)
+        entry.record_action(now)
         entry.open_requests += 1
 
     def request_ended(self, request: Any, is_served: bool) -> None:
@@ -141,9 +150,9 @@
     def attempt_sent(self, now: float) -> None:
         """An attempt belongs to the newest list."""
         if self.lists:
-            self.lists[-1].act(now)
+            self.lists[-1].record_action(now)
 
-    def acted_on(self, request_id: int) -> str:
+    def version_summary(self, request_id: int) -> str:
         """What an attempt of that request, chosen now, acts on, for a header; short, for it goes with each."""
         settings = self._settings_by_request.get(request_id, self.settings[-1]).version
         text = f"settings={settings.generation}:{settings.digest}"
@@ -166,14 +175,14 @@
             "refused": [refusal.as_json(now) for refusal in self.refusals[-1:]],
         }
 
-    def acted_within(self, now: float, span_ms: float) -> dict[str, Any]:
+    def recent_entries(self, now: float, span_ms: float) -> dict[str, Any]:
         """The log of the last `span_ms`: versions that came or acted in that time, or have open requests."""
 
         def recent(entries: list[LogEntry]) -> list[dict[str, Any]]:
             return [
                 entry.as_json(now) | {"against_newest": compare_versions(entry.version, entries[-1].version).value}
                 for entry in entries
-                if entry.open_requests or now - max(entry.heard_at, entry.last_act_at or 0.0) <= span_ms
+                if entry.open_requests or now - max(entry.heard_at, entry.last_action_at or 0.0) <= span_ms
             ]
 
         refusals = [refusal.as_json(now) for refusal in self.refusals]
--- a/sloeferry/decision_log/recorder.py
+++ b/sloeferry/decision_log/recorder.py
@@ -8,7 +8,7 @@
 
 from sloeferry import environment
 from sloeferry.config.instance import InstanceConfig
-from sloeferry.decision_log.decision_log import HELD, DecisionLog
+from sloeferry.decision_log.decision_log import CACHED_SOURCE, DecisionLog
 from sloeferry.decision_log.versions import digest_of, digest_of_files
 from sloeferry.dispatch.dispatcher import Dispatcher
 from sloeferry.dispatch.endpoint_events import ListedEndpoint
@@ -88,7 +88,7 @@
     def list_applied(self, revision: int, known: Mapping[str, ListedEndpoint], source: str | None = None) -> None:
         """A list acts from now on; `source` is who told it, None for one as last held."""
         endpoints = sorted((*each[:4], each.state.value, *each[5:]) for each in known.values())
-        self.log.list_applied(environment.monotonic_ms(), revision, digest_of(endpoints), source or HELD)
+        self.log.list_applied(environment.monotonic_ms(), revision, digest_of(endpoints), source or CACHED_SOURCE)
 
     def list_confirmed(self) -> None:
         """The watch says that the list still stands."""
@@ -98,7 +98,7 @@
         self.log.attempt_sent(environment.monotonic_ms())
         if self._is_sent_along:
             context.version_headers = context.version_headers or {}
-            line = b"X-Acted-On: %b\r\n" % self.log.acted_on(context.request_id).encode()
+            line = b"X-Acted-On: %b\r\n" % self.log.version_summary(context.request_id).encode()
             context.version_headers[context.attempts_sent] = line
 
     # What operators are told
@@ -129,4 +129,4 @@
         if not seconds >= 0:
             return 400, {"error": f"since: {text!r} is not a number of seconds from 0 up"}
         span_ms = min(seconds * 1000, EVER_MS)
-        return 200, {"name": self._name, **self.log.acted_within(environment.monotonic_ms(), span_ms)}
+        return 200, {"name": self._name, **self.log.recent_entries(environment.monotonic_ms(), span_ms)}
--- a/sloeferry/fault_testing/cli.py
+++ b/sloeferry/fault_testing/cli.py
@@ -77,10 +77,10 @@
 
 
 def _run_virtual(plan: Plan, seed: int) -> RunOutcome:
-    from sloeferry.rehearsal.play import play
+    from sloeferry.rehearsal.simulation import simulate
 
     scenario, left_out = plans.to_virtual_scenario(plan)
-    record = play(scenario, seed)
+    record = simulate(scenario, seed)
     record["without"] = left_out
     text = format_record(record)
     if left_out:
--- a/sloeferry/fault_testing/plan_run.py
+++ b/sloeferry/fault_testing/plan_run.py
@@ -17,7 +17,7 @@
 from sloeferry.fault_testing.process_host import ProcessHost
 from sloeferry.fault_testing.run_options import RunOptions
 from sloeferry.fault_testing.verdict import RunResult, judge_run
-from sloeferry.rehearsal.play_environment import READY_TIMEOUT_SECONDS
+from sloeferry.rehearsal.run_environment import READY_TIMEOUT_SECONDS
 from sloeferry.stand_ins import processes
 
 TMPFS_FOLDER = "/dev/shm"
@@ -39,7 +39,7 @@
 
     async def run(self) -> None:
         """From the first process to the end of the last call."""
-        await self._fleet.open()
+        await self._fleet.start_stand_ins()
         await self._start_proxies()
         tune_garbage_collection()
         began_at = self._loop.time() + START_DELAY_SECONDS
@@ -75,7 +75,7 @@
 
     def _is_running(self, ends_at: float) -> bool:
         now = self._loop.time()
-        return now < ends_at or self._fleet.is_busy() and now < ends_at + self._fleet.last_request_seconds()
+        return now < ends_at or self._fleet.has_open_requests() and now < ends_at + self._fleet.last_request_timeout_seconds()
 
     def _proxy_pids(self) -> Iterable[int]:
         return [proxy.process.pid for proxy in self._fleet.proxies if proxy.process]
--- a/sloeferry/fault_testing/process_fleet.py
+++ b/sloeferry/fault_testing/process_fleet.py
@@ -121,7 +121,7 @@
         for worker in self._client_workers:
             worker.command("set_alive", proxy, is_alive)
 
-    def is_busy(self) -> bool:
+    def has_open_requests(self) -> bool:
         """Whether requests are open still, as far as clients have reported."""
         return any(worker.open_calls != 0 for worker in self._client_workers)
 
@@ -154,7 +154,7 @@
 
     # The course of a run
 
-    async def open(self) -> None:
+    async def start_stand_ins(self) -> None:
         """Worker processes, links, warm backends, and discovery."""
         await asyncio.gather(*(worker.start() for worker in self._all_workers))
         for group, zone in plan_backends(self.plan):
@@ -203,7 +203,7 @@
     async def end(self) -> None:
         """Ends all processes, and completes the records."""
         for proxy in self.proxies:
-            proxy.is_over = True
+            proxy.is_run_over = True
             proxy.send_signal()
         await asyncio.gather(*(worker.end() for worker in self._all_workers))
         self.discovery.go_down()
--- a/sloeferry/fault_testing/worker_processes.py
+++ b/sloeferry/fault_testing/worker_processes.py
@@ -12,8 +12,8 @@
 from sloeferry.fault_testing.placement import Address
 from sloeferry.fault_testing.process_host import SOURCE_TREE, ProcessHost
 from sloeferry.fault_testing.worker_protocol import ReportKind, WorkerConfig, WorkerReport, WorkerRole
-from sloeferry.rehearsal.play_environment import READY_TIMEOUT_SECONDS
 from sloeferry.rehearsal.proxy_fleet import make_backend_id
+from sloeferry.rehearsal.run_environment import READY_TIMEOUT_SECONDS
 from sloeferry.rehearsal.scenario_tables import Backends
 
 SHUTDOWN_TIMEOUT_SECONDS = 10.0  # until a worker that was told to end is killed
--- a/sloeferry/fleet/straggler_cause.py
+++ b/sloeferry/fleet/straggler_cause.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from sloeferry.decision_log.decision_log import HELD
+from sloeferry.decision_log.decision_log import CACHED_SOURCE
 from sloeferry.fleet.audit_record import Subject
 from sloeferry.fleet.documents import ListEntry, VersionsDocument
 
@@ -31,7 +31,7 @@
         discovery = held["by"].removeprefix("discovery at ")
         return Cause("told nothing newer", f"its watch at {discovery} spoke {confirmed_ms / 1000:.1f} s ago")
     ago = "never" if confirmed_ms is None else f"{confirmed_ms / 1000:.1f} s ago"
-    if held["by"] == HELD:
+    if held["by"] == CACHED_SOURCE:
         return Cause("restarted on an old list", f"up for {versions['up_ms'] / 1000:.1f} s, confirmed {ago}")
     return Cause("cut from discovery", f"last word {ago}")
 
--- a/sloeferry/rehearsal/backend_faults.py
+++ b/sloeferry/rehearsal/backend_faults.py
@@ -49,7 +49,7 @@
         return [backend for backend in self._fleet.backends if backend.is_up and not backend.is_draining]
 
     def _pick(self, fault: LastingFault, rng: Random) -> list[StandInBackend]:
-        return self._fleet.pick(fault.part, fault.zone, rng, self._serving())
+        return self._fleet.sample_in_zone(fault.part, fault.zone, rng, self._serving())
 
     # Slower, or wrong
 
@@ -117,7 +117,7 @@
             self._loop.call_later(seconds, backend.link_faults.clear)
 
     def _lose_from_some(self, fault: scenario_faults.OneSidedLoss, rng: Random) -> None:
-        proxies = self._fleet.pick(fault.proxies, "", rng, self._fleet.proxies)
+        proxies = self._fleet.sample_in_zone(fault.proxies, "", rng, self._fleet.proxies)
         backends = self._pick(fault, rng)
         self._set_link_faults(backends, (proxy.name for proxy in proxies), LinkFault(fault.odds), fault.lasts)
 
--- a/sloeferry/rehearsal/cli.py
+++ b/sloeferry/rehearsal/cli.py
@@ -122,10 +122,10 @@
     if live:
         from sloeferry.rehearsal import live as live_play
 
-        return live_play.play(scenario, seed, progress, show_line)
-    from sloeferry.rehearsal import play as virtual_play
+        return live_play.run_live(scenario, seed, progress, show_line)
+    from sloeferry.rehearsal import simulation as virtual_play
 
-    return virtual_play.play(scenario, seed, policy, progress, show_line, environment_seed)
+    return virtual_play.simulate(scenario, seed, policy, progress, show_line, environment_seed)
 
 
 @rehearse.command("list")
@@ -190,9 +190,11 @@
 
 def play_pair(scenario: Scenario, seed: int, baseline: str) -> Pair:
     """One seed with the design, then with a baseline."""
-    from sloeferry.rehearsal.play import play
+    from sloeferry.rehearsal.simulation import simulate
 
-    records = [play(scenario, seed, policy, progress_line(f"{scenario.name} {seed} {policy}")) for policy in (DESIGN, baseline)]
+    records = [
+        simulate(scenario, seed, policy, progress_line(f"{scenario.name} {seed} {policy}")) for policy in (DESIGN, baseline)
+    ]
     clear_progress_line()
     services = [record["service"]["total"] for record in records]
     violations = [sum(record["rules"].values()) for record in records]
--- a/sloeferry/rehearsal/live.py
+++ b/sloeferry/rehearsal/live.py
@@ -17,8 +17,8 @@
 import uvloop
 
 from sloeferry.rehearsal.baselines import DESIGN
-from sloeferry.rehearsal.play_environment import MAX_DRAIN_SECONDS, READY_TIMEOUT_SECONDS, RESTART_SECONDS, ProxyHandle
 from sloeferry.rehearsal.proxy_fleet import ProxyFleet
+from sloeferry.rehearsal.run_environment import DRAIN_TIMEOUT_SECONDS, READY_TIMEOUT_SECONDS, RESTART_DELAY_SECONDS, ProxyHandle
 from sloeferry.rehearsal.scenario import Scenario, ScenarioError
 from sloeferry.stand_ins import processes
 from sloeferry.stand_ins.processes import Throttle, free_ports
@@ -35,15 +35,15 @@
 
 
 class ProxyCommand(NamedTuple):
-    """How a proxy is started; `folder` is whose code it runs (None: this one's)."""
+    """How a proxy is started; `working_directory` is whose code it runs (None: this one's)."""
 
-    words: list[str]
+    arguments: list[str]
     environ: dict[str, str]
-    folder: str | None
+    working_directory: str | None
 
 
 class LiveEnvironment:
-    """A `PlayEnvironment` in real time."""
+    """A `RunEnvironment` in real time."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, seed: int, folder: str):
         self.loop = loop
@@ -51,22 +51,22 @@
         self.folder = folder
 
     def rng(self, purpose: str) -> Random:
-        """See PlayEnvironment."""
+        """See RunEnvironment."""
         return Random(f"{self.seed}/{purpose}")
 
     def unix_time(self) -> float:
-        """See PlayEnvironment."""
+        """See RunEnvironment."""
         return time.time()
 
-    def place(self, name: str, address: tuple[str, int], zone: str | None) -> asyncio.AbstractEventLoop:
-        """See PlayEnvironment."""
+    def event_loop_for(self, name: str, address: tuple[str, int], zone: str | None) -> asyncio.AbstractEventLoop:
+        """See RunEnvironment."""
         return self.loop
 
     def set_cut_off(self, address: tuple[str, int], is_cut_off: bool) -> None:
-        """See PlayEnvironment: the backend itself says nothing."""
+        """See RunEnvironment: the backend itself says nothing."""
 
     def make_proxy(self, fleet: ProxyFleet, index: int) -> "LiveProxy":
-        """See PlayEnvironment."""
+        """See RunEnvironment."""
         return LiveProxy(self, fleet, index)
 
     def command(self, proxy: "LiveProxy") -> ProxyCommand:
@@ -85,7 +85,7 @@
 
     def __init__(self, environment: LiveEnvironment, fleet: ProxyFleet, index: int):
         super().__init__(environment, fleet, index)
-        self.is_over = False  # the play ends
+        self.is_run_over = False  # the play ends
         self._loop = environment.loop
         self._throttle: Throttle | None = None
         self._was_killed = False
@@ -96,10 +96,10 @@
 
     async def _run(self) -> None:
         """One process, from its start to its end."""
-        if self.process or self.is_over:
+        if self.process or self.is_run_over:
             return
         self.write_config()
-        self.is_leaving = False
+        self.is_restarting = False
         self._was_killed = False
         self.process = await self._create_process()
         self.environment.process_started(self.process)
@@ -110,23 +110,23 @@
         if self._throttle:
             self._throttle.stop_requested.set()
             self._throttle = None
-        if self.is_over or self._was_killed:
+        if self.is_run_over or self._was_killed:
             return
-        if self.is_leaving:
-            await asyncio.sleep(RESTART_SECONDS)
+        if self.is_restarting:
+            await asyncio.sleep(RESTART_DELAY_SECONDS)
             self.start()
             return
         self._ended_for_clients()
         self.fleet.judge.proxy_crashed(self.name, self._loop.time(), f"exit {exit_code}")
 
     async def _create_process(self) -> asyncio.subprocess.Process:
-        words, environ, folder = self.environment.command(self)
+        arguments, environ, working_directory = self.environment.command(self)
         with open(self.config_path.with_suffix(".log"), "ab") as log:
             return await asyncio.create_subprocess_exec(
-                *words,
+                *arguments,
                 env={**environ, "BALANCER_CONFIG": str(self.config_path)},
                 stderr=log,
-                cwd=folder,
+                cwd=working_directory,
                 stdin=asyncio.subprocess.DEVNULL,
                 start_new_session=True,
             )
@@ -150,11 +150,11 @@
 
     def restart(self) -> None:
         """See ProxyHandle."""
-        if self.process and not self.is_leaving:
-            self.is_leaving = True
+        if self.process and not self.is_restarting:
+            self.is_restarting = True
             self.send_signal(signal.SIGTERM)
             self.fleet.balancer.proxy_ended(self.name, self.fleet.scenario.balancer.drain_notice_seconds)
-            self._loop.call_later(MAX_DRAIN_SECONDS, self._drain_overdue, self.process)
+            self._loop.call_later(DRAIN_TIMEOUT_SECONDS, self._drain_overdue, self.process)
 
     def _drain_overdue(self, process: asyncio.subprocess.Process) -> None:
         if self.process is process:
@@ -193,7 +193,9 @@
         raise ScenarioError(f"seconds: {scenario.seconds:g} is too long for a live play, {MAX_SECONDS} at most")
 
 
-def play(scenario: Scenario, seed: int, progress: Progress | None = None, show_line: ShowLine | None = None) -> dict[str, Any]:
+def run_live(
+    scenario: Scenario, seed: int, progress: Progress | None = None, show_line: ShowLine | None = None
+) -> dict[str, Any]:
     """Plays it; the record, which another run will not repeat to the byte."""
     check(scenario)
     with tempfile.TemporaryDirectory(prefix="rehearsal-") as folder:
@@ -211,20 +213,20 @@
     loop = asyncio.get_running_loop()
     fleet = ProxyFleet(scenario, LiveEnvironment(loop, seed, folder), free_ports("127.10.0.1", 1)[0] // 2 + 16000)
     try:
-        await fleet.open()
+        await fleet.start_stand_ins()
         await start_proxies(fleet)
         began_at = loop.time()
         fleet.begin(began_at)
         ends_at = began_at + scenario.seconds
-        latest_end = ends_at + fleet.last_request_seconds()
-        while loop.time() < ends_at or fleet.is_busy() and loop.time() < latest_end:
+        latest_end = ends_at + fleet.last_request_timeout_seconds()
+        while loop.time() < ends_at or fleet.has_open_requests() and loop.time() < latest_end:
             await asyncio.sleep(PLAY_LOOK_SECONDS)
             if progress:
                 progress(loop.time() - began_at, fleet)
         return fleet.record(loop.time())
     finally:
         for proxy in fleet.proxies:
-            proxy.is_over = True
+            proxy.is_run_over = True
             proxy.send_signal()
         fleet.discovery.go_down()
         for backend in fleet.backends:
--- a/sloeferry/rehearsal/loop_socket_calls.py
+++ b/sloeferry/rehearsal/loop_socket_calls.py
@@ -18,13 +18,13 @@
     def __init__(self, host: "SimulatedHost"):
         self.host = host
 
-    def spend(self, kind: str) -> None:
+    def spend_cpu(self, kind: str) -> None:
         """A call of that kind takes its CPU time."""
         raise NotImplementedError
 
     async def sock_recv_into(self, sock: "SimulatedSocket", buffer: bytearray | memoryview) -> int:
         """As asyncio calls it."""
-        self.spend("read")
+        self.spend_cpu("read")
         while True:
             try:
                 return sock.recv_into(buffer)
@@ -33,7 +33,7 @@
 
     async def sock_sendall(self, sock: "SimulatedSocket", data: bytes | memoryview) -> None:
         """As asyncio calls it."""
-        self.spend("write")
+        self.spend_cpu("write")
         view = memoryview(data)
         while True:
             try:
@@ -45,7 +45,7 @@
 
     async def sock_connect(self, sock: "SimulatedSocket", address: "Address") -> None:
         """As asyncio calls it."""
-        self.spend("dial")
+        self.spend_cpu("dial")
         await sock.connect(address)
 
     def add_reader(self, sock: "SimulatedSocket", callback: Callback, *arguments: Any) -> None:
--- a/sloeferry/rehearsal/network.py
+++ b/sloeferry/rehearsal/network.py
@@ -38,12 +38,16 @@
         cross_zone_seconds: float = 0.001,
         client_extra_seconds: float = 0.0,
         jitter_ratio: float = 0.0,
-        split_odds: float = 0.0,
+        split_probability: float = 0.0,
     ):
-        """`client_extra_seconds` is added to and from clients' hosts; `split_odds` that what is sent comes in two pieces."""
+        """Build an empty network.
+
+        `client_extra_seconds` is added to the latency to and from clients' hosts; `split_probability` is the probability that
+        sent bytes arrive in two segments.
+        """
         self.scheduler = scheduler
         self.same_zone_seconds = same_zone_seconds
-        self.split_odds = split_odds
+        self.split_probability = split_probability
         self.hosts: dict[str, SimulatedHost] = {}  # by address
         self.listeners: dict[Address, SimulatedSocket] = {}
         self.sockets: dict[int, SimulatedSocket] = {}  # by descriptor
@@ -113,7 +117,7 @@
         far_end.peer = sock
         sock.peer = far_end
         far_end.local_address = address
-        far_end.remote_address = sock.process.host.ip, sock.take_port()
+        far_end.remote_address = sock.process.host.ip, sock.assign_port()
         return far_end
 
     # Carrying
--- a/sloeferry/rehearsal/proxy_faults.py
+++ b/sloeferry/rehearsal/proxy_faults.py
@@ -12,8 +12,8 @@
 
 if TYPE_CHECKING:
     from sloeferry.rehearsal.faults import Handlers
-    from sloeferry.rehearsal.play_environment import ProxyHandle
     from sloeferry.rehearsal.proxy_fleet import ProxyFleet
+    from sloeferry.rehearsal.run_environment import ProxyHandle
 
 QUIESCED_SECONDS = 4.0  # after which no client is left
 RESUMED_SECONDS = 2.0  # after which clients may come again
@@ -38,7 +38,7 @@
         }
 
     def _pick(self, fault: LastingFault, rng: Random) -> list["ProxyHandle"]:
-        return self._fleet.pick(fault.part, fault.zone, rng, self._fleet.proxies)
+        return self._fleet.sample_in_zone(fault.part, fault.zone, rng, self._fleet.proxies)
 
     def _crash(self, fault: scenario_faults.ProxyCrash, rng: Random) -> None:
         for proxy in self._pick(fault, rng):
--- a/sloeferry/rehearsal/proxy_fleet.py
+++ b/sloeferry/rehearsal/proxy_fleet.py
@@ -1,6 +1,6 @@
 """A play's proxies and all round them: backends, discovery, clients, connection balancer; addresses and configurations.
 
-The same in virtual time and in real time; `play_environment` says what differs between the two.
+The same in virtual time and in real time; `run_environment` says what differs between the two.
 """
 
 import math
@@ -11,8 +11,8 @@
 from sloeferry.rehearsal.arrivals import plan_requests
 from sloeferry.rehearsal.faults import FaultInjector
 from sloeferry.rehearsal.judge import Judge
-from sloeferry.rehearsal.play_environment import PlayEnvironment
 from sloeferry.rehearsal.record import make_record
+from sloeferry.rehearsal.run_environment import RunEnvironment
 from sloeferry.rehearsal.scenario import Scenario
 from sloeferry.rehearsal.scenario_tables import Backends
 from sloeferry.stand_ins import platform
@@ -24,8 +24,8 @@
 from sloeferry.stand_ins.rules import Rule
 from sloeferry.stand_ins.wire_protocol import ADMIN_PORT_OFFSET, BackendState
 
-LAST_ANSWER_SECONDS = 1.0  # beyond all tries of the last request
-TRY_MARGIN_MS = 2000  # beyond the deadline of each try
+LAST_RESPONSE_MARGIN_SECONDS = 1.0  # beyond all tries of the last request
+ATTEMPT_MARGIN_MS = 2000  # beyond the deadline of each try
 DISCOVERY_PORT_OFFSET = 500
 DEFAULT_IDLE_TIMEOUT_SECONDS = 30.0
 
@@ -82,7 +82,7 @@
 class ProxyFleet:
     """A scenario's proxies and all who stand round them."""
 
-    def __init__(self, scenario: Scenario, environment: PlayEnvironment, port: int = 8000):
+    def __init__(self, scenario: Scenario, environment: RunEnvironment, port: int = 8000):
         self.scenario = scenario
         self.environment = environment
         self.loop = environment.loop
@@ -94,14 +94,14 @@
         self._backend_count = 0
         zones = scenario.network.zones
         self.discovery = StandInDiscovery(
-            environment.place("roster", (loopback_address(DISCOVERY_BLOCK, 0), 0), zones[0]),
+            environment.event_loop_for("roster", (loopback_address(DISCOVERY_BLOCK, 0), 0), zones[0]),
             scenario.discovery,
             self.discovery_addresses(),
             self.judge,
             environment.rng("roster"),
         )
         self.backends = [self.make_backend(settings, zone) for settings, zone in plan_backends(scenario)]
-        balancer_loop = environment.place("front", (loopback_address(BALANCER_BLOCK, 0), 0), None)
+        balancer_loop = environment.event_loop_for("front", (loopback_address(BALANCER_BLOCK, 0), 0), None)
         self.balancer = ConnectionBalancer(balancer_loop, scenario.balancer, self.places)
         self.clients = [self._make_clients(index, zone) for index, zone in enumerate(zones)]
         self.proxies = [environment.make_proxy(self, index) for index in range(scenario.proxies.count)]
@@ -114,7 +114,7 @@
     def _make_clients(self, index: int, zone: str) -> StandInClients:
         zone_count = len(self.scenario.network.zones)
         planned = [request for request in self.judge.planned_requests if request.client % zone_count == index]
-        loop = self.environment.place(f"callers-{zone}", (loopback_address(CLIENTS_BLOCK, index), 0), None)
+        loop = self.environment.event_loop_for(f"callers-{zone}", (loopback_address(CLIENTS_BLOCK, index), 0), None)
         rng = self.environment.rng(f"callers-{zone}")
         return StandInClients(loop, self.scenario, zone, planned, self.balancer, self.judge, rng)
 
@@ -125,7 +125,7 @@
         address = loopback_address(BACKEND_BLOCK, index), self.port
         backend_id = make_backend_id(index)
         return StandInBackend(
-            self.environment.place(backend_id, address, zone),
+            self.environment.event_loop_for(backend_id, address, zone),
             settings,
             backend_id,
             address,
@@ -196,14 +196,14 @@
         )
 
     @staticmethod
-    def pick(part: float, zone: str, rng: Random, candidates: Sequence[Located]) -> list[Located]:
+    def sample_in_zone(ratio: float, zone: str, rng: Random, candidates: Sequence[Located]) -> list[Located]:
         """That part of those in a zone (everywhere if empty), by chance; at least one where any was asked for."""
         in_zone = [candidate for candidate in candidates if not zone or candidate.zone == zone]
-        return rng.sample(in_zone, min(len(in_zone), math.ceil(part * len(in_zone))))
+        return rng.sample(in_zone, min(len(in_zone), math.ceil(ratio * len(in_zone))))
 
     # The course of a play
 
-    async def open(self) -> None:
+    async def start_stand_ins(self) -> None:
         """Starts backends, warm ones, and discovery."""
         for backend in self.backends:
             await backend.start(is_warm=True)
@@ -217,7 +217,7 @@
             clients.begin(now)
         FaultInjector(self).begin(now)
 
-    def is_busy(self) -> bool:
+    def has_open_requests(self) -> bool:
         """Whether a client waits for an answer."""
         return any(clients.open_count for clients in self.clients)
 
@@ -227,8 +227,8 @@
             self.judge.violation(Rule.ONE_ANSWER, now, f"txn {request.number} had no end")
         return make_record(self.judge)
 
-    def last_request_seconds(self) -> float:
+    def last_request_timeout_seconds(self) -> float:
         """How long the last request may still take, with all its tries."""
         longest_ms = max(request_class.deadline_ms for request_class in self.scenario.request_classes)
-        try_count = 1 + self.scenario.clients.max_retries
-        return LAST_ANSWER_SECONDS + try_count * (longest_ms + TRY_MARGIN_MS) / 1000
+        attempt_count = 1 + self.scenario.clients.max_retries
+        return LAST_RESPONSE_MARGIN_SECONDS + attempt_count * (longest_ms + ATTEMPT_MARGIN_MS) / 1000
--- a/sloeferry/rehearsal/play_environment.py
+++ b/sloeferry/rehearsal/run_environment.py
@@ -11,11 +11,11 @@
     from sloeferry.rehearsal.proxy_fleet import ProxyFleet
 
 READY_TIMEOUT_SECONDS = 30.0  # until a play begins whoever is ready
-MAX_DRAIN_SECONDS = 3.7  # from SIGTERM to SIGKILL
-RESTART_SECONDS = 0.2  # from a planned end to the next start
+DRAIN_TIMEOUT_SECONDS = 3.7  # from SIGTERM to SIGKILL
+RESTART_DELAY_SECONDS = 0.2  # from a planned end to the next start
 
 
-class PlayEnvironment(Protocol):
+class RunEnvironment(Protocol):
     """Where the stand-ins run."""
 
     loop: asyncio.AbstractEventLoop  # of whoever carries out the faults
@@ -27,7 +27,7 @@
     def unix_time(self) -> float:
         """The wall clock, in seconds."""
 
-    def place(self, name: str, address: tuple[str, int], zone: str | None) -> asyncio.AbstractEventLoop:
+    def event_loop_for(self, name: str, address: tuple[str, int], zone: str | None) -> asyncio.AbstractEventLoop:
         """The loop of one who stands there."""
 
     def set_cut_off(self, address: tuple[str, int], is_cut_off: bool) -> None:
@@ -40,14 +40,14 @@
 class ProxyHandle(abc.ABC):
     """What a proxy has in either environment: its place, its configuration and its share of a core."""
 
-    def __init__(self, environment: PlayEnvironment, fleet: "ProxyFleet", index: int):
+    def __init__(self, environment: RunEnvironment, fleet: "ProxyFleet", index: int):
         self.environment = environment
         self.fleet = fleet
         self.index = index
         self.name, self.address, self.zone = fleet.places[index]
         self.config_path = pathlib.Path(environment.folder) / f"{self.name}.json"
         self.process: Any = None
-        self.is_leaving = False
+        self.is_restarting = False
         self.cpu_share = fleet.scenario.proxies.cpu_share
         self._seeds = environment.rng(f"proxy-{index}")
 
--- a/sloeferry/rehearsal/simulated_process.py
+++ b/sloeferry/rehearsal/simulated_process.py
@@ -1,7 +1,7 @@
 """A process in virtual time, which is an asyncio loop.
 
 The loop runs in passes, as a real one does: what is ready at its beginning, and no more.  What it does costs CPU time
-(`spend`); while that lasts nothing else of that process runs, and its clock goes on within the pass.
+(`spend_cpu`); while that lasts nothing else of that process runs, and its clock goes on within the pass.
 """
 
 import asyncio
@@ -56,7 +56,7 @@
         """As asyncio calls it."""
         return self.scheduler.now + self._cpu_seconds
 
-    def spend(self, kind: str) -> None:
+    def spend_cpu(self, kind: str) -> None:
         """A call of that kind takes its CPU time."""
         if kind in self.costs:
             self._cpu_seconds += self.costs[kind] / self.cpu_share
@@ -186,7 +186,7 @@
         except Exception as error:
             self.call_exception_handler({"message": "a call failed", "exception": error})
 
-    def call_incoming(self, callback: Callback) -> None:
+    def call_on_input(self, callback: Callback) -> None:
         """Something has come over the network: seen at the end of the next pass."""
         self._enqueue(self._incoming, Handle(callback, (), None))
 
--- a/sloeferry/rehearsal/simulated_socket.py
+++ b/sloeferry/rehearsal/simulated_socket.py
@@ -91,7 +91,7 @@
         self.check_open()
         if not self._backlog:
             raise WOULD_BLOCK
-        self.process.spend("accept")
+        self.process.spend_cpu("accept")
         sock = self._backlog.popleft()
         sock.is_established = True
         return sock, sock.remote_address
@@ -150,7 +150,7 @@
 
     def _send_in_pieces(self, data: bytes) -> None:
         network, rng = self.network, self.network.rng
-        while network.split_odds and len(data) > 1 and rng.random() < network.split_odds:
+        while network.split_probability and len(data) > 1 and rng.random() < network.split_probability:
             cut = rng.randrange(1, len(data))
             network.send(self, Segment.DATA, data[:cut], rng.random() * 2 * network.same_zone_seconds)
             data = data[cut:]
@@ -220,7 +220,7 @@
         self.network.send_connect(self, address)
         await self._connecting
 
-    def take_port(self) -> int:
+    def assign_port(self) -> int:
         """A port of its own at the near end of a connection."""
         self.local_address = self.process.host.ip, self.network.next_port()
         return self.local_address[1]
@@ -260,7 +260,7 @@
         self.error_number = errno.ECONNRESET
         if self._connecting and not self._connecting.done():
             self._connecting.set_exception(os_error(errno.ECONNRESET))
-        self.waiters.become_writable()
+        self.waiters.notify_writable()
         self.waiters.notify_readable()
 
     # Reading and writing
@@ -282,7 +282,7 @@
             return
         self.peer.unread_bytes -= count
         if self.peer.waiters.is_waiting_to_write():
-            self.network.scheduler.call_later(self.network.same_zone_seconds, self.peer.waiters.become_writable)
+            self.network.scheduler.call_later(self.network.same_zone_seconds, self.peer.waiters.notify_writable)
 
     def is_readable(self) -> bool:
         """Whether a read, or an accept, would not block."""
--- a/sloeferry/rehearsal/play.py
+++ b/sloeferry/rehearsal/simulation.py
@@ -14,8 +14,8 @@
 from sloeferry.lifecycle.proxy_process import serve
 from sloeferry.rehearsal import baselines
 from sloeferry.rehearsal.network import SimulatedHost, SimulatedNetwork
-from sloeferry.rehearsal.play_environment import MAX_DRAIN_SECONDS, READY_TIMEOUT_SECONDS, RESTART_SECONDS, ProxyHandle
 from sloeferry.rehearsal.proxy_fleet import ProxyFleet
+from sloeferry.rehearsal.run_environment import DRAIN_TIMEOUT_SECONDS, READY_TIMEOUT_SECONDS, RESTART_DELAY_SECONDS, ProxyHandle
 from sloeferry.rehearsal.scenario import Scenario, start_of_clock
 from sloeferry.rehearsal.simulated_epoll import SimulatedEpoll
 from sloeferry.rehearsal.simulated_process import SimulatedProcess
@@ -33,7 +33,7 @@
 
 
 class VirtualEnvironment:
-    """A `PlayEnvironment` in virtual time."""
+    """A `RunEnvironment` in virtual time."""
 
     def __init__(self, scenario: Scenario, seed: int, folder: str, policy: str, environment_seed: int):
         unix_start = start_of_clock(scenario.clock) if scenario.clock else DEFAULT_UNIX_START
@@ -57,16 +57,16 @@
         """The machine with that address."""
         return self.network.hosts.get(address[0]) or SimulatedHost(self.network, address[0], zone)
 
-    def place(self, name: str, address: tuple[str, int], zone: str | None) -> SimulatedProcess:
-        """See PlayEnvironment."""
+    def event_loop_for(self, name: str, address: tuple[str, int], zone: str | None) -> SimulatedProcess:
+        """See RunEnvironment."""
         return SimulatedProcess(self.scheduler, self.host(address, zone), name)
 
     def set_cut_off(self, address: tuple[str, int], is_cut_off: bool) -> None:
-        """See PlayEnvironment."""
+        """See RunEnvironment."""
         self.network.hosts[address[0]].is_cut_off = is_cut_off
 
     def make_proxy(self, fleet: ProxyFleet, index: int) -> "SimulatedProxy":
-        """See PlayEnvironment."""
+        """See RunEnvironment."""
         return SimulatedProxy(self, fleet, index)
 
 
@@ -87,7 +87,7 @@
         if self.process and not self.process.is_dead:
             return
         self.write_config()
-        self.is_leaving = False
+        self.is_restarting = False
         host = self.environment.host(self.address, self.zone)
         self.process = SimulatedProcess(self._scheduler, host, self.name, self._costs)
         self.process.cpu_share = self.cpu_share
@@ -101,8 +101,8 @@
         """It ended by itself: as it was told to, or not."""
         if process is not self.process:
             return
-        if self.is_leaving:
-            self._scheduler.call_later(RESTART_SECONDS, self.start)
+        if self.is_restarting:
+            self._scheduler.call_later(RESTART_DELAY_SECONDS, self.start)
         else:
             self._ended_for_clients()
             self.fleet.judge.proxy_crashed(self.name, self._scheduler.now, process.exit_reason)
@@ -120,13 +120,13 @@
 
     def restart(self) -> None:
         """See ProxyHandle."""
-        if self.process.is_dead or self.is_leaving:
+        if self.process.is_dead or self.is_restarting:
             return
         process = self.process
-        self.is_leaving = True
+        self.is_restarting = True
         process.send_signal(signal.SIGTERM)
         self.fleet.balancer.proxy_ended(self.name, self.fleet.scenario.balancer.drain_notice_seconds)
-        self._scheduler.call_later(MAX_DRAIN_SECONDS, self._drain_overdue, process)
+        self._scheduler.call_later(DRAIN_TIMEOUT_SECONDS, self._drain_overdue, process)
 
     def _drain_overdue(self, process: SimulatedProcess) -> None:
         if not process.is_dead and process is self.process:
@@ -168,9 +168,9 @@
 
 
 @contextlib.contextmanager
-def proxies_run_in(play_environment: VirtualEnvironment, log: LogCounter) -> Iterator[None]:
+def proxies_run_in(run_environment: VirtualEnvironment, log: LogCounter) -> Iterator[None]:
     """Has the proxies' code use the simulated clock and network, and log to `log`, for as long as the play lasts."""
-    scheduler, network = play_environment.scheduler, play_environment.network
+    scheduler, network = run_environment.scheduler, run_environment.network
     logger.remove()
     logger.add(log, level="INFO", format="{message}", catch=False)
     before = environment.replace(
@@ -189,7 +189,7 @@
         logger.add(sys.stderr, level="WARNING")
 
 
-def play(
+def simulate(
     scenario: Scenario,
     seed: int,
     policy: str = baselines.DESIGN,
@@ -203,9 +203,9 @@
     """
     log = LogCounter(show_line)
     with tempfile.TemporaryDirectory(prefix="rehearsal-") as folder:
-        play_environment = VirtualEnvironment(scenario, seed, folder, policy, environment_seed)
-        with proxies_run_in(play_environment, log):
-            record = _play_in(play_environment, scenario, progress)
+        run_environment = VirtualEnvironment(scenario, seed, folder, policy, environment_seed)
+        with proxies_run_in(run_environment, log):
+            record = _play_in(run_environment, scenario, progress)
     record["seed"] = seed
     record["policy"] = policy
     record["chance"] = environment_seed
@@ -213,10 +213,10 @@
     return record
 
 
-def _play_in(play_environment: VirtualEnvironment, scenario: Scenario, progress: Progress | None) -> dict[str, Any]:
-    scheduler = play_environment.scheduler
-    fleet = ProxyFleet(scenario, play_environment)
-    play_environment.loop.create_task(fleet.open())
+def _play_in(run_environment: VirtualEnvironment, scenario: Scenario, progress: Progress | None) -> dict[str, Any]:
+    scheduler = run_environment.scheduler
+    fleet = ProxyFleet(scenario, run_environment)
+    run_environment.loop.create_task(fleet.start_stand_ins())
     scheduler.run(scheduler.now + LOOK_SECONDS)
     for proxy in fleet.proxies:
         proxy.start()
@@ -224,8 +224,8 @@
     began_at = scheduler.now
     fleet.begin(began_at)
     ends_at = began_at + scenario.seconds
-    latest_end = ends_at + fleet.last_request_seconds()
-    while scheduler.now < ends_at or fleet.is_busy() and scheduler.now < latest_end:
+    latest_end = ends_at + fleet.last_request_timeout_seconds()
+    while scheduler.now < ends_at or fleet.has_open_requests() and scheduler.now < latest_end:
         scheduler.run(min(scheduler.now + 1.0, latest_end))
         if progress:
             progress(scheduler.now - began_at, fleet)
@@ -234,7 +234,7 @@
     record["world"] = {
         "seconds": round(scheduler.now - began_at, 6),
         "events": scheduler.event_count,
-        "bytes": play_environment.network.bytes_delivered,
+        "bytes": run_environment.network.bytes_delivered,
     }
     return record
 
--- a/sloeferry/rehearsal/socket_waiters.py
+++ b/sloeferry/rehearsal/socket_waiters.py
@@ -27,7 +27,7 @@
             self.epoll.became_readable(self._sock)  # the kernel's own, which needs no process
         if not self._is_notifying and (self._readable is not None or self._watcher):
             self._is_notifying = True
-            self._sock.process.call_incoming(self._tell_reader)
+            self._sock.process.call_on_input(self._tell_reader)
 
     def _tell_reader(self) -> None:
         self._is_notifying = False
@@ -70,7 +70,7 @@
         """Whether somebody waits until it takes more."""
         return self._writable is not None
 
-    def become_writable(self) -> None:
+    def notify_writable(self) -> None:
         """It takes more: whoever waits for that is told."""
         writable = self._writable
         self._writable = None
--- a/tests/decision_log/test_decision_log.py
+++ b/tests/decision_log/test_decision_log.py
@@ -20,7 +20,7 @@
 
 def described(log: DecisionLog, event: str, now: float) -> list[str]:
     """What the log holds, and what was done under each version."""
-    current, acted = log.current(now), log.acted_within(now, ALL_TIME_MS)
+    current, acted = log.current(now), log.recent_entries(now, ALL_TIME_MS)
     lines = [f"{now:6.0f}  {event}: confirmed {current['confirmed_ms']} ms ago, {current['open']} open"]
     for kind in ("settings", "lists"):
         lines += [f"          {kind[:4]} {entry}" for entry in acted[kind]]
@@ -53,7 +53,7 @@
     lines += described(log, "the count goes back: lost, or a replica that lags", 120.0)
     log.list_applied(130.0, 7, "l-d", "discovery")
     lines += described(log, "one revision that says two things", 140.0)
-    lines.append(f"of the last 15 ms: {[entry['revision'] for entry in log.acted_within(140.0, 15.0)['lists']]}")
+    lines.append(f"of the last 15 ms: {[entry['revision'] for entry in log.recent_entries(140.0, 15.0)['lists']]}")
     golden.check(lines, "versions_ledger")
 
 
@@ -95,8 +95,8 @@
     assert len(log.refusals) <= MAX_ENTRIES
     assert sum(not entry.open_requests for entry in log.settings) <= MAX_ENTRIES
     if not log.dropped:
-        assert sum(entry.acts for entry in log.settings) == taken
-        assert sum(entry.acts for entry in log.lists) == sent
+        assert sum(entry.action_count for entry in log.settings) == taken
+        assert sum(entry.action_count for entry in log.lists) == sent
     generations = [entry.version.generation for entry in log.settings]
     assert generations == sorted(generations)
 
@@ -111,4 +111,4 @@
         log.list_applied(float(number), number, str(number), "discovery")
     assert (len(log.settings), len(log.lists)) == (MAX_ENTRIES, MAX_ENTRIES)
     assert (log.settings[0].version.generation, log.settings[-1].version.generation) == (1, 1001)
-    assert len(json.dumps(log.acted_within(2000.0, ALL_TIME_MS))) < 60_000
+    assert len(json.dumps(log.recent_entries(2000.0, ALL_TIME_MS))) < 60_000
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -29,7 +29,7 @@
 from sloeferry.policy.interface import EndpointState
 from sloeferry.policy.safety_rules import SafetyRules
 from sloeferry.policy.slow_start import SlowStart
-from sloeferry.rehearsal import judge, live, play
+from sloeferry.rehearsal import judge, live, simulation
 from sloeferry.rehearsal import scenario as s
 from sloeferry.rehearsal.arrivals import plan_requests
 from sloeferry.rehearsal.cli import rehearse
@@ -176,7 +176,7 @@
     def test_bytes(self, sizes, pieces, room, seed):
         """Whatever the pieces and the reader's room, what arrives is what was sent, in order, and no more than
         a window of it is ever under way."""
-        quay, got, most = Quay(seed, split_odds=pieces, jitter_ratio=0.5), bytearray(), 0
+        quay, got, most = Quay(seed, split_probability=pieces, jitter_ratio=0.5), bytearray(), 0
         sent = b"".join(bytes([at % 251]) * size for at, size in enumerate(sizes, 1))
 
         async def give():
@@ -234,7 +234,7 @@
         async def course():
             quay.say("begins")
             quay.here.call_later(0.1, quay.say, "due at 100 ms, while it works")
-            quay.here.spend("read")
+            quay.here.spend_cpu("read")
             quay.say("has worked for 250 ms")
             await asyncio.sleep(1)
             quay.say("slept for a second")
@@ -345,8 +345,8 @@
 
 class Plays(unittest.TestCase):
     RUN = (
-        "import json, sys; from sloeferry.rehearsal import play, scenario as s; "
-        "print(json.dumps(play.play(s.read(sys.argv[1]), int(sys.argv[2])), sort_keys=True))"
+        "import json, sys; from sloeferry.rehearsal import scenario as s, simulation; "
+        "print(json.dumps(simulation.simulate(s.read(sys.argv[1]), int(sys.argv[2])), sort_keys=True))"
     )
 
     def start(self, seed, hashes):
@@ -389,7 +389,7 @@
     def test_day_ends(self):
         """A calendar day that ends in the middle changes nothing: times are monotonic."""
         plain, late = (
-            play.play(squall(lines=[("seconds = 9", f'seconds = 3\nclock = "2026-12-31T{clock}Z"'), *EARLY]), 5)
+            simulation.simulate(squall(lines=[("seconds = 9", f'seconds = 3\nclock = "2026-12-31T{clock}Z"'), *EARLY]), 5)
             for clock in ("12:00:00", "23:59:58")
         )
         self.assertEqual(plain, late)
@@ -397,7 +397,7 @@
     def test_other_luck(self):
         """Another draw of chance on the same day: the same txns are asked, other things come of them."""
         told = squall(lines=[("seconds = 9", "seconds = 3"), *EARLY])
-        one, other = (play.play(told, 5, environment_seed=environment_seed) for environment_seed in (0, 1))
+        one, other = (simulation.simulate(told, 5, environment_seed=environment_seed) for environment_seed in (0, 1))
         self.assertEqual(one["txns"]["asked"], other["txns"]["asked"])
         self.assertEqual([w["asked"] for w in one["windows"]], [w["asked"] for w in other["windows"]])
         self.assertNotEqual(one["world"], other["world"])
@@ -406,7 +406,7 @@
         """Answers, time-outs and drains within one millisecond: one answer each, nothing twice, nothing after."""
         hows = {}
         for seed in range(6):
-            record = play.play(s.read(HERE / "instant.toml"), seed)
+            record = simulation.simulate(s.read(HERE / "instant.toml"), seed)
             self.assertEqual((record["breaches"], record["faults"]), ([], []))
             for how, count in record["txns"].items():
                 hows[how] = hows.get(how, 0) + count
@@ -415,7 +415,7 @@
     def test_live(self):
         """A short play with real daemons ends, with every txn counted; how it went is the machine's affair."""
         told = squall(lines=[("seconds = 9", "seconds = 2"), ("proxies = 3", "proxies = 2"), ("[[9, 70]]", "[[2, 30]]"), *EARLY])
-        record = live.play(told, 1)
+        record = live.run_live(told, 1)
         self.assertEqual(record["txns"]["asked"], len(plan_requests(told, live.LiveEnvironment(None, 1, "").rng("arrivals"))))
         self.assertEqual(record["rules"]["crash"], 0)
 
@@ -433,7 +433,7 @@
     COLD = [("[[9, 70]]", "[[9, 130]]"), ("cold_from = 0.2", "cold_from = 0.03")]
 
     def broken(self, told=None, seed=2, policy="design"):
-        record = play.play(told or squall(), seed, policy)
+        record = simulation.simulate(told or squall(), seed, policy)
         return {rule: count for rule, count in record["rules"].items() if count}, record["breaches"]
 
     def test_innocent(self):
@@ -500,7 +500,7 @@
                 posted(judged, node, zone, ident, since)
 
             with mock.patch.object(judge.Judge, "attempt_received", noted):
-                play.play(told, 2)
+                simulation.simulate(told, 2)
             return len(found), sum(found)
 
         of, late = sent_on()
@@ -512,7 +512,7 @@
     def test_untold(self):
         """A cold node falls over, whoever sent to it; rule 4 is broken by those who could know that it was cold."""
         told = s.read(HERE / "untold.toml")
-        record = play.play(told, 3)
+        record = simulation.simulate(told, 3)
         self.assertEqual((record["breaches"], record["nodes"]["fell"]), ([], 1))
         at_once = s.parse((HERE / "untold.toml").read_text().replace("add_s = 2", "add_s = 0"))
         with mock.patch.object(SlowStart, "may_send", lambda *_: True):
@@ -540,9 +540,9 @@
             message.body_bytes += len(name) + len(value) + 4
 
         told = s.read("quiesce")
-        self.assertGreater(play.play(told, 2, "design")["service"]["worst_scheme"], 0.95)
+        self.assertGreater(simulation.simulate(told, 2, "design")["service"]["worst_scheme"], 0.95)
         with mock.patch.object(MessageFraming, "on_header", on_header):  # nodes wait for bytes that never come
-            self.assertLess(play.play(told, 2, "design")["service"]["worst_scheme"], 0.8)
+            self.assertLess(simulation.simulate(told, 2, "design")["service"]["worst_scheme"], 0.8)
 
     def test_sent_twice(self):
         """A body that flowed is taken for a new request once its last byte has come, as it once was."""
