--- a/sloeferry/network/admission_queue.py
+++ b/sloeferry/network/admission_queue.py
@@ -1,10 +1,11 @@
-"""Where clients' connections wait while requests are shed: nothing is read from them, but it is known which have a request.
+"""Queues client connections during load shedding: they are not read, but it is known which have a pending request.
 
-One epoll of its own tells that, and since when, for all of them in a call; asyncio's sock_recv_into takes four epoll_ctl for
-each request, a third of what rejecting one may cost.  Of those with a request the newest go on when there is room, for they
-have most of their time left; the oldest are rejected, within the part of the time that rejecting may take.  A request that is
-to be rejected and is there already is read here by a plain recv_into, the one exception from asyncio's calls: it happens while
-requests are shed, and only where epoll has said that bytes wait.
+A separate epoll instance reports all readable connections in one call. asyncio's sock_recv_into would need four epoll_ctl calls
+for each request, a third of what rejecting one may cost. The queue is last in, first out: the newest requests are admitted when
+there is room, because they have the most time left; the oldest are rejected, within the share of time that rejecting may take.
+
+A request to be rejected is read here with a plain recv_into. It is the only read that bypasses asyncio, and it happens only
+during load shedding and after epoll has reported the socket as readable.
 """
 
 import asyncio
@@ -22,13 +23,13 @@
 if TYPE_CHECKING:
     from sloeferry.network.client_connection import ClientConnection
 
-POLL_INTERVAL_SECONDS = 0.003  # between two looks
+POLL_INTERVAL_SECONDS = 0.003
 MAX_EVENTS_PER_POLL = 512
 ONE_SHOT_READ = select.EPOLLIN | select.EPOLLONESHOT
 
 
 class AdmissionQueue:
-    """Parked connections by descriptor; `waiting` holds those with a request, the newest last."""
+    """Parked connections by descriptor; `waiting` lists those with a pending request, newest last."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, overload: OverloadController, buffers: BufferPool):
         self._loop = loop
@@ -36,11 +37,11 @@
         self._buffers = buffers
         self._epoll: select.epoll | None = None
         self._parked: dict[int, tuple[ClientConnection, asyncio.Future]] = {}
-        self.waiting: deque[tuple[float, int]] = deque()  # (since, descriptor)
+        self.waiting: deque[tuple[float, int]] = deque()  # (time of arrival in seconds, descriptor)
         self._timer: asyncio.TimerHandle | None = None
 
     def park(self, connection: "ClientConnection") -> asyncio.Future:
-        """A future that is done once this connection may read."""
+        """Return a future that is done once this connection may be read."""
         if self._epoll is None:
             self._epoll = environment.epoll()
         fd, admitted = connection.sock.fileno(), self._loop.create_future()
@@ -55,7 +56,7 @@
         return admitted
 
     def remove(self, connection: "ClientConnection") -> None:
-        """A connection ends: closing its socket takes it out of the epoll."""
+        """Remove a connection that is closing; closing its socket removes it from the epoll set."""
         found = self._parked.get(connection.sock.fileno())
         if found and found[0] is connection:
             del self._parked[connection.sock.fileno()]
@@ -65,12 +66,12 @@
         self._timer = None
         try:
             self.process_ready(environment.monotonic())
-        finally:  # whatever fails, nobody waits here for ever
+        finally:  # even after an error, parked connections must not wait forever
             if self._parked and self._timer is None:
                 self._timer = self._loop.call_later(POLL_INTERVAL_SECONDS, self._poll)
 
     def process_ready(self, now: float) -> None:
-        """Who has a request, who may go on, who is rejected; `now` in seconds."""
+        """Find connections with a request, admit or reject them; `now` is in seconds."""
         for fd, _ in self._epoll.poll(0, MAX_EVENTS_PER_POLL):
             if fd in self._parked:
                 self.waiting.append((now, fd))
@@ -79,10 +80,10 @@
             self._admit_all()
             return
         places = overload.free_places()
-        while waiting and places > 0:  # counted down here: those admitted are taken on only once they are read
+        while waiting and places > 0:  # counted here: an admitted request counts as open only once it is read
             places -= self._admit(waiting.pop()[1])
         while waiting and waiting[0][0] < now - overload.queue_patience_ms / 1000:
-            # Rule 1: whatever rejecting may cost, nobody is left without an answer until its deadline.
+            # Safety rule 1: no client is left unanswered until its deadline, even if the rejection budget is used up.
             has_waited_longest = waiting[0][0] <= now - overload.max_wait_ms / 1000
             if not overload.may_reject(now * 1000) and not has_waited_longest:
                 break
@@ -95,7 +96,7 @@
             self._admit(fd)
 
     def _admit(self, fd: int) -> int:
-        """Lets the connection read on; how many were admitted: 1, or 0 if it is gone."""
+        """Let the connection be read; return the number admitted: 1, or 0 if it has closed."""
         _, admitted = self._parked.pop(fd, (None, None))
         if admitted and not admitted.done():
             admitted.set_result(None)
@@ -103,7 +104,7 @@
         return 0
 
     def _reject(self, fd: int) -> None:
-        """Rejects what waits there, or lets it go on where that cannot be done in two calls."""
+        """Reject the pending request with one read and one write; admit the connection where that is not possible."""
         connection, _ = self._parked.get(fd, (None, None))
         if connection is None:
             return
@@ -117,10 +118,10 @@
                     connection.waiting_since, connection.is_new = environment.monotonic(), False
                     self._epoll.modify(fd, ONE_SHOT_READ)
                     return
-                length = 0  # it takes nothing more: it ends as one that has closed
+                length = 0  # the send buffer is full: treat the connection as closed by its client
             connection.stream.feed(buffer, length)
         except (BlockingIOError, InterruptedError):
-            pass  # nothing there after all: it reads as ever
+            pass  # no bytes to read after all: the connection is read in the usual way
         except OSError:
             connection.stream.fault = StreamEnd.CLOSED
         finally:
--- a/sloeferry/network/reply_writer.py
+++ b/sloeferry/network/reply_writer.py
@@ -1,4 +1,4 @@
-"""Writes the replies of a client's connection."""
+"""Writes the replies of a client connection."""
 
 import asyncio
 import socket
@@ -15,38 +15,38 @@
 if TYPE_CHECKING:
     from sloeferry.network.client_connection import ClientConnection
 
-# A refused sender has so long, and so many reads, to read why.
+# Limits of a lingering close, during which the client can read the reply.
 LINGERING_CLOSE_SECONDS, LINGERING_CLOSE_READS = 0.5, 16
-MAX_LINGERING_CLOSE_RATIO = 1 / 8  # of the budget's places, that may be held by lingering closes
+MAX_LINGERING_CLOSE_RATIO = 1 / 8  # of the descriptor budget
 
 
 class ReplyWriter:
-    """The sending side of a client's connection."""
+    """The sending side of a client connection."""
 
     def __init__(self, connection: "ClientConnection"):
         self._connection = connection
         self._server = connection.server
-        self.response_body: ResponseBodyStream | None = None  # of a response, on its way
+        self.response_body: ResponseBodyStream | None = None  # of a response being forwarded
         self._has_used_lingering_close = False
 
     async def reply(self, message: Message, reply: Reply, keep_alive: bool) -> bool:
-        """Writes the reply to a request; whether another request may follow."""
-        if 400 <= reply.status < 500:  # whoever asks so once does it again: not on a connection that is kept
+        """Write the reply to a request; return whether another request may follow."""
+        if 400 <= reply.status < 500:  # a client that sends one bad request tends to send more: close the connection
             return await self.refuse(reply.status)
         if isinstance(reply.body, ResponseBodyStream):
             keep_alive = await self._forward(message, reply, reply.body, keep_alive)
         else:
             await self._connection.send(writer.response(reply.status, reply.body, reply.headers, keep_alive))
         if not message.is_complete:
-            await self.lingering_close()  # answered before all of its body had come
+            await self.lingering_close()  # answered before all of the request's body arrived
         self._connection.mark_idle()
         return keep_alive
 
     async def _forward(self, message: Message, reply: Reply, body: ResponseBodyStream, keep_alive: bool) -> bool:
-        """Sends a response as it comes; whether another request may follow.
+        """Forward a response while it is received; return whether another request may follow.
 
-        Where its backend breaks off the client can tell: the connection ends before the length that was said, or without
-        the last chunk; to one that knows neither it is reset.
+        If the backend connection breaks, the client can detect the truncation: the connection ends before the announced length
+        or without the last chunk. Where the response has no framing, the connection is reset.
         """
         self.response_body, framing = body, body.framing(message.is_http10)
         keep_alive = keep_alive and bool(framing)
@@ -65,7 +65,7 @@
             body.close()
 
     async def reject(self, delay_ms: float, keep_alive: bool = True) -> bool:
-        """Replies that a request is rejected before it was taken on; whether another request may follow."""
+        """Reply that a request is rejected before it was accepted; return whether another request may follow."""
         self._connection.is_new = False
         reply = client_replies.rejection_reply(delay_ms)
         await self._connection.send(writer.response(reply.status, headers=reply.headers, keep_alive=keep_alive))
@@ -73,7 +73,7 @@
         return keep_alive
 
     async def refuse(self, status: int | None) -> bool:
-        """The last word to one that cannot be read or is not wanted; nothing of what it sent goes on."""
+        """Reply with an error status to input that is not forwarded, then close; always return False."""
         if status:
             stream = self._connection.stream
             message, fault = stream.message, stream.fault
@@ -91,10 +91,10 @@
         return False
 
     async def lingering_close(self) -> None:
-        """Reads on for a while: closed over unread bytes, a socket resets, and the reply is lost with it.
+        """Half-close the socket and read on for a short time before it is closed.
 
-        Few at a time do so, and not for long: they hold places of the budget, and one with 60 MB to send would take the time
-        of all others.
+        Closing a socket with unread bytes resets the connection, and the reply would be lost. The number of lingering closes
+        and their duration are limited: each holds a descriptor, and a client that has 60 MB left to send would delay all others.
         """
         server, sock = self._server, self._connection.sock
         if self._has_used_lingering_close or server.lingering_close_count >= int(server.budget.limit * MAX_LINGERING_CLOSE_RATIO):
--- a/sloeferry/network/request_intake.py
+++ b/sloeferry/network/request_intake.py
@@ -1,4 +1,4 @@
-"""What a client's request has to be, to be taken on: its head against the settings, and how much time it has left."""
+"""Validates the heads of client requests against the settings and accepts requests for dispatch."""
 
 import contextlib
 import re
@@ -15,7 +15,7 @@
 METHODS = (b"GET", b"POST", b"PUT", b"PATCH", b"DELETE")
 MAX_NUMBER_DIGITS = 9
 MIN_TIME_LEFT_MS = 1.0
-# A complete request in its plainest form, which may be rejected unparsed; whatever else comes is parsed first.
+# A complete request in a plain form that may be rejected unparsed; any other input is parsed first.
 PLAIN_REQUEST = re.compile(rb"(?:GET|POST) /[!-~]* HTTP/1\.1\r\n(?:[!#-'*+.0-9A-Z^-z|~-]+:[\t -~]*\r\n)+\r\n")
 PLAIN_HEADERS = (
     protocol.REQUEST_CLASS,
@@ -24,17 +24,17 @@
     protocol.TIME_LEFT_MS,
     b"content-length",
 )
-PARSER_ONLY_HEADERS = (b"transfer-encoding", b"expect", b"connection")  # for the parser to judge
+PARSER_ONLY_HEADERS = (b"transfer-encoding", b"expect", b"connection")  # a request with one of these is always parsed
 _RELEVANT_HEADER = re.compile(
     rb"(?i)\r\n(" + b"|".join((*PLAIN_HEADERS, *PARSER_ONLY_HEADERS)) + rb"):[ \t]*([^\r]*?)[ \t]*(?=\r\n)"
 )
-_AFFINITY_KEY = re.compile(rb"(?:^|,)[ \t]*entity=([!-+.-~]{1,64})[ \t]*(?=,|$)")  # any short word
+_AFFINITY_KEY = re.compile(rb"(?:^|,)[ \t]*entity=([!-+.-~]{1,64})[ \t]*(?=,|$)")
 
 
 def encoded_names(indexes: Mapping[str, int]) -> dict[bytes, int]:
-    """Names as clients may write them in a header: in UTF-8 or, as HTTP once had it, in Latin-1.
+    """Return the indexes by name as encoded in a header: in UTF-8 or, as in older versions of HTTP, in Latin-1.
 
-    No other spelling: by one sign for all letters that Latin-1 lacks two classes would be one.
+    A name that Latin-1 cannot encode has its UTF-8 form only: with a replacement character, two names could become the same.
     """
     latin = {}
     for name, index in indexes.items():
@@ -44,18 +44,19 @@
 
 
 class RequestIntake:
-    """Checks heads, and takes requests on."""
+    """Validates request heads, rejects requests during load shedding and accepts the others."""
 
     def __init__(self, dispatcher: Dispatcher, lifecycle: Lifecycle, settings: Settings):
         self._dispatcher = dispatcher
         self._lifecycle = lifecycle
-        # Admitted before it was parsed, and so not asked for again: set and used within one receive, without an await between.
+        # The request being parsed was admitted unparsed and is not checked again. Set and used within one receive, without an
+        # await in between.
         self._was_admitted_unparsed = False
-        self.answer_by_ms = float("inf")  # ms; whatever is taken on has its answer by then
+        self.answer_by_ms = float("inf")  # time by which each accepted request has to be answered
         self.update(settings)
 
     def update(self, settings: Settings) -> None:
-        """The settings, at the start and as they are from now on."""
+        """Apply the settings, at startup and on each reload."""
         self._classes = encoded_names(settings.class_indexes())
         self._tenants = encoded_names(settings.tenant_indexes())
         classes = settings.request_classes
@@ -65,14 +66,14 @@
         self._tells_retry_after = settings.limits.tells_retry_after
 
     def longest_deadline_ms(self) -> float:
-        """Of all request classes."""
+        """Return the longest deadline of all request classes."""
         return max(self._deadline_ms.values())
 
     def recheck(self, message: Message) -> None:
-        """A head that was read under former settings and is not taken yet.
+        """Validate a head again that was read under previous settings and is not accepted yet.
 
-        Its class may be gone, or want a key that the client had no cause to send.  Rejected unsent, it may be asked anew
-        (rule 2).
+        Its class may have been removed, or may now require an idempotency key that the client had no reason to send. It is
+        rejected without having been sent, so the client may retry it (safety rule 2).
         """
         if message.attributes and not self.accepts_head(message):
             message.rejection_delay_ms = message.attributes.time_left_ms if self._tells_retry_after else 0.0
@@ -80,9 +81,9 @@
     # Heads
 
     def accepts_head(self, message: Message) -> bool:
-        """Whether a head is that of a request which can be taken on, or of one to /ready.
+        """Return whether a head is that of a valid request or of one to /ready.
 
-        Notes on the message what it is (`target`) and, while requests are shed, whether it is rejected.
+        Sets the message's `attributes` and, during load shedding, its `rejection_delay_ms`.
         """
         was_admitted, self._was_admitted_unparsed = self._was_admitted_unparsed, False
         if message.method not in METHODS:
@@ -100,7 +101,7 @@
         return True
 
     def _attributes(self, headers: Mapping[bytes, bytes | None]) -> RequestAttributes | None:
-        """The class, tenant and time left that a head names; None if it does not."""
+        """Return the class, tenant and time left that a head names; None if one is missing or invalid."""
         class_index = self._classes.get(headers.get(protocol.REQUEST_CLASS))
         tenant_index = self._tenant_index(headers.get(protocol.TENANT))
         time_left = headers.get(protocol.TIME_LEFT_MS) or b""
@@ -111,19 +112,19 @@
         return RequestAttributes(class_index, tenant_index, min(float(time_left), self._deadline_ms[class_index]))
 
     def _tenant_index(self, name: bytes | None) -> int | None:
-        """The tenant of that name; the only one there is, whatever it is called, where none are named."""
+        """Return the index of the tenant of that name; 0 for any name where the settings list no tenants."""
         return self._tenants.get(name) if self._tenants else 0
 
     # Rejections
 
     def rejection_delay_ms(self, message: Message, has_waited: bool = False) -> float | None:
-        """The Retry-After with which a request is rejected before it is taken on; None if it is not."""
+        """Return the Retry-After with which a request is rejected before it is accepted; None if it is not rejected."""
         class_index, tenant_index, _ = message.attributes
         is_retry = message.header(protocol.IS_RETRY) == protocol.TRUE
         return self._dispatcher.rejection_delay_ms(class_index, tenant_index, is_retry, has_waited)
 
     def unparsed_rejection_delay_ms(self, buffer: bytearray, length: int, has_waited: bool = False) -> float | None:
-        """The same before anything is parsed, while requests are shed: for a complete request in its plainest form."""
+        """Return the same for unparsed bytes; None also if load is not shed or they are not one complete plain request."""
         if not self._dispatcher.overload.is_shedding() or self._lifecycle.is_stopping:
             return None
         headers = _plain_headers(bytes(memoryview(buffer)[:length]))
@@ -139,13 +140,13 @@
             self._was_admitted_unparsed = True
         return delay_ms
 
-    # Taking on
+    # Acceptance
 
     def accept(self, message: Message, unread_ms: float = 0.0) -> RequestContext:
-        """Takes a request on; `unread_ms`: for how long it lay unread while this program stood still."""
+        """Accept a request for dispatch; `unread_ms` is how long it waited unread while the event loop was stalled."""
         class_index, tenant_index, time_left_ms = message.attributes
         time_left_ms -= unread_ms
-        if message.is_complete:  # one read ahead of its turn has waited here already
+        if message.is_complete:  # a pipelined request has waited since it was read
             time_left_ms -= (environment.monotonic() - message.completed_at) * 1000
         key = None
         if self._has_affinity_keys:
@@ -159,16 +160,16 @@
         )
 
     def cap_time_left_ms(self, time_left_ms: float) -> float:
-        """Of so many ms from now those in which a request has to be answered.
+        """Return the time left to answer a request, limited during shutdown.
 
-        Of one whose last byte comes late after SIGTERM the time may last longer than this process: SIGKILL would find it
-        unanswered (rule 1).
+        The deadline of a request whose last byte arrives late after SIGTERM may be later than SIGKILL, which would leave the
+        request unanswered (safety rule 1).
         """
         return max(MIN_TIME_LEFT_MS, min(time_left_ms, self.answer_by_ms - environment.monotonic_ms()))
 
 
 def _plain_headers(data: bytes) -> dict[bytes, bytes] | None:
-    """The headers that a rejection needs, of one complete request in its plainest form; None if the data is no such."""
+    """Return the headers that a rejection needs; None if the data is not exactly one complete plain request."""
     head = PLAIN_REQUEST.match(data)
     if not head:
         return None
@@ -176,7 +177,7 @@
     for name, value in _RELEVANT_HEADER.findall(data, 0, head.end() - 2):
         name = name.lower()
         if name in headers or name in PARSER_ONLY_HEADERS:
-            return None  # given twice, or framed otherwise
+            return None  # repeated, or to be parsed
         headers[name] = value
     length = headers.get(b"content-length", b"0")
     if not length.isdigit() or len(length) > MAX_NUMBER_DIGITS or head.end() + int(length) != len(data):
--- a/sloeferry/network/request_reader.py
+++ b/sloeferry/network/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads one request after the other from a client's connection."""
+"""Reads the requests of a client connection one at a time."""
 
 import asyncio
 import enum
@@ -15,15 +15,15 @@
 
 
 class ReadOutcome(enum.Enum):
-    """What reading came to."""
+    """The result of reading from a client connection."""
 
-    REQUEST = "a request, or what is none"
+    REQUEST = "a request or invalid input"
     REJECTED = "rejected unparsed"
     CLOSING = "no further request is read"
 
 
 class RequestReader:
-    """The receiving side of a client's connection."""
+    """The receiving side of a client connection."""
 
     def __init__(self, connection: "ClientConnection"):
         server = connection.server
@@ -40,14 +40,14 @@
         self.is_reading = False
         self._is_overdue = False
         self.rejection_delay_ms = 0.0  # of the last request that was rejected unparsed
-        self.queued_since_ms: float | None = None  # ms; since when it may have waited, with others, to be let in
-        self.unread_ms = 0.0  # for how long what it sent lay unread while this program stood still
-        self.receiving_body_since: float | None = None  # seconds; the sweeper looks at it
+        self.queued_since_ms: float | None = None  # earliest time from which it may have waited to be accepted
+        self.unread_ms = 0.0  # how long its bytes were unread while the event loop was stalled
+        self.receiving_body_since: float | None = None  # seconds; the sweeper checks the read timeout against it
 
     async def read(self) -> ReadOutcome:
-        """Reads until a request is complete, or too long to be held, or cannot be read.
+        """Read until a request is complete, exceeds the buffer limit or is invalid.
 
-        Nothing is read while a request is out: two bodies for each client would not fit the memory.
+        Nothing is read while a request is in flight: buffering two bodies for each client would exceed the memory limit.
         """
         stream, server, connection = self.stream, self._server, self._connection
         while not stream.completed and not stream.fault and not stream.oversized_message():
@@ -57,22 +57,24 @@
             server.budget.mark_waiting(connection, connection.evict, connection.is_new, had_begun)
             if not had_begun and server.dispatcher.overload.is_shedding() and not server.lifecycle.is_stopping:
                 await server.admission_queue.park(connection)
-                if stream.completed or stream.fault or stream.has_begun:  # read there already
+                if stream.completed or stream.fault or stream.has_begun:  # the admission queue has read from it
                     server.budget.mark_active(connection)
                     continue
             end = await self._receive()
-            server.budget.mark_active(connection)  # something came, if not a complete request: not idle
-            if not stream.completed:  # its last byte is yet to come, and its time runs from that
+            server.budget.mark_active(connection)  # it received bytes, even if the request is not complete yet
+            if not stream.completed:  # the time left runs from its last byte, which has not arrived yet
                 self.queued_since_ms = None
             if end is StreamEnd.REJECTED_UNPARSED:
                 return ReadOutcome.REJECTED
             if stream.has_begun and not had_begun and not connection.is_new:
-                connection.waiting_since = environment.monotonic()  # for all of it, or drops would hold it for ever
+                connection.waiting_since = (
+                    environment.monotonic()
+                )  # once per request: a client that sends slowly must not extend it
             await self._send_continue()
         return ReadOutcome.REQUEST
 
     async def _receive(self) -> StreamEnd | None:
-        """Receives once; a request that is overdue ends here, not the task (`time_out`)."""
+        """Receive once; if `time_out` cancels the task meanwhile, mark the request as overdue and keep the task running."""
         connection = self._connection
         try:
             self.is_reading = True
@@ -93,33 +95,33 @@
             await self._connection.send(writer.CONTINUE)
 
     async def receive_body(self) -> None:
-        """More of a body that is on its way; how long its client takes for it is looked at by the sweeper."""
+        """Receive more of a streamed body; the sweeper enforces the read timeout."""
         self.receiving_body_since = environment.monotonic()
         try:
             await self.stream.receive()
-        finally:  # given up meanwhile it waits for nothing: its response may take long
+        finally:  # also when cancelled: the connection no longer waits for the body while its response is pending
             self.receiving_body_since = None
 
     def take_message(self) -> Message | None:
-        """The request that was read; None if it cannot be read."""
+        """Return the request that was read; None if the input was invalid."""
         if self.stream.completed:
             return self.stream.completed.pop(0)
         return self.stream.oversized_message()
 
     def take_unread_ms(self, message: Message) -> float:
-        """For how long the request lay unread: while this program stood still, or outside with others."""
+        """Return how long the request waited unread, either during a stall or in the listen backlog."""
         unread_ms, self.unread_ms = max(self.unread_ms, self._server.stalls.note_loop_iteration()), 0.0
         if self.queued_since_ms is not None:
-            # Not known to the ms: half of its time at the most, or a long crowded listener would reject all.
+            # An upper bound only. Limited to half of the time left, or a long backlog would cause all requests to be rejected.
             most_ms = message.attributes.time_left_ms / 2 if message.attributes else 0.0
             queued_ms = environment.monotonic_ms() - self.queued_since_ms
             unread_ms, self.queued_since_ms = max(unread_ms, min(most_ms, queued_ms)), None
         return unread_ms
 
     def reject_unparsed(self, buffer: bytearray, length: int, has_waited: bool = False) -> bool:
-        """Before anything is parsed, while requests are shed: whether a plain request is rejected here.
+        """Return whether unparsed bytes are a plain request that is rejected during load shedding.
 
-        It is for certain where it has waited for too long (`has_waited`).
+        A plain request that has waited too long (`has_waited`) is always rejected.
         """
         delay_ms = self._server.intake.unparsed_rejection_delay_ms(buffer, length, has_waited)
         if delay_ms is None:
@@ -128,10 +130,10 @@
         return True
 
     def time_out(self) -> None:
-        """Half a request, and its time is over: it is told so.
+        """End a partial request that has exceeded its read timeout, so that its client gets a 408.
 
-        Closed without a word, one whose last byte is on its way would be lost (rule 1).  Only where it waits to read:
-        cancelled while it writes, a reply of its own would break off half way.
+        If the connection were closed without a reply, a request whose last byte is in transit would be lost (safety rule 1).
+        The task is cancelled only while it reads: a cancel during a write would truncate a reply.
         """
         if self.is_reading and not self._is_overdue:
             self._is_overdue = True
--- a/sloeferry/network/request_runner.py
+++ b/sloeferry/network/request_runner.py
@@ -1,13 +1,13 @@
-"""Carries one request of a client from its acceptance to its reply: the policy's commands, one after the other.
+"""Runs one client request from acceptance to reply by executing the policy's commands in order.
 
-Most requests need no task but their connection's own:
+Most requests need no task other than that of their connection:
 
-1. The connection's task takes the request on and runs its only attempt itself, inline; `RequestContext.on_command` is set to
+1. The connection's task accepts the request and runs its only attempt inline; `RequestContext.on_command` is set to
    `ClientConnection.hand_over`.
-2. A command that comes meanwhile (a hedge, a rejection) calls it, once: a new task takes the request and the connection over,
-   and the former task is kept until its attempt has ended.
-3. When the inline attempt ends, a cleared `on_command` tells `AttemptRunner.run` that this has happened; it reports the end,
-   and the former task returns without a reply (`None` up to `ClientConnection.serve`).
+2. A command that arrives during the attempt (a hedge, a rejection) calls it once: a new task takes over the request and the
+   connection, and the previous task is kept until its attempt has ended.
+3. When the inline attempt ends, a cleared `on_command` shows `AttemptRunner.run` that the request was handed over. It reports
+   the end of the attempt, and the previous task returns without a reply (`None` up to `ClientConnection.serve`).
 """
 
 import asyncio
@@ -27,24 +27,24 @@
 if TYPE_CHECKING:
     from sloeferry.network.client_connection import ClientConnection
 
-# Of a request, what a backend is told anew.
+# Request headers that are not copied to the backend: the proxy writes its own.
 REPLACED_HEADERS = HOP_BY_HOP_HEADERS | {protocol.TIME_LEFT_MS}
 
 
 class RequestRunner:
-    """The request that a client's connection has taken on, if it has one."""
+    """Runs the requests of one client connection, one at a time."""
 
     def __init__(self, connection: "ClientConnection"):
         self._connection = connection
         self._server = connection.server
-        self.context: RequestContext | None = None  # of the request that is on its way
-        self._request_id = b""  # as the client named it
-        self.body_stream: RequestBodyStream | None = None  # a long body on its way
+        self.context: RequestContext | None = None  # of the request in flight
+        self._request_id = b""  # chosen by the client
+        self.body_stream: RequestBodyStream | None = None  # set while a body is streamed
 
     async def start(self, message: Message, unread_ms: float) -> Reply | None:
-        """Takes the request on and carries it to its reply; None if another task has taken it over meanwhile.
+        """Accept the request and run it; return its reply, or None if another task has taken it over.
 
-        `unread_ms`: for how long it lay unread while this program stood still.
+        `unread_ms` is how long the request waited unread while the event loop was stalled.
         """
         if message.attributes is None:
             is_ready = self._server.lifecycle.answers_ready()
@@ -52,9 +52,9 @@
         request_id = message.header(protocol.REQUEST_ID) or b""
         open_requests = self._server.open_requests
         if other := open_requests.get(request_id):
-            if not other.has_client_left():  # another request's: backends and clients would take one for the other
+            if not other.has_client_left():  # backends and clients would confuse two requests with the same id
                 return Reply(client_replies.CONFLICT)
-            # Its client comes again, and nobody had seen it leave.
+            # The client has reconnected before its disconnect was noticed.
             self._server.dispatcher.client_left(other.request_runner.context)
         open_requests[request_id], self._request_id = self._connection, request_id
         try:
@@ -74,13 +74,13 @@
         return OutgoingRequest(context, head, self.body_stream or message.body())
 
     async def run(self, request: OutgoingRequest, message: Message) -> Reply | None:
-        """Carries the request to its reply; None if another task has taken it over meanwhile."""
+        """Execute the commands for the request; return its reply, or None if another task has taken it over."""
         reply = None
         try:
             reply = await self._run_commands(request, message)
         except Exception as error:
             return self._fail(error)
-        except BaseException:  # the connection ends, and with it its request
+        except BaseException:  # the connection is closing, which also ends its request
             self.drop()
             raise
         if reply is not None:
@@ -95,20 +95,20 @@
                 if await self._start_attempt(request, message, command):
                     return None
             elif isinstance(command, CancelAttempt):
-                await asyncio.sleep(0)  # a task cancelled before its first step would never report
+                await asyncio.sleep(0)  # a task cancelled before its first step would never report its end
                 if command.attempt_number in attempts:
                     attempts[command.attempt_number].cancel()
             elif isinstance(command, Complete):
                 return client_replies.backend_reply(command.response)
             elif isinstance(command, Reject):
                 return client_replies.rejection_reply(command.retry_after_ms)
-            else:  # Fail, or Abandon with the client still there
+            else:  # Fail, or Abandon while the client is still connected
                 return client_replies.FAILED
 
     async def _start_attempt(self, request: OutgoingRequest, message: Message, command: SendAttempt) -> bool:
-        """Runs the only attempt in this task, others in tasks of their own; whether this task was relieved meanwhile.
+        """Run a lone attempt inline and others in separate tasks; return True if another task has taken over the request.
 
-        A task for each attempt costs as much as writing it.
+        Creating a task for an attempt costs as much as writing the attempt to its socket.
         """
         context, attempts, runner = request.context, request.attempts, self._server.attempts
         if attempts or context.commands:
@@ -122,24 +122,24 @@
         return False
 
     def _fail(self, error: Exception) -> Reply:
-        # In a few words: a stall brings many at once, and their stacks would make it longer.
+        # Logged without the stack trace: a stall can make many requests fail at once, and traces would prolong it.
         warn("request failed", "id={!r} error={!r}", self._request_id, error)
         self.drop()
         return client_replies.FAILED
 
     def _release(self) -> RequestContext | None:
-        """The request, if there is one, is none of this connection's any more."""
+        """Detach the request from this connection and return its context; None if there is none."""
         context, self.context = self.context, None
-        if self._server.open_requests.get(self._request_id) is self._connection:  # else another has come under that id
+        if self._server.open_requests.get(self._request_id) is self._connection:  # else the id is reused by now
             del self._server.open_requests[self._request_id]
         return context
 
     def drop(self) -> None:
-        """Nobody is left who waits for the request: what was commanded ends here, what is out runs to its end."""
+        """Abandon the request because its client no longer waits: discard pending commands, let open attempts finish."""
         if context := self._release():
             try:
                 for response in self._server.dispatcher.abandon(context):
                     if response.body_stream:
                         response.body_stream.close()
-            except Exception as error:  # a decision that failed must not keep a connection from its end
+            except Exception as error:  # a failing decision must not prevent the connection from closing
                 warn("request dropped", "request={} error={!r}", context.request_id, error)
