--- a/sloeferry/network/client_connection.py
+++ b/sloeferry/network/client_connection.py
@@ -17,7 +17,7 @@
 from sloeferry.network.request_intake import METHODS
 from sloeferry.network.request_reader import ReadOutcome, RequestReader
 from sloeferry.network.request_runner import RequestRunner
-from sloeferry.network.sockets import is_quiet
+from sloeferry.network.sockets import is_open_and_idle
 
 if TYPE_CHECKING:
     from sloeferry.network.client_server import ClientServer
@@ -55,7 +55,7 @@
                 keep_alive = await self._reply(message, await self.request_runner.run(request, message))
             while keep_alive:
                 keep_alive = await self._serve_next()
-            if keep_alive is False and self.stream.fault is not StreamEnd.CLOSED and not is_quiet(self.sock):
+            if keep_alive is False and self.stream.fault is not StreamEnd.CLOSED and not is_open_and_idle(self.sock):
                 await self.reply_writer.lingering_close()  # unread bytes remain
         except OSError:  # the client has disconnected, or a write failed
             keep_alive = False
@@ -145,7 +145,7 @@
         if self.is_closed:
             return
         if self._leaves_client_unanswered():
-            self.server.dispatcher.guard.closed_unanswered(self.request_runner.context)
+            self.server.dispatcher.guard.record_unanswered_close(self.request_runner.context)
         self.is_closed = True
         self._end_tasks()
         self.server.deregister(self)
--- a/sloeferry/network/connection_sweeper.py
+++ b/sloeferry/network/connection_sweeper.py
@@ -7,7 +7,7 @@
 from sloeferry.network import stall_accounting
 from sloeferry.network.client_connection import ClientConnection
 from sloeferry.network.limited_log import warn
-from sloeferry.network.sockets import is_quiet
+from sloeferry.network.sockets import is_open_and_idle
 
 if TYPE_CHECKING:
     from sloeferry.network.client_server import ClientServer
@@ -72,7 +72,7 @@
         budget = self._server.budget
         idle = list(budget.idle.items())
         for connection, (since, close) in idle[: max(0, len(idle) - int(budget.limit * MAX_IDLE_RATIO))]:
-            if environment.monotonic() - since > EXCESS_IDLE_SECONDS and is_quiet(connection.sock):
+            if environment.monotonic() - since > EXCESS_IDLE_SECONDS and is_open_and_idle(connection.sock):
                 close()
 
     async def check_loop_and_requests(self) -> None:
@@ -83,7 +83,7 @@
         """
         while True:
             await asyncio.sleep(stall_accounting.LOOP_CHECK_INTERVAL_SECONDS)
-            self._server.dispatcher.loop_turned()
+            self._server.dispatcher.record_loop_iteration()
             self._server.stalls.note_loop_iteration()
             now = environment.monotonic_ms()
             for connection in list(self._server.connections):
--- a/tests/network/test_load_shedding.py
+++ b/tests/network/test_load_shedding.py
@@ -16,9 +16,9 @@
 
     async def story(harness: ProxyHarness) -> None:
         with (
-            mock.patch.object(OverloadController, "beat"),
+            mock.patch.object(OverloadController, "record_loop_lag"),
             mock.patch.object(OverloadController, "is_shedding", lambda self: True),
-            mock.patch.object(OverloadController, "free_places", lambda self: 1),
+            mock.patch.object(OverloadController, "available_slots", lambda self: 1),
         ):
             kept = await harness.connect()
             with mock.patch.object(OverloadController, "rejection_delay_ms", lambda *_: 250.0):
@@ -41,7 +41,7 @@
     play_story(story, "door_shut", ProxyHarness({"b": response()}, retry_after=True))
 
 
-def attempts_out() -> int:
+def attempts_in_flight() -> int:
     """How many attempts the proxy in this loop carries out."""
     return sum("Exchange.run" in repr(task.get_coro()) for task in asyncio.all_tasks())
 
@@ -65,7 +65,7 @@
         harness.record("-- the next is met by silence")
         is_next_silent = True
         await harness.request("safe")
-        harness.record(f"answered, {attempts_out()} postings left out")
+        harness.record(f"answered, {attempts_in_flight()} postings left out")
 
     harness = ProxyHarness({"b": script, "c": script}, second_copies=True, probing=True)
     run_story(story, harness)
