--- a/sloeferry/network/body_stream.py
+++ b/sloeferry/network/body_stream.py
@@ -1,7 +1,6 @@
-"""Bodies that are longer than what is held of them: they go on as they come.
+"""Streams request and response bodies that exceed the buffer limit.
 
-Nobody takes faster than the other side gives or wants.  Nothing is read that cannot be written yet, so a body of any length
-costs a buffer.
+The next part is read only after the previous one has been written (backpressure), so a body of any length costs one buffer.
 """
 
 import asyncio
@@ -18,19 +17,19 @@
     from sloeferry.network.backend_connection import BackendConnection
     from sloeferry.network.client_connection import ClientConnection
 
-SLICE_BYTES = 16384  # written at a time, each within the time that a write may take
-MAX_BACKEND_PAUSE_SECONDS = 10.0  # without a byte from a backend whose response has begun
+SLICE_BYTES = 16384  # per write; the write timeout applies to each slice
+MAX_BACKEND_PAUSE_SECONDS = 10.0  # between two reads of a response body
 
 
 class BodyInterruptedError(Exception):
-    """The rest of a body will not come; its text says why."""
+    """Raised when the rest of a body cannot be received; its text gives the reason."""
 
 
 class RequestBodyStream:
-    """The body of a request on its way to the one backend that gets all of it.
+    """A request body that is streamed to one backend.
 
-    Until more has gone out than is held, it can start anew elsewhere; from then on it is bound to its attempt.  The time of
-    its request begins with its last byte.
+    Until more than the buffered part has been sent, another attempt can start over with it; from then on it is bound to its
+    attempt. The time left of the request runs from the last byte of the body.
     """
 
     def __init__(self, connection: "ClientConnection", message: Message, dispatcher: Dispatcher, context: RequestContext):
@@ -38,43 +37,43 @@
         self._message = message
         self._dispatcher = dispatcher
         self.context = context
-        self.time_left_ms = context.deadline - environment.monotonic_ms()  # from the last byte on
+        self.time_left_ms = context.deadline - environment.monotonic_ms()  # counted from the last byte
         self._buffered = message.take_body()
-        self._claimed_by: int | None = None  # the attempt that writes it
+        self._claimed_by: int | None = None  # the number of the attempt that writes it
         self.is_bound = False
-        self.last_byte_at_ms: float | None = None  # ms
-        self.task: asyncio.Task | None = None  # that writes it
-        self.is_complete = False  # whether its last byte has come
+        self.last_byte_at_ms: float | None = None
+        self.task: asyncio.Task | None = None  # the task that writes it
+        self.is_complete = False  # the last byte has been received
         message.is_streamed = True
 
     def claim(self, attempt_number: int) -> bool:
-        """Whether an attempt may begin to write it: only one at a time does."""
+        """Claim the body for an attempt; return False if another attempt is writing it."""
         if self._claimed_by is not None:
             return False
         self._claimed_by = attempt_number
         return True
 
     def release(self, attempt_number: int) -> None:
-        """That attempt has ended; one that was refused it must not give away another's."""
+        """Release the claim of an attempt that has ended; without effect if another attempt holds it."""
         if self._claimed_by == attempt_number:
             self._claimed_by = None
 
     def buffered_part(self) -> bytes:
-        """What is held, framed."""
+        """Return the buffered part of the body, framed."""
         return self._framed(self._buffered)
 
     def _framed(self, data: bytes) -> bytes:
         return data if self._message.content_length is not None else writer.chunk(data)
 
     def bind(self, attempt_number: int, task: asyncio.Task) -> None:
-        """All that was held has gone out."""
+        """Bind the body to an attempt, because all of the buffered part has been sent."""
         self._buffered, self.is_bound, self.task = b"", True, task
         self._dispatcher.body_outgrew_buffer(self.context, attempt_number)
 
     async def next_part(self) -> bytes:
-        """What came next, framed; with its last byte the end of the framing too (`is_complete` from then on).
+        """Return the next part, framed; the last part includes the end of the framing and sets `is_complete`.
 
-        Raises BodyInterruptedError where the client breaks off.
+        Raises BodyInterruptedError if the client's connection fails.
         """
         while True:
             data, is_last = self._message.take_body(), self._message.is_complete
@@ -95,22 +94,22 @@
 
 
 class ResponseBodyStream:
-    """The body of a response on its way to the client; it holds the backend's connection until its end."""
+    """A response body that is streamed to the client; it holds the backend connection until its end."""
 
     def __init__(self, backend: "BackendConnection", message: Message):
-        self._backend: BackendConnection | None = backend  # None once it is done with
+        self._backend: BackendConnection | None = backend  # None once it is finished or closed
         self._message = message
         self._waiting_since = environment.monotonic()
         message.is_streamed = True
 
     def framing(self, is_http10: bool) -> list[bytes]:
-        """Header lines that say how long it is; to an HTTP/1.0 client the connection's end says that."""
+        """Return the header lines for its framing; none for HTTP/1.0 clients if the length is unknown (end of connection)."""
         if self._message.content_length is not None:
             return [b"Content-Length: %d" % self._message.content_length]
         return [] if is_http10 else [writer.CHUNKED]
 
     async def forward(self, send: Callable[[bytes], Awaitable[None]], is_http10: bool) -> None:
-        """Sends all of it; raises BodyInterruptedError where the backend breaks off."""
+        """Send the whole body; raise BodyInterruptedError if the backend connection fails."""
         backend = self._backend
         if backend is None:
             raise BodyInterruptedError("closed")
@@ -132,11 +131,11 @@
         backend.finish(self._message.keep_alive)
 
     def has_stalled(self, now: float) -> bool:
-        """Whether the backend has given nothing for too long; what the client does not take is not its fault."""
+        """Return whether the backend has sent nothing for too long; time that the client takes to read does not count."""
         return now > self._waiting_since + MAX_BACKEND_PAUSE_SECONDS
 
     def close(self) -> None:
-        """Nobody takes the rest."""
+        """Discard the rest and close the backend connection."""
         if self._backend:
             self._backend.close()
             self._backend = None
--- a/sloeferry/network/client_server.py
+++ b/sloeferry/network/client_server.py
@@ -1,4 +1,4 @@
-"""The clients' side of a proxy: what belongs to it, and who is connected."""
+"""Assembles the parts of a proxy that serve clients and keeps track of the client connections."""
 
 import asyncio
 from typing import Any
@@ -20,7 +20,7 @@
 
 
 class ClientServer:
-    """Serves clients; each concern in a part of its own."""
+    """Owns the client connections and the components that accept, sweep and shut them down."""
 
     def __init__(
         self,
@@ -40,9 +40,9 @@
         self.attempts = attempts
         self.tasks = tasks
         self.lifecycle = lifecycle
-        self.connections: dict[ClientConnection, None] = {}  # in the order they came
-        self.open_requests: dict[bytes, ClientConnection] = {}  # by the clients' own request ids
-        self.lingering_close_count = 0  # connections that read on before their end
+        self.connections: dict[ClientConnection, None] = {}  # in order of arrival
+        self.open_requests: dict[bytes, ClientConnection] = {}  # by the request id that the client chose
+        self.lingering_close_count = 0  # connections in a lingering close
         self.intake = RequestIntake(dispatcher, lifecycle, config.settings)
         self.admission_queue = AdmissionQueue(loop, dispatcher.overload, buffers)
         self.listener = Listener(self, config.inherited_listener_fd)
@@ -51,18 +51,18 @@
         self.sweeper = ConnectionSweeper(self)
 
     def update_config(self, config: InstanceConfig) -> None:
-        """The settings as they are from now on."""
+        """Apply new settings, also to requests that are read but not yet accepted."""
         self.intake.update(config.settings)
         for connection in self.connections:
             for message in connection.stream.pending_messages():
                 self.intake.recheck(message)
 
     def connection_counts(self) -> dict[str, Any]:
-        """What operators are told beside the state."""
+        """Return the numbers of connections and open requests for the admin server."""
         return {"connections": len(self.connections), "open": sum(each.is_busy for each in self.connections)}
 
     def deregister(self, connection: ClientConnection) -> None:
-        """A connection ends."""
+        """Remove a connection that is closing and release its descriptor."""
         self.connections.pop(connection, None)
         if connection.is_in_queue_epoll:
             self.admission_queue.remove(connection)
@@ -70,7 +70,7 @@
         self.budget.release()
 
     def close(self) -> None:
-        """The program ends."""
+        """Close the listener and all connections when the program ends."""
         self.listener.close()
         for connection in list(self.connections):
             connection.close()
--- a/sloeferry/network/client_shutdown.py
+++ b/sloeferry/network/client_shutdown.py
@@ -1,4 +1,7 @@
-"""The way out after SIGTERM: what still comes is taken for a while, idle connections are closed, the rest is waited for."""
+"""Shuts the client side down after SIGTERM.
+
+New connections and requests are still accepted for a short time, idle connections are closed, open requests are awaited.
+"""
 
 import asyncio
 from typing import TYPE_CHECKING
@@ -14,35 +17,36 @@
 if TYPE_CHECKING:
     from sloeferry.network.client_server import ClientServer
 
-# Seconds after SIGTERM: for connections (protocol; the last is still on its way then), then for what they ask.
+# After SIGTERM, connections are accepted for the first period, which the protocol sets (the last may still be in transit at its
+# end), and their first requests for the second.
 NEW_CONNECTION_GRACE_SECONDS = 0.4 + SOCKET_SLACK_MS / 1000
 LAST_REQUEST_GRACE_SECONDS = 0.2
-# Seconds after SIGTERM, beside the longest deadline: SIGKILL may come from there on (protocol).
+# The protocol allows SIGKILL from this time plus the longest deadline after SIGTERM.
 KILL_DELAY_SECONDS = 0.7 - SOCKET_SLACK_MS / 1000
 POLL_INTERVAL_SECONDS = 0.01
 
 
 class ClientShutdown:
-    """Ends all client connections, none of them with a request unanswered."""
+    """Closes all client connections without leaving a request unanswered."""
 
     def __init__(self, server: "ClientServer"):
         self._server = server
-        self.is_grace_over = False  # connections that never asked have had their time
+        self.is_grace_over = False  # connections without a request may be closed as well
 
     async def run(self) -> None:
-        """From SIGTERM to the end of the last connection."""
+        """Run the shutdown from SIGTERM until the last connection has ended."""
         server = self._server
-        server.lifecycle.stop()  # its listeners run now: the takeover looks for other processes
+        server.lifecycle.stop()  # runs its callbacks: the takeover looks for other processes
         longest_deadline_ms = server.intake.longest_deadline_ms()
         server.intake.answer_by_ms = environment.monotonic_ms() + longest_deadline_ms + 1000 * KILL_DELAY_SECONDS
         count = len(server.connections)
         logger.info("shutdown begins: state={} connections={}", server.lifecycle.state(count), count)
         if not server.lifecycle.accepts_connections():
-            server.listener.pause()  # new connections are the other process's
+            server.listener.pause()  # another process accepts new connections
         self.close_idle()
         await asyncio.sleep(NEW_CONNECTION_GRACE_SECONDS)
-        # What the machine has accepted and nobody has fetched yet is reset with the listener: with a full budget it
-        # waits for places, for as long as any of it can be in time.
+        # Closing the listener resets the connections in its backlog. While the descriptor budget is full, they wait for a free
+        # descriptor as long as any of their requests can still meet its deadline.
         until = environment.monotonic() + longest_deadline_ms / 1000
         while server.lifecycle.accepts_connections() and not server.listener.accept(BACKLOG):
             if environment.monotonic() >= until:
@@ -57,22 +61,22 @@
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
     def close_idle(self) -> None:
-        """Closes connections that wait for a request, if none will be taken any more."""
+        """Close the idle connections on which no further request is accepted."""
         for connection in list(self._server.connections):
             if not connection.is_busy and not connection.stream.completed and self.may_close(connection):
                 connection.close()
 
     def may_close(self, connection: ClientConnection) -> bool:
-        """Drained or stopping, whether a connection may be closed that waits for a request.
+        """Return whether a connection that waits for a request may be closed for a drain or a shutdown.
 
-        A connection without a request so far has a little time; and so have all while another process takes over: each one
-        closed from this side may cross a request.
+        A connection that has not sent a request yet has a grace period. During a takeover all connections have one: a request
+        may be in transit on any connection that the proxy closes.
         """
         if connection.stream.has_begun:
             return False
         if not self.is_grace_over and not self._is_past_grace(connection):
             return False
-        return is_open_and_idle(connection.sock)  # else a request, or an end, is there to be read
+        return is_open_and_idle(connection.sock)  # otherwise a request or the end of the stream is waiting to be read
 
     def _is_past_grace(self, connection: ClientConnection) -> bool:
         is_new, lifecycle = connection.is_new, self._server.lifecycle
--- a/sloeferry/network/connection_sweeper.py
+++ b/sloeferry/network/connection_sweeper.py
@@ -1,4 +1,4 @@
-"""Ends client connections that take too long, and looks after requests whose client has left."""
+"""Closes client connections that exceed a timeout and detects clients that have left."""
 
 import asyncio
 from typing import TYPE_CHECKING
@@ -13,27 +13,27 @@
     from sloeferry.network.client_server import ClientServer
 
 IDLE_TIMEOUT_SECONDS = 60.0  # between two requests
-SHORT_IDLE_TIMEOUT_SECONDS = 2.0  # the same where more than an eighth of the budget is taken
-SHORT_IDLE_TIMEOUT_RATIO = 1 / 8
-READ_TIMEOUT_SECONDS = 3.0  # for a head, the first from connecting
-MIN_BODY_BYTES_PER_SECOND = 32768  # that a body brings, over all of its time
-WRITE_TIMEOUT_SECONDS = 5.0  # for a slice of a response to go
+SHORT_IDLE_TIMEOUT_SECONDS = 2.0  # while the connections exceed the ratio below
+SHORT_IDLE_TIMEOUT_RATIO = 1 / 8  # of the descriptor budget
+READ_TIMEOUT_SECONDS = 3.0  # for a head; for the first one, counted from connecting
+MIN_BODY_BYTES_PER_SECOND = 32768  # averaged over the whole body
+WRITE_TIMEOUT_SECONDS = 5.0  # for one slice of a response
 SWEEPS_PER_READ_TIMEOUT = 10
-# More idle connections than a quarter of the budget are closed after so many seconds.
+# Idle connections above the ratio of the descriptor budget are closed after this time.
 EXCESS_IDLE_SECONDS = 0.2
 MAX_IDLE_RATIO = 1 / 4
-# Past a request's deadline, when its reply waits for no decision.
+# A request that is unanswered this long after its deadline is ended without a decision of the policy.
 OVERDUE_MS = 30.0
 
 
 class ConnectionSweeper:
-    """Two loops, for as long as the program runs."""
+    """Runs two periodic checks for as long as the program runs."""
 
     def __init__(self, server: "ClientServer"):
         self._server = server
 
     async def sweep(self) -> None:
-        """Ends connections that have been idle, or half way through a message, for too long."""
+        """Close connections that have been idle, or have not completed a message, for too long."""
         while True:
             await asyncio.sleep(READ_TIMEOUT_SECONDS / SWEEPS_PER_READ_TIMEOUT)
             server = self._server
@@ -68,7 +68,7 @@
                     connection.close()
 
     def _close_excess_idle(self) -> None:
-        """Closes idle connections beyond a quarter of the budget: some clients ask once and keep the connection."""
+        """Close idle connections above MAX_IDLE_RATIO: some clients send one request and keep the connection open."""
         budget = self._server.budget
         idle = list(budget.idle.items())
         for connection, (since, close) in idle[: max(0, len(idle) - int(budget.limit * MAX_IDLE_RATIO))]:
@@ -76,10 +76,10 @@
                 close()
 
     async def check_loop_and_requests(self) -> None:
-        """Every 10 ms: notes the loop's turn for the three stall detectors, and looks at each request that is open.
+        """Every 10 ms, report a loop iteration to the three stall detectors and check each open request.
 
-        The dispatcher is told of clients that have left.  Should the policy fail to answer a request before its deadline, the
-        request is ended here all the same.
+        Clients that have left are reported to the dispatcher. A request that the policy has failed to answer by its deadline is
+        ended here.
         """
         while True:
             await asyncio.sleep(stall_accounting.LOOP_CHECK_INTERVAL_SECONDS)
@@ -91,7 +91,7 @@
 
     def _check_request(self, connection: ClientConnection, now: float) -> None:
         context = connection.request_runner.context
-        # Most are answered before the first look: a look at a socket costs as much as a small read.
+        # Most requests are answered before their first check, and checking a socket costs as much as a small read.
         if not context or context.is_answered or now <= context.arrived_at + 1000 * stall_accounting.LOOP_CHECK_INTERVAL_SECONDS:
             return
         if now > context.deadline + OVERDUE_MS:
--- a/sloeferry/network/deadline_timers.py
+++ b/sloeferry/network/deadline_timers.py
@@ -1,6 +1,6 @@
-"""Deadlines of tasks.  Nearly all are called off long before: setting one costs a push on a heap.
+"""Cancels tasks at their deadlines, optimized for timers that are nearly always cancelled: setting one is a heap push.
 
-`asyncio.timeout` or a timer of the loop for each attempt would take as long as all the parsing.
+`asyncio.timeout` or a loop timer for each attempt would take as much time as all the parsing.
 """
 
 import asyncio
@@ -8,7 +8,7 @@
 
 
 class DeadlineTimer:
-    """One deadline."""
+    """The deadline of one task."""
 
     __slots__ = ("task", "has_expired")
 
@@ -17,24 +17,24 @@
         self.has_expired = False
 
     def cancel(self) -> None:
-        """Calls it off."""
+        """Cancel the deadline; the task goes on."""
         self.task = None
 
 
 class DeadlineTimers:
-    """One timer of the loop for all deadlines."""
+    """A heap of deadlines served by a single timer of the event loop."""
 
     RESOLUTION_SECONDS = 0.002
 
     def __init__(self, loop: asyncio.AbstractEventLoop):
         self._loop = loop
-        self._heap: list[tuple[float, int, DeadlineTimer]] = []  # the number keeps equal times in order
+        self._heap: list[tuple[float, int, DeadlineTimer]] = []  # the sequence number breaks ties
         self._count = 0
         self._handle: asyncio.TimerHandle | None = None
         self._due_at = 0.0
 
     def set(self, at: float, task: asyncio.Task) -> DeadlineTimer:
-        """Cancels the task at that time of the loop, unless called off."""
+        """Cancel the task at time `at` of the event loop unless the returned timer is cancelled before."""
         self._count += 1
         timer = DeadlineTimer(task)
         heappush(self._heap, (at, self._count, timer))
--- a/sloeferry/network/limited_log.py
+++ b/sloeferry/network/limited_log.py
@@ -1,4 +1,4 @@
-"""Warnings, a few lines a kind and minute: a fault that comes with every request must not fill the log."""
+"""Limits warnings to a few lines per kind and minute: a fault that occurs with every request must not fill the log."""
 
 from typing import Any
 
@@ -13,9 +13,10 @@
 
 
 def warn(kind: str, text: str, *values: Any) -> None:
-    """Logs a warning of that kind.
+    """Log a warning of the given kind unless the limit of the kind is reached.
 
-    How many were suppressed is logged with the first warning of the kind after the span; if none follows, never.
+    The number of suppressed lines is logged before the first warning of the kind after the span; if none follows, it is not
+    logged.
     """
     now = environment.monotonic()
     if now - _span_start_seconds.get(kind, -SPAN_SECONDS) >= SPAN_SECONDS:
--- a/sloeferry/network/listener.py
+++ b/sloeferry/network/listener.py
@@ -1,4 +1,4 @@
-"""The clients' listening socket, and who is taken in."""
+"""Listens for client connections and accepts them within the descriptor budget."""
 
 import socket
 from typing import TYPE_CHECKING
@@ -12,24 +12,24 @@
 if TYPE_CHECKING:
     from sloeferry.network.client_server import ClientServer
 
-BACKLOG = 1024  # connections that wait outside
-MAX_ACCEPTS_PER_EVENT = 16  # connections let in in a row
-RETRY_DELAY_SECONDS = 0.01  # until a full budget is tried again
+BACKLOG = 1024  # connections that wait to be accepted
+MAX_ACCEPTS_PER_EVENT = 16
+RETRY_DELAY_SECONDS = 0.01  # before accepting again after a full budget or an error
 
 
 class Listener:
-    """Takes in clients, where that is this process's to do."""
+    """Accepts client connections while this process, and not another one on the same socket, is responsible for them."""
 
     def __init__(self, server: "ClientServer", inherited_fd: int | None):
         self._server = server
-        self._inherited_fd = inherited_fd  # of the socket that the platform holds, if it does
+        self._inherited_fd = inherited_fd  # of a listening socket opened by the platform
         self._is_listening = False
         self.sock: socket.socket | None = None
-        self.backlogged_since_ms: float | None = None  # ms; since when more wait outside than are let in in a row
-        self.stalled_backlog_count = 0  # so many more that wait outside may have come while this loop stood still
+        self.backlogged_since_ms: float | None = None  # since when the backlog has not been empty
+        self.stalled_backlog_count = 0  # of the next accepted connections, how many may have arrived during a stall
 
     def bind(self, address: Address) -> OSError | None:
-        """Takes the address, or the socket that the platform holds there; why not, if it cannot be had."""
+        """Bind the address or use the inherited socket; return the error if that fails."""
         try:
             if self._inherited_fd is None:
                 self.sock = self.sock or environment.tcp_socket()
@@ -43,7 +43,7 @@
         return None
 
     def open(self) -> None:
-        """Takes in whoever connects, where that is this process's to do."""
+        """Start to accept connections if this process is responsible for them."""
         is_open = self.sock and self.sock.fileno() >= 0
         if not is_open or self._is_listening or self._server.shutdown.is_grace_over:
             return
@@ -52,31 +52,31 @@
             self._server.loop.add_reader(self.sock, self.accept)
 
     def update(self) -> None:
-        """Whether to take in who connects may have changed."""
+        """Start or stop accepting connections after a change of the lifecycle state."""
         if self._server.lifecycle.accepts_connections():
             self.open()
         else:
             self.pause()
 
     def pause(self) -> None:
-        """Takes in nobody; those who connect wait outside, for this process or another."""
+        """Stop accepting; new connections wait in the backlog for this process or another."""
         if self._is_listening:
             self._is_listening = False
             self._server.loop.remove_reader(self.sock)
 
     def close(self) -> None:
-        """Takes in nobody from now on."""
+        """Stop accepting and close the socket unless it is inherited."""
         self.pause()
-        # A socket that others hold too stays open until this process ends: closed while it is looked at, epoll would
-        # go on telling of it for ever, and nobody could stop it.
+        # A socket that other processes share stays open until this process ends: if it were closed while registered, epoll
+        # would go on reporting it and it could not be unregistered.
         if self.sock and self._inherited_fd is None:
             self.sock.close()
 
     def accept(self, limit: int = MAX_ACCEPTS_PER_EVENT) -> bool:
-        """Takes in those who wait outside, as far as the budget goes; whether nobody does any more.
+        """Accept connections from the backlog within the budget; return whether the backlog is empty.
 
-        Of a crowd the last may have asked long before they are let in, and their clients' time runs from then (rule 1): a
-        request that is there with its connection counts as waiting since the crowd was first met.
+        A client in a long backlog may have sent its request long before it is accepted, and its time left runs from then (safety
+        rule 1). A request that arrives with its connection therefore counts as waiting since the backlog began to build up.
         """
         for _ in range(limit):
             if not self._server.budget.acquire():
@@ -105,13 +105,13 @@
         return False
 
     def _set_waiting_time(self, connection: ClientConnection) -> None:
-        """For how long the connection has waited outside, as far as that is known."""
+        """Record on the connection how long it may have waited in the backlog."""
         if not self.stalled_backlog_count:
             connection.reader.queued_since_ms = self.backlogged_since_ms
             return
         connection.reader.unread_ms = environment.monotonic_ms() - self.backlogged_since_ms
         self.stalled_backlog_count -= 1
-        if not self.stalled_backlog_count:  # whoever stood outside then has been let in
+        if not self.stalled_backlog_count:  # all that were in the backlog then are accepted
             self.backlogged_since_ms = environment.monotonic_ms()
 
     def _pause_briefly(self) -> None:
--- a/sloeferry/network/request_intake.py
+++ b/sloeferry/network/request_intake.py
@@ -63,7 +63,7 @@
         self._keyed_classes = {at for at in self._classes.values() if classes[at].idempotency is Idempotency.DEDUPLICATED}
         self._has_affinity_keys = settings.has_affinity_keys
         self._deadline_ms = {at: classes[at].deadline_ms for at in self._classes.values()}
-        self._tells_retry_after = settings.limits.sends_retry_after
+        self._sends_retry_after = settings.limits.sends_retry_after
 
     def longest_deadline_ms(self) -> float:
         """Return the longest deadline of all request classes."""
@@ -76,7 +76,7 @@
         rejected without having been sent, so the client may retry it (safety rule 2).
         """
         if message.attributes and not self.accepts_head(message):
-            message.rejection_delay_ms = message.attributes.time_left_ms if self._tells_retry_after else 0.0
+            message.rejection_delay_ms = message.attributes.time_left_ms if self._sends_retry_after else 0.0
 
     # Heads
 
--- a/sloeferry/network/task_set.py
+++ b/sloeferry/network/task_set.py
@@ -1,4 +1,4 @@
-"""Tasks that nothing awaits."""
+"""Keeps track of background tasks."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -8,9 +8,9 @@
 
 
 class TaskSet:
-    """Keeps tasks from being collected until they have ended, and logs those that failed.
+    """Keeps tasks that nothing awaits from being garbage-collected, and logs those that failed.
 
-    Attempts, health checks, connection tasks that were handed over, the end of a stall.
+    Holds attempts, health checks, connection tasks that were handed over and resets after a stall.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop):
@@ -18,11 +18,11 @@
         self._tasks: set[asyncio.Task] = set()
 
     def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task:
-        """Starts a task."""
+        """Start a task for the coroutine."""
         return self.adopt(self._loop.create_task(coroutine))
 
     def adopt(self, task: asyncio.Task) -> asyncio.Task:
-        """Takes over a task that was started elsewhere."""
+        """Add a task that was started elsewhere."""
         self._tasks.add(task)
         task.add_done_callback(self._ended)
         return task
