--- a/sloeferry/network/http1/__init__.py
+++ b/sloeferry/network/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on one socket, with httptools.  What goes wrong is a value, never an exception."""
+"""HTTP/1.1 over one socket, parsed with httptools. Protocol errors are returned as values, not raised."""
--- a/sloeferry/network/http1/message.py
+++ b/sloeferry/network/http1/message.py
@@ -1,4 +1,4 @@
-"""A request or a response as it was received."""
+"""Received HTTP requests and responses."""
 
 from collections.abc import Set
 from typing import TYPE_CHECKING, NamedTuple
@@ -8,7 +8,7 @@
 
 Header = tuple[bytes, bytes]  # name in lower case, value
 
-# Headers that speak of one connection alone, or are written anew.
+# Headers that apply to a single connection, or that the proxy writes itself.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
@@ -25,7 +25,7 @@
 
 
 class RequestAttributes(NamedTuple):
-    """What a client's request is, by the settings."""
+    """The request class, tenant and time left of a client's request."""
 
     class_index: int
     tenant_index: int
@@ -33,7 +33,7 @@
 
 
 class Message:
-    """A request or a response; its body may still be on its way."""
+    """A request or a response; its body may be incomplete."""
 
     __slots__ = (
         "url",
@@ -61,38 +61,38 @@
         self.method = b""
         self.status = 0
         self.headers: list[Header] = []
-        self.single_headers: dict[bytes, bytes | None] = {}  # None: it came twice
+        self.single_headers: dict[bytes, bytes | None] = {}  # None: the header is repeated
         self.body_parts: list[bytes] = []
-        self.body_bytes = 0  # received; until the head is complete, bytes of the head
-        self.content_length: int | None = None  # None: the head does not tell
+        self.body_bytes = 0  # received so far; until the head is complete, bytes of the headers
+        self.content_length: int | None = None  # None: not given in the head
         self.is_http10 = False
         self.keep_alive = False
         self.expects_continue = False
         self.is_head_complete = False
         self.is_complete = False
         self.completed_at = 0.0  # seconds, monotonic
-        self.is_streamed = False  # somebody takes the body as it comes: at its end it is nobody's next message
+        self.is_streamed = False  # the body is streamed: at its end the message is not added to those completed
         self.attributes: RequestAttributes | None = None  # of a client's request; None for one to /ready
-        self.rejection_delay_ms: float | None = None  # rejected before it is taken on, with that Retry-After
-        self.body_stream: ResponseBodyStream | None = None  # of a response whose body is still on its way
+        self.rejection_delay_ms: float | None = None  # Retry-After if rejected before acceptance; None: not rejected
+        self.body_stream: ResponseBodyStream | None = None  # of a response whose body is incomplete
 
     def header(self, name: bytes) -> bytes | None:
-        """The one value of a header; None if it is missing or came twice."""
+        """Return the value of a header; None if it is missing or repeated."""
         return self.single_headers.get(name)
 
     def body(self) -> bytes:
-        """All that has come of the body."""
-        self.body_parts = [b"".join(self.body_parts)]  # not both: bodies are most of the memory
+        """Return all of the body that has been received."""
+        self.body_parts = [b"".join(self.body_parts)]  # replaces the parts: bodies take most of the memory
         return self.body_parts[0]
 
     def take_body(self) -> bytes:
-        """What has come of the body since the last time."""
+        """Return the part of the body that was received since the last call."""
         data = b"".join(self.body_parts)
         self.body_parts.clear()
         return data
 
     def forwarded_headers(self, dropped: Set[bytes]) -> list[Header]:
-        """Its headers, without those dropped and those that its Connection names: these are for one hop alone."""
+        """Return the headers to forward: without those dropped and the hop-by-hop headers that Connection lists."""
         if b"connection" in self.single_headers:
             named = b",".join(value for name, value in self.headers if name == b"connection")
             dropped = dropped.union(name.strip().lower() for name in named.split(b","))
--- a/sloeferry/network/http1/stream.py
+++ b/sloeferry/network/http1/stream.py
@@ -1,6 +1,6 @@
-"""Messages that come in on a socket.
+"""Receives HTTP messages from a socket.
 
-Nothing is read before it is asked for, so that a reader that does not take holds the sender back (backpressure).
+The socket is read only on request, so that a slow reader slows down the sender (backpressure).
 """
 
 import asyncio
@@ -26,33 +26,33 @@
         max_body_bytes: int = MAX_BODY_BYTES,
         reject_unparsed: Callable[[bytearray, int], bool] | None = None,
     ):
-        """`reject_unparsed` is shown the first bytes of a message before they are parsed; True: they are done with."""
+        """Create a stream; `reject_unparsed` gets the first bytes of a message and returns True if it has handled them."""
         super().__init__(is_response, on_body, accepts_head, max_body_bytes)
         self._loop = loop
         self._sock = sock
         self._buffers = buffers
         self._reject_unparsed = reject_unparsed
-        self._receiving: asyncio.Task | None = None  # a receive that goes on
+        self._receiving: asyncio.Task | None = None  # a receive that outlasted its timeout
 
     def close(self) -> None:
-        """Nothing more is read."""
+        """Stop reading and release the parser."""
         super().close()
         if self._receiving:
             self._receiving.cancel()
             self._receiving = None
 
     async def receive(self) -> StreamEnd | None:
-        """Receives once; None, or why nothing more will come."""
+        """Receive once; return why no more can be read, or None."""
         if self._receiving:
             receiving, self._receiving = self._receiving, None
             return await receiving
         return await self._receive()
 
     async def receive_within(self, seconds: float) -> bool:
-        """Receives once, for so long; whether anything came.
+        """Receive once with a timeout; return whether the receive has completed.
 
-        The receive goes on after that, for the next one who asks: called off it might have taken bytes already, and they
-        would be missing from the middle of a body.
+        After a timeout the receive stays pending for the next call: a cancelled receive might already have read bytes, which
+        would then be missing from the middle of a body.
         """
         self._receiving = self._receiving or self._loop.create_task(self._receive())
         done, _ = await asyncio.wait([self._receiving], timeout=seconds)
--- a/sloeferry/network/http1/writer.py
+++ b/sloeferry/network/http1/writer.py
@@ -1,4 +1,4 @@
-"""Requests and responses as bytes."""
+"""Serializes requests and responses."""
 
 from collections.abc import Iterable
 
@@ -22,7 +22,10 @@
 
 
 def request_head(method: bytes, url: bytes, headers: Iterable[Header], content_length: int | None = 0) -> bytes:
-    """The head of a request but for its empty line: more headers may follow.  No length: the body comes in chunks."""
+    """Return the head of a request without its final empty line, so that headers can be added.
+
+    Without a content length, the body is sent in chunks.
+    """
     lines = [b"%b %b HTTP/1.1\r\n" % (method, url), *[b"%b: %b\r\n" % header for header in headers]]
     if content_length is None:
         lines.append(CHUNKED + b"\r\n")
@@ -32,12 +35,12 @@
 
 
 def request(method: bytes, url: bytes, headers: Iterable[Header], body: bytes = b"") -> bytes:
-    """A complete request."""
+    """Return a complete request."""
     return request_head(method, url, headers, len(body)) + b"\r\n" + body
 
 
 def chunk(data: bytes) -> bytes:
-    """One chunk of a chunked body."""
+    """Return one chunk of a chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
@@ -48,7 +51,7 @@
     keep_alive: bool = True,
     framing: list[bytes] | None = None,
 ) -> bytes:
-    """A response; with `framing`, its header lines about that, only the head of one whose body follows."""
+    """Return a response; if the header lines for its framing are given, return its head only, and the body follows."""
     lines = [
         b"HTTP/1.1 %d %b" % (status, REASONS[status]),
         *([b"Content-Length: %d" % len(body)] if framing is None else framing),
