--- a/tests/network/test_admission_queue.py
+++ b/tests/network/test_admission_queue.py
@@ -1,4 +1,4 @@
-"""Connections whose request waits unread while load is shed."""
+"""The admission queue: connections whose request waits unread during load shedding."""
 
 import asyncio
 import contextlib
@@ -12,37 +12,37 @@
 from tests.support.golden import GoldenFiles
 from tests.support.proxy_harness import run_coroutine
 
-ENDLESS_MS = 1e9
+NEVER_MS = 1e9
 
 
 class FakeController:
-    """An overload controller whose answers the test sets."""
+    """An overload controller whose answers are set by the test."""
 
     def __init__(self) -> None:
         self.is_open = False
         self.places = 0
         self.queue_timeout_ms = 0.0
-        self.max_queue_wait_ms = ENDLESS_MS
+        self.max_queue_wait_ms = NEVER_MS
         self.has_budget = True
 
     def is_shedding(self) -> bool:
-        """Whether load is shed."""
+        """Return whether load is shed."""
         return not self.is_open
 
     def available_slots(self) -> int:
-        """How many may go on."""
+        """Return how many requests may be admitted."""
         return self.places
 
     def take_rejection_token(self, now: float) -> bool:
-        """Whether there is time left to reject one."""
+        """Return whether the rejection budget allows another rejection."""
         return self.has_budget
 
     def record_queue_length(self, count: int) -> None:
-        """So many wait."""
+        """Ignore the queue length."""
 
 
 class FakeConnection:
-    """A client's connection; what the queue does with it is noted in `calls`."""
+    """A client connection that records in `calls` what the queue does with it."""
 
     def __init__(self, name: str, calls: list[str]):
         self.name = name
@@ -65,17 +65,17 @@
         return self.own_end.send(data)
 
     def _reject_unparsed(self, buffer: bytearray, byte_count: int, has_waited: bool) -> bool:
-        """Whether it is a plain request that can be rejected unparsed."""
+        """Return whether the bytes are a plain request that can be rejected unparsed."""
         return has_waited and bytes(buffer[:byte_count]).startswith(b"plain")
 
     def close(self) -> None:
-        """Closes both ends."""
+        """Close both ends."""
         self.own_end.close()
         self.client_end.close()
 
 
-class QueuePlay:
-    """A queue with six connections a to f; one line for each look of the queue."""
+class QueueScenario:
+    """A queue with six connections, a to f; records one line for each poll of the queue."""
 
     def __init__(self, lines: list[str]):
         self._lines = lines
@@ -86,8 +86,8 @@
         self._admitted = {connection.name: self.queue.park(connection) for connection in self.connections}
         self.queue._timer.cancel()
 
-    def look(self, event: str) -> None:
-        """The queue looks at its connections."""
+    def poll(self, event: str) -> None:
+        """Let the queue poll its connections and record the result."""
         self.queue._poll()
         if self.queue._timer:
             self.queue._timer.cancel()
@@ -96,15 +96,15 @@
         self._calls.clear()
 
     def close(self) -> None:
-        """Closes all sockets."""
+        """Close all sockets."""
         for connection in self.connections:
             connection.close()
         self.queue._epoll.close()
 
 
 @contextlib.contextmanager
-def delay_as_header() -> Iterator[None]:
-    """A rejection names its delay as it is."""
+def plain_retry_after() -> Iterator[None]:
+    """Write the delay of a rejection into its Retry-After header without conversion."""
 
     def retry_after_headers(delay_ms: float) -> list[tuple[bytes, bytes]]:
         return [(b"Retry-After", b"%d" % delay_ms)]
@@ -113,39 +113,39 @@
         yield
 
 
-def test_newest_first(golden: GoldenFiles):
-    """Connections with a request go on, the newest first, as far as there is room.  What has waited for too long is rejected,
-    each with one read and one write; what is no plain request goes on and is read as ever."""
+def test_newest_request_is_admitted_first(golden: GoldenFiles):
+    """Connections with a request are admitted as long as there is room, the newest first. Requests that have waited too long
+    are rejected with one read and one write each; a request that is not plain is admitted and parsed."""
     lines: list[str] = []
 
-    async def story() -> None:
-        play = QueuePlay(lines)
-        controller = play.controller
-        by_name = {connection.name: connection for connection in play.connections}
-        controller.queue_timeout_ms = ENDLESS_MS
-        for connection in play.connections[:3]:
+    async def scenario() -> None:
+        queue_scenario = QueueScenario(lines)
+        controller = queue_scenario.controller
+        by_name = {connection.name: connection for connection in queue_scenario.connections}
+        controller.queue_timeout_ms = NEVER_MS
+        for connection in queue_scenario.connections[:3]:
             connection.client_end.send(b"plain")
-            play.look(f"{connection.name} asks, no room")
+            queue_scenario.poll(f"{connection.name} asks, no room")
         controller.places = 1
-        play.look("room for one")
+        queue_scenario.poll("room for one")
         controller.places = 0
         controller.queue_timeout_ms = -1.0
-        play.look("the others have waited for too long")
+        queue_scenario.poll("the others have waited for too long")
         lines.append(f"b has {by_name['b'].client_end.recv(99)!r}")
         by_name["d"].client_end.send(b"odd")
-        play.look("d asks for something odd")
-        play.queue.remove(by_name["e"])
+        queue_scenario.poll("d asks for something odd")
+        queue_scenario.queue.remove(by_name["e"])
         by_name["b"].client_end.send(b"plain")
-        play.look("e has gone, b asks again")
+        queue_scenario.poll("e has gone, b asks again")
         controller.has_budget = False
         by_name["a"].client_end.send(b"plain")
-        play.look("a asks again, nothing left to turn it away with")
+        queue_scenario.poll("a asks again, nothing left to turn it away with")
         controller.max_queue_wait_ms = -1.0
-        play.look("its time is nearly over")
+        queue_scenario.poll("its time is nearly over")
         controller.is_open = True
-        play.look("the door is open")
-        play.close()
+        queue_scenario.poll("the door is open")
+        queue_scenario.close()
 
-    with delay_as_header():
-        run_coroutine(story())
-    golden.check(lines, "lobby")
+    with plain_retry_after():
+        run_coroutine(scenario())
+    golden.check(lines, "admission_queue")
--- a/tests/network/test_body_stream.py
+++ b/tests/network/test_body_stream.py
@@ -1,4 +1,4 @@
-"""Request and response bodies that are longer than the buffer."""
+"""Streaming of request and response bodies that are longer than the buffer."""
 
 import asyncio
 import types
@@ -24,8 +24,8 @@
 PIECE_SECONDS = 0.15  # between two pieces of a response
 
 
-def test_one_attempt_at_a_time():
-    """A second attempt that is refused the body and ends leaves it to the first.  Nobody else gets it meanwhile."""
+def test_one_attempt_at_a_time_writes_the_body():
+    """The end of a second attempt, which was refused the body, does not release the claim of the first."""
     stream = RequestBodyStream(None, Message(), None, types.SimpleNamespace(deadline=0.0))
     assert (stream.claim(0), stream.claim(1)) == (True, False)
     stream.release(1)
@@ -35,19 +35,19 @@
 
 
 class LongBodyBackends(FakeBackends):
-    """Backends that take long bodies and record their length alone.
+    """Backends that receive long bodies and record only their length.
 
-    A script may be a list: the pieces of a response, with a pause between two.
+    A script may be a list of the pieces of a response, which are sent with pauses in between.
     """
 
     def __init__(self, scripts: Mapping[str, Script], early_response: bytes = b""):
         super().__init__(scripts)
         self.requests_begun = 0
-        self.early_response = early_response  # where it is given, it is sent before the request's body is read
+        self.early_response = early_response  # if given, it is sent before the request body is read
         self.closes_after_response = False
 
     async def serve(self, name: str, script: Script, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection to a backend."""
+        """Serve one connection to a backend."""
         label = f"  backend, connection {self.begin_connection(name, writer)}"
         try:
             while await self._serve_request(label, script, reader, writer):
@@ -61,7 +61,7 @@
     async def _serve_request(
         self, label: str, script: Script, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """One request; whether the connection stays."""
+        """Serve one request; return whether the connection stays open."""
         head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
         self.requests_begun += 1
         if self.early_response:
@@ -99,7 +99,7 @@
 
 
 class ReceivedResponse:
-    """A response as an independent parser takes it in."""
+    """A response as parsed by an independent parser."""
 
     def __init__(self) -> None:
         self._peer = h11.Connection(h11.CLIENT)
@@ -111,7 +111,7 @@
         self._is_complete = False
 
     async def receive(self, reader: asyncio.StreamReader) -> None:
-        """Reads until it is complete, or cut off."""
+        """Read until the response is complete or truncated."""
         try:
             while not self._is_complete:
                 await self._take(self._peer.next_event(), reader)
@@ -135,7 +135,7 @@
 
 
 async def record_response(harness: ProxyHarness, http_version: str) -> None:
-    """One request of a client of that HTTP version, and all of what comes back."""
+    """Send one request with the given HTTP version and record the whole response."""
     reader, writer = await harness.connect()
     writer.write(
         f"GET /api HTTP/{http_version}\r\nHost: x\r\nX-Call-Id: c1\r\nX-Call-Class: safe\r\nX-Caller: acme\r\n"
@@ -147,10 +147,10 @@
     harness.record(f"client of {http_version}: {received}")
 
 
-def test_trailers(play_story: PlayStory):
-    """A trailer is no header: it frames nothing of what is forwarded."""
+def test_trailers_are_not_headers(play_story: PlayStory):
+    """A trailer is not taken for a header and does not affect the framing of the forwarded message."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         head = CHUNKED_HEAD
         await harness.send(head + "\r\n5;x=y\r\nhello\r\n0\r\nX-Tail: 1\r\n\r\n")
         for trailer in ("Content-Length: 400", "Transfer-Encoding: identity", "X-Load: 1", "X-Call-Id: c2"):
@@ -163,19 +163,19 @@
 
     harness = ProxyHarness({"b": response()})
     harness.backends.records_all_headers = True
-    play_story(story, "flow_trailers", harness)
+    play_story(scenario, "body_trailers", harness)
 
 
-def test_long_responses(play_story: PlayStory):
-    """Long responses with a length, in chunks, to the end of the connection.  They are forwarded complete, to old clients too;
-    cut off, the client can tell; the connection is used again where it may be."""
+def test_long_responses_are_forwarded(play_story: PlayStory):
+    """Long responses, delimited by a length, by chunks or by the end of the connection, are forwarded completely, also to
+    HTTP/1.0 clients. A client can detect a truncated response. Connections are reused where possible."""
     long_body = "x" * (3 * MAX_BUFFERED_BODY_BYTES)
     lengths = (1, 70000, 9, MAX_BUFFERED_BODY_BYTES)
     chunks = b"".join(b"%x\r\n%b\r\n" % (length, b"x" * length) for length in lengths) + b"0\r\nX-Late: 1\r\n\r\n"
     head = b"HTTP/1.1 200 X\r\n"
     chunked = head + b"Transfer-Encoding: chunked\r\n\r\n" + chunks
     with_length = response(long_body)
-    cases = (  # its name, the response, how many clients ask for it, whether its connection is cut
+    cases = (  # name, response, HTTP versions of the clients that request it, whether the backend cuts the connection
         ("length", with_length, ("1.1", "1.0"), False),
         ("chunks", chunked, ("1.1", "1.0"), False),
         ("to the end", head + b"Connection: close\r\n\r\n" + long_body.encode(), ("1.1",), False),
@@ -186,21 +186,21 @@
     replies = [reply for _, reply, http_versions, _ in cases for _ in http_versions]
     backends = LongBodyBackends({"b": lambda number: replies[number - 1]})
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         for name, _, http_versions, is_cut in cases:
             backends.closes_after_response = is_cut
             harness.record(f"-- {name}")
             for http_version in http_versions:
                 await record_response(harness, http_version)
 
-    play_story(story, "flow_long_answers", ProxyHarness(backends))
+    play_story(scenario, "body_long_responses", ProxyHarness(backends))
 
 
-def test_pauses(play_story: PlayStory):
-    """A response of no said length pauses, before and after it is begun to be forwarded.  Nothing of it is missing in the middle,
-    whoever was waiting for it."""
+def test_paused_response_is_complete(play_story: PlayStory):
+    """A response of unknown length pauses before and after its forwarding has started. No part of it is lost, regardless of which
+    task was waiting for it."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         for _ in range(4):
             await record_response(harness, "1.1")
 
@@ -211,15 +211,15 @@
         b"ond\r\n5\r\nth",
         b"ird\r\n0\r\n\r\n",
     ]
-    play_story(story, "flow_pauses", ProxyHarness(LongBodyBackends({"b": pieces}), deadline_ms=400))
+    play_story(scenario, "body_paused_response", ProxyHarness(LongBodyBackends({"b": pieces}), deadline_ms=400))
 
 
-def test_long_requests(play_story: PlayStory):
-    """A body longer than the buffer goes to one backend, once.  A dead one before it costs nothing; its client may break off; a
-    backend may answer before it has all of it."""
+def test_long_request_is_sent_once(play_story: PlayStory):
+    """A body longer than the buffer is sent once, to one backend. A client may disconnect in the middle of it, and the next
+    request is served."""
     backends = LongBodyBackends({"b": response()})
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         body = "y" * (4 * MAX_BUFFERED_BODY_BYTES)
         connection = await harness.connect()
         await harness.request("once", body, connection)
@@ -237,14 +237,14 @@
         await wait_until(lambda: harness.lines[-1].endswith("broken off"))
         await harness.request("safe", X_Call_Id="c8")
 
-    play_story(story, "flow_long_requests", ProxyHarness(backends))
+    play_story(scenario, "body_long_requests", ProxyHarness(backends))
 
 
-def test_early_response(play_story: PlayStory):
-    """A response comes before the request's body has.  The client gets it, and its connection ends."""
+def test_response_before_end_of_request_body(play_story: PlayStory):
+    """A backend responds before it has received the request body. The client gets the response, and its connection is closed."""
     backends = LongBodyBackends({"b": response()}, early_response=response("early"))
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         body = "y" * (2 * MAX_BUFFERED_BODY_BYTES)
         reader, writer = await harness.connect()
         writer.write((KEYED_HEAD + f"Content-Length: {4 * MAX_BUFFERED_BODY_BYTES}\r\n\r\n" + body).encode())
@@ -256,4 +256,4 @@
         backends.early_response = b""
         await harness.request("keyed", "next", X_Call_Id="c2", Idempotency_Key="k2")
 
-    play_story(story, "flow_early", ProxyHarness(backends))
+    play_story(scenario, "body_early_response", ProxyHarness(backends))
--- a/tests/network/test_client_disconnect.py
+++ b/tests/network/test_client_disconnect.py
@@ -1,7 +1,7 @@
-"""A client leaves while its request waits, and nothing is sent for it any more.
+"""A client disconnects while its request waits, and nothing more is sent for it.
 
-The look for clients that left, which comes every 10 ms, is put off for good: what is shown is what is known right before the
-first byte.  docs/race-conditions.md names the two events of each test.
+The periodic check for disconnected clients (every 10 ms) is disabled, so that the tests show the check right before the first
+byte of an attempt. docs/race-conditions.md lists the two racing events of each test.
 """
 
 import asyncio
@@ -23,12 +23,12 @@
 
 @pytest.fixture
 def play_leaving(play_story: PlayStory) -> PlayStory:
-    """Plays a story between two requests of other clients; nothing of it is left behind."""
+    """Run a test between two requests of other clients and record that it leaves nothing behind."""
 
-    def play(story: Story, name: str, *harnesses: InstrumentedHarness) -> None:
+    def play(scenario: Story, name: str, *harnesses: InstrumentedHarness) -> None:
         async def surrounded(harness: InstrumentedHarness) -> None:
             await harness.request("safe", X_Call_Id="before")
-            await story(harness)
+            await scenario(harness)
             await harness.request("safe", X_Call_Id="after")
             await wait_until(lambda: not harness.dispatcher.requests)
             harness.record(harness.remaining())
@@ -40,15 +40,15 @@
 
 
 def reset(sock: socket.socket) -> None:
-    """Closes a connection with a reset."""
+    """Close a connection with a reset."""
     sockets.reset_on_close(sock)
     sock.close()
 
 
-async def leave_before_first_byte(
+async def record_leave_before_first_byte(
     harness: InstrumentedHarness, behind: bytes | None, end: Callable[[socket.socket], Any] | None
 ) -> None:
-    """One request that is held right before its first byte, more bytes behind it, while its client ends its connection."""
+    """Send one request and hold its attempt right before the first byte; the client sends `behind` and then calls `end`."""
     with harness.before_first_byte() as gate:
         client = await harness.send_raw(harness.request_head() + (behind or b""))
         await gate.held.wait()
@@ -60,11 +60,11 @@
     await wait_until(lambda: connection not in harness.clients.connections)
 
 
-def test_before_the_first_byte(play_leaving: PlayStory):
-    """An attempt is held right before its first byte, as after a stall.  Its client closes, closes behind a further byte or half
-    a request, resets, only ends its sending, or stays."""
+def test_leaves_before_first_byte(play_leaving: PlayStory):
+    """An attempt is held right before its first byte, as after a stall. Its client closes the connection (also after sending one
+    more byte or a partial request), resets it, shuts down its sending side, or stays."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         for behind, end in (
             (b"", socket.socket.close),
             (b"x", socket.socket.close),
@@ -73,15 +73,15 @@
             (b"", lambda sock: sock.shutdown(socket.SHUT_WR)),
             (None, None),
         ):
-            await leave_before_first_byte(harness, behind, end)
+            await record_leave_before_first_byte(harness, behind, end)
 
-    play_leaving(story, "crossing_first_byte")
+    play_leaving(scenario, "client_leaves_before_first_byte")
 
 
-def test_while_connecting(play_leaving: PlayStory):
-    """The client leaves while the connection to the backend comes up."""
+def test_leaves_while_connecting(play_leaving: PlayStory):
+    """The client leaves while the connection to the backend is being established."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         gate = Gate()
         connect = sockets.connect
 
@@ -98,13 +98,13 @@
             gate.opened.set()
             await wait_until(lambda: not harness.dispatcher.requests)
 
-    play_leaving(story, "crossing_dial")
+    play_leaving(scenario, "client_leaves_while_connecting")
 
 
-def test_while_shedding(play_leaving: PlayStory):
-    """The client leaves unread, while load is shed.  With what it sent comes its end."""
+def test_leaves_while_shedding(play_leaving: PlayStory):
+    """The client leaves during load shedding, before its request is read: request and end of stream are read together."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         harness.dispatcher.overload.concurrency_limit = 0.0
         client = await harness.send_raw(harness.request_head() + b"x")
         await wait_until(lambda: harness.clients.admission_queue.waiting)
@@ -112,13 +112,13 @@
         harness.dispatcher.overload.concurrency_limit = inf
         await wait_until(lambda: connection not in harness.clients.connections)
 
-    play_leaving(story, "crossing_door")
+    play_leaving(scenario, "client_leaves_while_shedding")
 
 
-def test_behind_the_listener(play_leaving: PlayStory):
-    """The client leaves while it waits behind the listener: no descriptor is free, or another process admits clients and ends."""
+def test_leaves_in_listen_backlog(play_leaving: PlayStory):
+    """The client leaves while it waits in the listen backlog, because no descriptor is free or another process was accepting."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         clients = harness.clients
         for cause, is_full in (("no seat", True), ("another process's turn", False)):
             limit = clients.budget.limit
@@ -133,31 +133,35 @@
             clients.budget.limit = limit
             if not is_full:
                 clients.listener.open()
-            other = await harness.connect()  # admitted behind the one that has left
+            other = await harness.connect()  # accepted after the one that has left
             await wait_until(lambda count=count: clients.connections and len(clients.connections) <= count + 1)
             await harness.request("safe", X_Call_Id="c1", connection=other)
 
-    play_leaving(story, "crossing_listener")
+    play_leaving(scenario, "client_leaves_in_listen_backlog")
 
 
-def test_pipelined_request(play_leaving: PlayStory):
-    """Two requests come in one go, then the end.  The second is not begun once the first is given up."""
+def test_leaves_with_pipelined_request(play_leaving: PlayStory):
+    """The client sends two requests at once and leaves. After the first is abandoned, the second is not started."""
     release = asyncio.Event()
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         client = await harness.send_raw(harness.request_head("c1") + harness.request_head("c2"))
         await wait_until(lambda: harness.backends.requests_received == 2)
         connection = await client.leave()
         release.set()
         await wait_until(lambda: connection not in harness.clients.connections)
 
-    play_leaving(story, "crossing_ahead", InstrumentedHarness({"b": lambda number: release if number == 2 else response()}))
+    play_leaving(
+        scenario,
+        "client_leaves_with_pipelined_request",
+        InstrumentedHarness({"b": lambda number: release if number == 2 else response()}),
+    )
 
 
-def test_half_a_body(play_leaving: PlayStory):
-    """A streamed body is not begun yet, and its client leaves half way.  Not one byte goes out."""
+def test_leaves_with_partial_body(play_leaving: PlayStory):
+    """The client leaves in the middle of a body whose streaming has not started. Not one byte is sent to the backend."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         finished: list[bool] = []
 
         def finish(connection: BackendConnection, keep_alive: bool) -> None:
@@ -173,22 +177,22 @@
                 await wait_until(lambda: not harness.dispatcher.requests)
             harness.record(f"a connection untouched: {finished}")
 
-    play_leaving(story, "crossing_body")
+    play_leaving(scenario, "client_leaves_with_partial_body")
 
 
 class UnnamedBackendsHarness(InstrumentedHarness):
-    """Which of two backends is asked first is left to how long the first response took: they go unnamed."""
+    """A harness that omits the names of backends: which one is chosen first depends on the measured latency."""
 
     def record(self, text: str) -> None:
-        """One line."""
+        """Record one line without backend and connection numbers."""
         super().record(re.sub(r"backend \d, connection \d", "a backend", text))
 
 
-def test_no_retry(play_leaving: PlayStory):
-    """The attempt ends without a response after the client has left.  There is no retry."""
+def test_no_retry_after_client_left(play_leaving: PlayStory):
+    """The attempt ends without a usable response after the client has left. There is no retry."""
     release = asyncio.Event()
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         harness.backends.late_response = response("no", 500)
         client = await harness.send_raw(harness.request_head() + b"x")
         await wait_until(lambda: harness.backends.requests_received == 2)
@@ -199,14 +203,15 @@
     def script(number: int) -> bytes | asyncio.Event:
         return release if number == 2 else response()
 
-    play_leaving(story, "crossing_further", UnnamedBackendsHarness({"b": script, "c": script}))
+    play_leaving(scenario, "client_leaves_no_retry", UnnamedBackendsHarness({"b": script, "c": script}))
 
 
-def test_same_id_again(play_leaving: PlayStory):
-    """A client leaves unnoticed and comes again under the id that it left.  One that is there still keeps its id."""
+def test_request_id_is_reusable_after_client_left(play_leaving: PlayStory):
+    """A client whose disconnect was not noticed yet sends the same request id again and is served. While the first client is
+    still connected, the id is refused."""
     release = asyncio.Event()
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         client = await harness.send_raw(harness.request_head() + b"x")
         await wait_until(lambda: harness.backends.requests_received == 2)
         await harness.request("safe", X_Call_Id="c0")
@@ -214,4 +219,8 @@
         await harness.request("safe", X_Call_Id="c0")
         release.set()
 
-    play_leaving(story, "crossing_same_id", InstrumentedHarness({"b": lambda number: release if number == 2 else response()}))
+    play_leaving(
+        scenario,
+        "client_leaves_request_id_reused",
+        InstrumentedHarness({"b": lambda number: release if number == 2 else response()}),
+    )
--- a/tests/network/test_connection_end.py
+++ b/tests/network/test_connection_end.py
@@ -1,4 +1,4 @@
-"""Connections that end from the proxy's side as another event comes.  docs/race-conditions.md names the two of each test."""
+"""Connections that the proxy ends while another event occurs. docs/race-conditions.md lists the two events of each test."""
 
 import asyncio
 import contextlib
@@ -17,11 +17,11 @@
 LONG_BODY_BYTES = 900_000
 
 
-def test_ended_while_its_task_sends(play_story: PlayStory):
-    """A client gives no more of its body and is ended by the sweep, while its own task carries the attempt; another is ended with
-    a command that nobody has begun.  Nothing of either is left behind."""
+def test_closed_during_inline_attempt(play_story: PlayStory):
+    """One client stops in the middle of its body and is closed by the sweeper while its own task runs the attempt; another is
+    closed while a command for its request is pending. Both leave nothing behind."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         with mock.patch("sloeferry.network.connection_sweeper.READ_TIMEOUT_SECONDS", 0.1):
             client = await harness.send_raw(harness.request_head(body_bytes=200000) + b"x" * 100000)
             swept = await client.until(lambda connection: connection.reader.receiving_body_since)
@@ -32,20 +32,20 @@
         gate = Gate()
         with mock.patch.object(RequestRunner, "run", lambda *_: gate.passed()):
             client = await harness.send_raw(harness.request_head())
-            await gate.held.wait()  # taken, and its attempt commanded
+            await gate.held.wait()  # the request is accepted, and its attempt is commanded
             connection = client.connection()
             connection.close()
             await asyncio.wait([connection.task])
         harness.record(f"with an order: {harness.remaining()}")
         client.close()
 
-    play_story(story, "crossing_ended", InstrumentedHarness({"b": response()}))
+    play_story(scenario, "closed_during_inline_attempt", InstrumentedHarness({"b": response()}))
 
 
-def test_timed_out_while_it_writes(play_story: PlayStory):
-    """Half a request's time is over just as 100 Continue is written.  That is not broken off, and the rest of it counts."""
+def test_timeout_during_write(play_story: PlayStory):
+    """A partial request times out while 100 Continue is being written. The write is completed, and the rest is still read."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         gate = Gate()
         send = ClientConnection.send
 
@@ -65,11 +65,11 @@
             await client.record_received(15)
             client.close()
 
-    play_story(story, "crossing_hurried", InstrumentedHarness({"b": response()}))
+    play_story(scenario, "timeout_during_write", InstrumentedHarness({"b": response()}))
 
 
 async def receive_slowly(client_socket: socket.socket) -> bytes:
-    """What comes until the end, with a turn of the loop between two pieces."""
+    """Return all bytes until the end of the stream, reading one piece per loop iteration."""
     loop = asyncio.get_running_loop()
     received = b""
     with contextlib.suppress(OSError):
@@ -79,11 +79,11 @@
     return received
 
 
-def test_response_over_unread_bytes(play_story: PlayStory):
-    """A client that wants its connection closed sent more behind its request, and reads slowly.  Closed over what is unread the
-    connection would be reset, and the rest of the response lost."""
+def test_response_is_complete_despite_unread_bytes(play_story: PlayStory):
+    """A client asks for the connection to be closed, sends more bytes after its request and reads slowly. Closing the socket with
+    unread bytes would reset the connection, and the rest of the response would be lost."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         gate = Gate()
         send = ClientConnection.send
 
@@ -102,14 +102,14 @@
         client.close()
         harness.record(f"client gets all: {received.endswith(b'x' * LONG_BODY_BYTES)}")
 
-    play_story(story, "crossing_unread", InstrumentedHarness({"b": response("x" * LONG_BODY_BYTES)}))
+    play_story(scenario, "response_despite_unread_bytes", InstrumentedHarness({"b": response("x" * LONG_BODY_BYTES)}))
 
 
-def test_half_a_request_is_rejected(play_story: PlayStory):
-    """Half a request, and its descriptor is needed, or the rest of its body stays out.  It is told so, since its last byte may be
-    on its way.  What has its response under way is not told another."""
+def test_partial_request_gets_408(play_story: PlayStory):
+    """A partial request whose descriptor is needed, or whose body stalls, gets a 408, because its last byte may be in transit. A
+    request whose response has started gets no second one."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         budget = harness.clients.budget
         await wait_until(lambda: not harness.clients.connections)
         budget.limit = 1
@@ -125,13 +125,13 @@
             await client.record_received(28)
         client.close()
 
-    play_story(story, "crossing_turned_out", InstrumentedHarness({"b": response()}))
+    play_story(scenario, "partial_request_gets_408", InstrumentedHarness({"b": response()}))
 
 
-def test_broken_as_it_is_accepted(play_story: PlayStory):
-    """A socket breaks as it is accepted.  Its descriptor is free again, and the next one is admitted."""
+def test_socket_error_on_accept(play_story: PlayStory):
+    """A socket fails while it is being accepted. Its descriptor is released, and the next connection is accepted."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         await wait_until(lambda: not harness.clients.connections)
         set_option = socket.socket.setsockopt
         broken: list[socket.socket] = []
@@ -152,21 +152,21 @@
         await wait_until(lambda: not harness.clients.connections)
         harness.record(f"seats taken: {harness.clients.budget.in_use}")
 
-    play_story(story, "crossing_let_in", InstrumentedHarness({"b": response()}))
+    play_story(scenario, "socket_error_on_accept", InstrumentedHarness({"b": response()}))
 
 
-def test_timed_out_as_its_last_byte_comes(play_story: PlayStory):
-    """Half a request's time is over, and its last byte is there.  There is a final answer, and nothing was forwarded."""
+def test_timeout_as_last_byte_arrives(play_story: PlayStory):
+    """A partial request times out when its last byte has arrived but is unread. It gets a final reply and is not forwarded."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         client = await harness.send_raw(harness.request_head(body_bytes=4) + b"bod")
         connection = await client.until(
             lambda connection: connection.stream.message.body_bytes == 3 and connection.reader.is_reading
         )
         client.sock.send(b"y")
-        select.select([connection.sock], [], [])  # it is there, and not read: not one turn of the loop in between
+        select.select([connection.sock], [], [])  # the byte has arrived, and the loop cannot read it before the timeout
         connection.reader.time_out()
         await client.record_received(28)
         client.close()
 
-    play_story(story, "crossing_last_byte", InstrumentedHarness({"b": response()}))
+    play_story(scenario, "timeout_as_last_byte_arrives", InstrumentedHarness({"b": response()}))
--- a/tests/network/test_deadline_timers.py
+++ b/tests/network/test_deadline_timers.py
@@ -1,4 +1,4 @@
-"""Deadlines."""
+"""Deadline timers."""
 
 import types
 from collections.abc import Callable
@@ -7,25 +7,25 @@
 
 
 class FakeLoop:
-    """An event loop of which only the clock and the timers are asked for."""
+    """An event loop with only a clock and timers."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self.timers: list[tuple[float, Callable[[], None]]] = []
 
     def time(self) -> float:
-        """The clock (s)."""
+        """Return the time in seconds."""
         return self.now
 
     def call_at(self, at: float, function: Callable[[], None]) -> types.SimpleNamespace:
-        """Sets a timer; what it returns cancels it."""
+        """Set a timer; return a handle that cancels it."""
         timer = (at, function)
         self.timers.append(timer)
         return types.SimpleNamespace(cancel=lambda: timer in self.timers and self.timers.remove(timer))
 
 
-def test_one_timer_for_all():
-    """One timer serves all deadlines.  What was cancelled never expires, the others do in the order of their times."""
+def test_one_loop_timer_for_all_deadlines():
+    """One loop timer serves all deadlines. Cancelled ones never expire; the others expire in the order of their times."""
     loop = FakeLoop()
     deadlines = DeadlineTimers(loop)
     cancelled: list[float] = []
--- a/tests/network/test_descriptor_budget.py
+++ b/tests/network/test_descriptor_budget.py
@@ -1,4 +1,4 @@
-"""The descriptors of clients: which connections keep one where they are short."""
+"""The descriptor budget for clients: which connections are kept when descriptors are short."""
 
 import asyncio
 from unittest import mock
@@ -6,13 +6,13 @@
 from tests.support.fake_backends import response
 from tests.support.proxy_harness import READY_REQUEST, PlayStory, ProxyHarness
 
-POLL_INTERVAL_SECONDS = 0.05  # between two looks at what has ended
+POLL_INTERVAL_SECONDS = 0.05
 
 
-def test_clients_that_ask_once_and_stay(play_story: PlayStory):
-    """Clients that ask once and keep their connection leave three quarters of the descriptors to others, oldest first."""
+def test_excess_idle_connections_are_closed(play_story: PlayStory):
+    """Idle connections of clients that have sent one request are closed beyond a quarter of the descriptors, oldest first."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         with mock.patch("sloeferry.network.connection_sweeper.SHORT_IDLE_TIMEOUT_SECONDS", 60.0):
             first = await harness.connect()
             await harness.send(READY_REQUEST, first)
@@ -21,13 +21,13 @@
                 await harness.send(READY_REQUEST, connection, is_recorded=False)
             harness.record(f"the first one ends: {await first[0].read() == b''}")
 
-    play_story(story, "sockets_ask_once", ProxyHarness({"b": response()}, descriptors=64))
+    play_story(scenario, "excess_idle_connections", ProxyHarness({"b": response()}, descriptors=64))
 
 
-def test_client_whose_first_request_is_slow(play_story: PlayStory):
-    """Beside many clients that have had a response and stay, one whose first request is slow to come keeps its place."""
+def test_slow_first_request_keeps_its_connection(play_story: PlayStory):
+    """A connection whose first request is slow is kept in preference to many idle ones that have had a response."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         slow = await harness.connect()
         for _ in range(14):
             await harness.send(READY_REQUEST, await harness.connect(), is_recorded=False)
@@ -37,31 +37,31 @@
             await harness.request("safe")
         await harness.request("safe", connection=slow)
 
-    play_story(story, "sockets_never_asked", ProxyHarness({"b": response()}, descriptors=64))
+    play_story(scenario, "slow_first_request", ProxyHarness({"b": response()}, descriptors=64))
 
 
-def test_crowd_of_silent_connections(play_story: PlayStory):
-    """200 connections that say nothing cost no kept connection to a backend, and clients that ask get in."""
+def test_silent_connections_do_not_block_clients(play_story: PlayStory):
+    """200 silent connections do not cause backend connections to be closed, and requests of other clients are served."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         await harness.request("safe")
-        crowd = [await harness.connect() for _ in range(200)]
+        silent = [await harness.connect() for _ in range(200)]
         await harness.request("safe")
-        harness.record(f"{len(crowd)} connections that say nothing")
+        harness.record(f"{len(silent)} connections that say nothing")
 
-    play_story(story, "sockets_crowd", ProxyHarness({"b": response()}, descriptors=64))
+    play_story(scenario, "silent_connections", ProxyHarness({"b": response()}, descriptors=64))
 
 
-def test_idle_connections_give_way(play_story: PlayStory):
-    """All descriptors are taken.  Idle connections give way to those that ask."""
+def test_full_budget_closes_idle_connections(play_story: PlayStory):
+    """When all descriptors are in use, idle connections are closed for clients with requests."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         idle = [await harness.connect() for _ in range(30)]
         while not any(reader.at_eof() for reader, _ in idle):
-            await harness.connect()  # until those that came first have been idle for long enough
+            await harness.connect()  # until the first ones have been idle long enough to be closed
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
         for _ in range(3):
             await harness.request("safe")
         harness.record(f"some idle ones were ended: {any(reader.at_eof() for reader, _ in idle)}")
 
-    play_story(story, "sockets_full_table", ProxyHarness({"b": response()}, descriptors=64))
+    play_story(scenario, "full_descriptor_budget", ProxyHarness({"b": response()}, descriptors=64))
--- a/tests/network/test_http1.py
+++ b/tests/network/test_http1.py
@@ -1,4 +1,4 @@
-"""Framing of HTTP/1.1 messages: against an independent parser, under any cut, and as they are forwarded."""
+"""Framing of HTTP/1.1 messages, compared with an independent parser, for any split of the bytes, and after forwarding."""
 
 import random
 import types
@@ -25,7 +25,7 @@
 
 
 def draw_first_line(rng: random.Random, is_response: bool) -> list[bytes]:
-    """The first line of a message, and the header that a request needs."""
+    """Return a random first line, followed by the Host header if it is a request."""
     if is_response:
         return [b"HTTP/1.1 %d %b" % (rng.choice((200, 500, 503)), rng.choice((b"OK", b"", b"Not so good")))]
     method = rng.choice((b"GET", b"POST", b"PUT", b"DELETE"))
@@ -33,14 +33,14 @@
 
 
 def draw_header(rng: random.Random) -> bytes:
-    """A header that frames nothing."""
+    """Return a random header that does not affect framing."""
     name = bytes(rng.choices(NAME_BYTES, k=rng.randint(1, 12)))
     before = rng.choice((b"", b" ", b"\t "))
     return b"X" + name + b":" + before + rng.choice((b"v", b"a b", b"")) + rng.choice((b"", b" "))
 
 
 def draw_chunks(rng: random.Random, body: bytes) -> bytes:
-    """A body in chunks, with extensions and a trailer now and then."""
+    """Return the body in random chunks, some with extensions, sometimes with a trailer."""
     text = b""
     while body:
         length = rng.randint(1, len(body))
@@ -50,7 +50,7 @@
 
 
 def draw_messages(rng: random.Random, are_responses: bool) -> tuple[bytes, list[bytes]]:
-    """Messages in any form that HTTP/1.1 allows, in a row: the bytes, and the body of each."""
+    """Return the bytes of a sequence of random valid HTTP/1.1 messages, and the body of each."""
     wire = b""
     bodies: list[bytes] = []
     count = rng.randint(1, 3)
@@ -58,7 +58,7 @@
         body = rng.randbytes(rng.choice(BODY_BYTES))
         head = draw_first_line(rng, are_responses)
         head += [draw_header(rng) for _ in range(rng.randint(0, 4))]
-        may_end = are_responses and index == count - 1  # with its connection
+        may_end = are_responses and index == count - 1  # delimited by the end of the connection
         framing = rng.choice(("length", "chunks", "chunks") + ("end",) * may_end)
         text = body
         if framing == "length":
@@ -73,7 +73,7 @@
 
 
 def draw_pieces(rng: random.Random, wire: bytes) -> Iterator[bytes]:
-    """The bytes as they may come."""
+    """Yield the bytes in pieces of random length."""
     while wire:
         length = rng.choice((*PIECE_BYTES, len(wire)))
         yield wire[:length]
@@ -81,7 +81,7 @@
 
 
 def parse(rng: random.Random, wire: bytes, are_responses: bool) -> list[ParsedMessage]:
-    """What the proxy's parser makes of it."""
+    """Return the messages as parsed by the proxy."""
     framing = MessageFraming(are_responses)
     for piece in draw_pieces(rng, wire):
         framing.feed(piece, len(piece))
@@ -96,7 +96,7 @@
 
 
 def parse_one_independently(wire: bytes, is_response: bool) -> tuple[ParsedMessage | None, bytes]:
-    """The first message by an independent parser, and the bytes behind it; None where it is cut short."""
+    """Return the first message as parsed by an independent parser (None if truncated) and the bytes after it."""
     peer = h11.Connection(h11.CLIENT if is_response else h11.SERVER)
     if is_response:
         peer.send(h11.Request(method="GET", target="/", headers=[("Host", "h")]))
@@ -119,7 +119,7 @@
 
 
 def parse_independently(wire: bytes, are_responses: bool) -> list[ParsedMessage]:
-    """What an independent parser makes of it, a connection for each message."""
+    """Return the messages as parsed by an independent parser, with a new connection for each."""
     messages: list[ParsedMessage] = []
     while wire:
         message, wire = parse_one_independently(wire, are_responses)
@@ -130,8 +130,8 @@
 
 @settings(max_examples=300, deadline=None)
 @given(SEEDS, st.booleans())
-def test_like_an_independent_parser(seed: int, are_responses: bool):
-    """An independent parser makes the same messages of the same bytes, and both make those that were drawn."""
+def test_agrees_with_independent_parser(seed: int, are_responses: bool):
+    """The proxy's parser and an independent one return the same messages, whose bodies are those that were generated."""
     rng = random.Random(seed)
     wire, bodies = draw_messages(rng, are_responses)
     messages = parse(rng, wire, are_responses)
@@ -141,8 +141,8 @@
 
 @settings(max_examples=300, deadline=None)
 @given(SEEDS, st.booleans())
-def test_any_cut(seed: int, are_responses: bool):
-    """However a message is cut, and if one byte of it is another, the same comes out, or the same fault."""
+def test_result_does_not_depend_on_splits(seed: int, are_responses: bool):
+    """For messages with one changed byte, the messages and the fault do not depend on how the bytes are split."""
     rng = random.Random(seed)
     wire = bytearray(draw_messages(rng, are_responses)[0])
     wire[rng.randrange(len(wire))] = rng.choice(b"\r\n :,;0aZ\x00\x7f\xff")
@@ -151,7 +151,7 @@
 
 
 def parse_to_first_fault(pieces: Iterator[bytes], are_responses: bool) -> tuple[Sequence[ParsedMessage], object]:
-    """The messages before the first fault, and the fault."""
+    """Return the messages before the first fault, and the fault."""
     framing = MessageFraming(are_responses)
     for piece in pieces:
         if framing.feed(piece, len(piece)):
@@ -161,8 +161,8 @@
 
 @settings(max_examples=300, deadline=None)
 @given(SEEDS)
-def test_what_is_forwarded(seed: int):
-    """A request read in any form is forwarded as exactly one message, with that body and none of its framing."""
+def test_forwarded_as_one_message(seed: int):
+    """A request in any valid form is forwarded as exactly one message with the same body and without the original framing."""
     rng = random.Random(seed)
     wire, bodies = draw_messages(rng, are_responses=False)
     framing = MessageFraming(False)
@@ -182,10 +182,10 @@
         assert [header for header in parsed_headers if header[0] not in HOP_BY_HOP_HEADERS] == headers
 
 
-def draw_rejectable(rng: random.Random) -> bytes:
-    """A request that may be plain enough to be rejected unparsed, or not quite."""
+def draw_plain_request(rng: random.Random) -> bytes:
+    """Return a random request that may or may not have the plain form that can be rejected unparsed."""
     length = rng.choice((0, 3, 20))
-    spoilers = (
+    extra_headers = (
         b"Content-Length: %d" % length,
         b"content-length:%d " % length,
         b"Content-Length: 3, 3",
@@ -203,12 +203,12 @@
     first_line = rng.choice((b"POST /api HTTP/1.1", b"GET /api?x HTTP/1.1", b"GET  / HTTP/1.1"))
     head = [first_line, *REJECTABLE_HEADERS]
     for _ in range(rng.randint(0, 3)):
-        head.insert(rng.randint(1, len(head)), rng.choice(spoilers))
+        head.insert(rng.randint(1, len(head)), rng.choice(extra_headers))
     return b"\r\n".join(head) + b"\r\n\r\n" + b"b" * rng.choice((length, length, length + 1, 0))
 
 
 def shedding_intake() -> RequestIntake:
-    """An intake while load is shed."""
+    """Return a request intake during load shedding."""
     overload = types.SimpleNamespace(is_shedding=lambda: True)
     dispatcher = types.SimpleNamespace(overload=overload, rejection_delay_ms=lambda *_: 5.0)
     names = {"schemes.count": 1, "schemes.0.name": "safe", "tenants.count": 1, "tenants.0.name": "acme"}
@@ -217,9 +217,9 @@
 
 @settings(max_examples=300, deadline=None)
 @given(SEEDS)
-def test_rejected_unparsed(seed: int):
-    """What is rejected unparsed is, to the parser, one complete request of that length, and no more."""
-    text = draw_rejectable(random.Random(seed))
+def test_rejected_unparsed_is_one_complete_request(seed: int):
+    """Bytes that are rejected unparsed are exactly one complete request to the parser."""
+    text = draw_plain_request(random.Random(seed))
     if shedding_intake().unparsed_rejection_delay_ms(bytearray(text), len(text)) is not None:
         framing = MessageFraming(False)
         framing.feed(text, len(text))
--- a/tests/network/test_load_shedding.py
+++ b/tests/network/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding on loopback."""
+"""Load shedding over loopback connections."""
 
 import asyncio
 from unittest import mock
@@ -10,11 +10,11 @@
 REQUEST_HEAD = "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: c1\r\nX-Call-Class: once\r\nX-Caller: acme\r\nX-Budget-Ms: 3000\r\n"
 
 
-def test_shedding_on_loopback(play_story: PlayStory):
-    """While load is shed, plain requests and such with bodies in pieces are rejected with a Retry-After, unparsed ones too.  What
-    is no good request still gets its 4xx, and /ready is answered.  Afterwards all is served on the connections that were kept."""
+def test_rejections_while_shedding(play_story: PlayStory):
+    """During load shedding, plain requests and requests that arrive in pieces are rejected with a Retry-After. Invalid requests
+    still get a 4xx, and /ready is answered. Afterwards requests are served on the connections that were kept."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         with (
             mock.patch.object(OverloadController, "record_loop_lag"),
             mock.patch.object(OverloadController, "is_shedding", lambda self: True),
@@ -38,17 +38,17 @@
         await harness.request("safe", connection=kept)
         await harness.request("once", "a body", in_pieces)
 
-    play_story(story, "door_shut", ProxyHarness({"b": response()}, retry_after=True))
+    play_story(scenario, "load_shedding", ProxyHarness({"b": response()}, retry_after=True))
 
 
 def attempts_in_flight() -> int:
-    """How many attempts the proxy in this loop carries out."""
+    """Return the number of attempts that the proxy in this loop is running."""
     return sum("Exchange.run" in repr(task.get_coro()) for task in asyncio.all_tasks())
 
 
-def test_commands_while_an_attempt_is_out():
-    """Whatever is commanded while an attempt is out with its client's own task is carried out all the same: a hedged request
-    where the first attempt is silent.  Each request is answered once."""
+def test_hedge_during_inline_attempt():
+    """A command that arrives while the connection's own task runs an attempt is executed: here a hedge, because the first
+    attempt gets no response. Each request is answered once."""
     is_next_silent = False
 
     def script(number: int) -> Script:
@@ -58,17 +58,17 @@
             return None
         return response()
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         nonlocal is_next_silent
-        for _ in range(4):  # so that it knows how long responses take
+        for _ in range(4):  # so that the policy learns the usual latency
             await harness.request("safe")
-        harness.record("-- the next is met by silence")
+        harness.record("-- the next attempt gets no response")
         is_next_silent = True
         await harness.request("safe")
-        harness.record(f"answered, {attempts_in_flight()} postings left out")
+        harness.record(f"answered, {attempts_in_flight()} attempts still in flight")
 
     harness = ProxyHarness({"b": script, "c": script}, second_copies=True, probing=True)
-    run_story(story, harness)
+    run_story(scenario, harness)
     received = [line for line in harness.lines if line.startswith("client gets")]
     assert len(received) == 5
     assert received[-1] in ("client gets: 200 done", "client gets: 503 ", "client gets: 504 "), received
--- a/tests/network/test_request_intake.py
+++ b/tests/network/test_request_intake.py
@@ -1,4 +1,4 @@
-"""Requests as they come: bad ones, ids that are in flight, clients that leave."""
+"""Invalid requests, request ids that are in flight, and clients that disconnect."""
 
 import asyncio
 from unittest import mock
@@ -18,7 +18,7 @@
     "GET /" + "x" * 20000 + " HTTP/1.1\r\n\r\n",
     "GET / HTTP/1.1\r\n" + "A: b\r\n" * 5000 + "\r\n",
     "POST /api HTTP/1.1\r\nContent-Length: 70000\r\n\r\n" + "x" * 70000,
-    # None of these ever ends, or says how long it is; more than the head is not waited for.
+    # None of these ends or has a valid length; they must be refused without waiting for more than the head.
     "GET / HTTP/1.1\r\nEndless: " + "x" * 40000,
     "GET / HTTP/1.1\r\n" + "y" * 40000,
     GOOD_HEAD + "Transfer-Encoding: chunked\r\n\r\n1;" + "x" * 40000,
@@ -34,10 +34,10 @@
 HALF_REQUESTS = ("", "GET /api HTTP/1.1\r\nX-Call", "POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nxx")
 
 
-def test_bad_requests(play_story: PlayStory):
-    """Whatever is no good request gets a plain 4xx or a close, and the next good one is served."""
+def test_bad_requests_get_4xx_or_close(play_story: PlayStory):
+    """Each invalid request gets a 4xx or a closed connection, and the next valid request is served."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         for name, value in BAD_HEADERS.items():
             await harness.request("safe", **{name: value})
         await harness.request("keyed", Idempotency_Key=None)
@@ -54,17 +54,17 @@
         for part in HALF_REQUESTS:
             _, writer = await harness.connect()
             writer.write(part.encode())
-            writer.close()  # gone half way
+            writer.close()  # in the middle of a request
         await harness.request("safe")
 
-    play_story(story, "sockets_bad_input", ProxyHarness({"b": response()}))
+    play_story(scenario, "bad_requests", ProxyHarness({"b": response()}))
 
 
-def test_open_request_id(play_story: PlayStory):
-    """An id that is in flight is not taken twice; once answered it may come again."""
+def test_open_request_id_is_refused(play_story: PlayStory):
+    """A request id that is in flight is refused a second time; once answered, it may be used again."""
     release = asyncio.Event()
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         first = asyncio.get_running_loop().create_task(harness.request("once"))
         await wait_until(lambda: harness.backends.requests_received)
         await harness.request("safe")
@@ -73,13 +73,13 @@
         await first
         await harness.request("safe")
 
-    play_story(story, "sockets_open_id", ProxyHarness({"b": lambda number: release if number == 1 else response()}))
+    play_story(scenario, "open_request_id", ProxyHarness({"b": lambda number: release if number == 1 else response()}))
 
 
-def test_client_gone(play_story: PlayStory):
-    """A client that leaves while its request is in flight takes nobody with it."""
+def test_disconnect_affects_no_other_client(play_story: PlayStory):
+    """A client that disconnects while its request is in flight does not affect other clients."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         _, writer = await harness.connect()
         writer.write(
             b"POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: c0\r\nX-Call-Class: once\r\n"
@@ -89,4 +89,4 @@
         writer.transport.abort()
         await harness.request("safe")
 
-    play_story(story, "sockets_client_gone", ProxyHarness({"b": lambda number: response() if number > 1 else None}))
+    play_story(scenario, "client_disconnect", ProxyHarness({"b": lambda number: response() if number > 1 else None}))
