--- a/sloeferry/network/admission_queue.py
+++ b/sloeferry/network/admission_queue.py
@@ -57,10 +57,10 @@
 
     def remove(self, connection: "ClientConnection") -> None:
         """Remove a connection that is closing; closing its socket removes it from the epoll set."""
-        found = self._parked.get(connection.sock.fileno())
-        if found and found[0] is connection:
+        parked = self._parked.get(connection.sock.fileno())
+        if parked and parked[0] is connection:
             del self._parked[connection.sock.fileno()]
-            found[1].cancel()
+            parked[1].cancel()
 
     def _poll(self) -> None:
         self._timer = None
@@ -79,9 +79,9 @@
         if not overload.is_shedding():
             self._admit_all()
             return
-        places = overload.available_slots()
-        while waiting and places > 0:  # counted here: an admitted request counts as open only once it is read
-            places -= self._admit(waiting.pop()[1])
+        slots = overload.available_slots()
+        while waiting and slots > 0:  # counted here: an admitted request counts as open only once it is read
+            slots -= self._admit(waiting.pop()[1])
         while waiting and waiting[0][0] < now - overload.queue_timeout_ms / 1000:
             # Safety rule 1: no client is left unanswered until its deadline, even if the rejection budget is used up.
             has_waited_longest = waiting[0][0] <= now - overload.max_queue_wait_ms / 1000
--- a/sloeferry/network/client_connection.py
+++ b/sloeferry/network/client_connection.py
@@ -56,7 +56,7 @@
             while keep_alive:
                 keep_alive = await self._serve_next()
             if keep_alive is False and self.stream.fault is not StreamEnd.CLOSED and not is_open_and_idle(self.sock):
-                await self.reply_writer.lingering_close()  # unread bytes remain
+                await self.reply_writer.lingering_close()  # unread bytes would reset the connection
         except OSError:  # the client has disconnected, or a write failed
             keep_alive = False
         except Exception as error:  # an error ends this connection only
@@ -73,10 +73,10 @@
 
     async def _serve_next(self) -> bool | None:
         """Serve the next request; return whether another may follow, or None if another task has taken over."""
-        end = await self.reader.read()
-        if end is ReadOutcome.CLOSING:
+        outcome = await self.reader.read()
+        if outcome is ReadOutcome.CLOSING:
             return False
-        if end is ReadOutcome.REJECTED:
+        if outcome is ReadOutcome.REJECTED:
             return await self.reply_writer.reject(self.reader.rejection_delay_ms)
         message = self.reader.take_message()
         if message is None:
--- a/sloeferry/network/connection_sweeper.py
+++ b/sloeferry/network/connection_sweeper.py
@@ -38,14 +38,14 @@
             await asyncio.sleep(READ_TIMEOUT_SECONDS / SWEEPS_PER_READ_TIMEOUT)
             server = self._server
             has_many_connections = len(server.connections) > server.budget.limit * SHORT_IDLE_TIMEOUT_RATIO
-            idle_seconds = SHORT_IDLE_TIMEOUT_SECONDS if has_many_connections else IDLE_TIMEOUT_SECONDS
+            idle_timeout_seconds = SHORT_IDLE_TIMEOUT_SECONDS if has_many_connections else IDLE_TIMEOUT_SECONDS
             for connection in list(server.connections):
-                self._sweep_connection(connection, idle_seconds)
+                self._sweep_connection(connection, idle_timeout_seconds)
             if server.lifecycle.may_close_idle(environment.monotonic_ms()):
                 server.shutdown.close_idle()
             self._close_excess_idle()
 
-    def _sweep_connection(self, connection: ClientConnection, idle_seconds: float) -> None:
+    def _sweep_connection(self, connection: ClientConnection, idle_timeout_seconds: float) -> None:
         now, stream = environment.monotonic(), connection.stream
         if connection.sending_since and now > connection.sending_since + WRITE_TIMEOUT_SECONDS:
             connection.close()
@@ -58,10 +58,10 @@
         ):
             connection.close()
         elif not connection.is_busy and not stream.completed:
-            allowed = idle_seconds
+            allowed_seconds = idle_timeout_seconds
             if connection.is_new or stream.has_begun:
-                allowed = READ_TIMEOUT_SECONDS + stream.message.body_bytes / MIN_BODY_BYTES_PER_SECOND * stream.has_begun
-            if environment.monotonic() > connection.waiting_since + allowed:
+                allowed_seconds = READ_TIMEOUT_SECONDS + stream.message.body_bytes / MIN_BODY_BYTES_PER_SECOND * stream.has_begun
+            if environment.monotonic() > connection.waiting_since + allowed_seconds:
                 if stream.has_begun:
                     connection.reader.time_out()
                 else:
@@ -85,16 +85,20 @@
             await asyncio.sleep(stall_accounting.LOOP_CHECK_INTERVAL_SECONDS)
             self._server.dispatcher.record_loop_iteration()
             self._server.stalls.note_loop_iteration()
-            now = environment.monotonic_ms()
+            now_ms = environment.monotonic_ms()
             for connection in list(self._server.connections):
-                self._check_request(connection, now)
+                self._check_request(connection, now_ms)
 
-    def _check_request(self, connection: ClientConnection, now: float) -> None:
+    def _check_request(self, connection: ClientConnection, now_ms: float) -> None:
         context = connection.request_runner.context
         # Most requests are answered before their first check, and checking a socket costs as much as a small read.
-        if not context or context.is_answered or now <= context.arrived_at + 1000 * stall_accounting.LOOP_CHECK_INTERVAL_SECONDS:
+        if (
+            not context
+            or context.is_answered
+            or now_ms <= context.arrived_at + 1000 * stall_accounting.LOOP_CHECK_INTERVAL_SECONDS
+        ):
             return
-        if now > context.deadline + OVERDUE_MS:
+        if now_ms > context.deadline + OVERDUE_MS:
             warn("request overdue", "no answer decided in time: request={}", context.request_id)
             self._server.dispatcher.client_left(context)
         elif connection.has_client_left():
--- a/sloeferry/network/request_intake.py
+++ b/sloeferry/network/request_intake.py
@@ -36,11 +36,11 @@
 
     A name that Latin-1 cannot encode has its UTF-8 form only: with a replacement character, two names could become the same.
     """
-    latin = {}
+    by_latin1_name = {}
     for name, index in indexes.items():
         with contextlib.suppress(UnicodeEncodeError):
-            latin[name.encode("latin-1")] = index
-    return latin | {name.encode("utf-8", "replace"): index for name, index in indexes.items()}
+            by_latin1_name[name.encode("latin-1")] = index
+    return by_latin1_name | {name.encode("utf-8", "replace"): index for name, index in indexes.items()}
 
 
 class RequestIntake:
@@ -60,9 +60,11 @@
         self._classes = encoded_names(settings.class_indexes())
         self._tenants = encoded_names(settings.tenant_indexes())
         classes = settings.request_classes
-        self._keyed_classes = {at for at in self._classes.values() if classes[at].idempotency is Idempotency.DEDUPLICATED}
+        self._keyed_classes = {
+            index for index in self._classes.values() if classes[index].idempotency is Idempotency.DEDUPLICATED
+        }
         self._has_affinity_keys = settings.has_affinity_keys
-        self._deadline_ms = {at: classes[at].deadline_ms for at in self._classes.values()}
+        self._deadline_ms = {index: classes[index].deadline_ms for index in self._classes.values()}
         self._sends_retry_after = settings.limits.sends_retry_after
 
     def longest_deadline_ms(self) -> float:
@@ -124,7 +126,10 @@
         return self._dispatcher.rejection_delay_ms(class_index, tenant_index, is_retry, has_waited)
 
     def unparsed_rejection_delay_ms(self, buffer: bytearray, length: int, has_waited: bool = False) -> float | None:
-        """Return the same for unparsed bytes; None also if load is not shed or they are not one complete plain request."""
+        """Return the Retry-After with which unparsed bytes are rejected; None if they have to be parsed.
+
+        Only one complete plain request can be rejected unparsed, and only during load shedding.
+        """
         if not self._dispatcher.overload.is_shedding() or self._lifecycle.is_stopping:
             return None
         headers = _plain_headers(bytes(memoryview(buffer)[:length]))
--- a/sloeferry/network/request_reader.py
+++ b/sloeferry/network/request_reader.py
@@ -67,9 +67,8 @@
             if end is StreamEnd.REJECTED_UNPARSED:
                 return ReadOutcome.REJECTED
             if stream.has_begun and not had_begun and not connection.is_new:
-                connection.waiting_since = (
-                    environment.monotonic()
-                )  # once per request: a client that sends slowly must not extend it
+                # Set once per request, so that a client that sends slowly cannot extend its timeout.
+                connection.waiting_since = environment.monotonic()
             await self._send_continue()
         return ReadOutcome.REQUEST
 
@@ -113,9 +112,9 @@
         unread_ms, self.unread_ms = max(self.unread_ms, self._server.stalls.note_loop_iteration()), 0.0
         if self.queued_since_ms is not None:
             # An upper bound only. Limited to half of the time left, or a long backlog would cause all requests to be rejected.
-            most_ms = message.attributes.time_left_ms / 2 if message.attributes else 0.0
+            max_queued_ms = message.attributes.time_left_ms / 2 if message.attributes else 0.0
             queued_ms = environment.monotonic_ms() - self.queued_since_ms
-            unread_ms, self.queued_since_ms = max(unread_ms, min(most_ms, queued_ms)), None
+            unread_ms, self.queued_since_ms = max(unread_ms, min(max_queued_ms, queued_ms)), None
         return unread_ms
 
     def reject_unparsed(self, buffer: bytearray, length: int, has_waited: bool = False) -> bool:
--- a/sloeferry/network/stall_accounting.py
+++ b/sloeferry/network/stall_accounting.py
@@ -52,10 +52,10 @@
             connection.reader.unread_ms = 0.0 if has_nothing_unread else stalled_ms
         if server.lifecycle.is_stopping:
             return
-        before = dict(server.connections)  # not just their number: accepting a connection may evict an idle one
+        connections_before = dict(server.connections)  # not just their number: accepting a connection may evict an idle one
         listener.accept(BACKLOG)  # connections that arrived during the stall
         for connection in server.connections:
-            if connection not in before:
+            if connection not in connections_before:
                 connection.reader.unread_ms = stalled_ms
         if listener.backlogged_since_ms is not None:  # some are left in the backlog: they have waited for the stall as well
             listener.backlogged_since_ms -= stalled_ms
--- a/tests/network/test_admission_queue.py
+++ b/tests/network/test_admission_queue.py
@@ -20,7 +20,7 @@
 
     def __init__(self) -> None:
         self.is_open = False
-        self.places = 0
+        self.slots = 0
         self.queue_timeout_ms = 0.0
         self.max_queue_wait_ms = NEVER_MS
         self.has_budget = True
@@ -31,7 +31,7 @@
 
     def available_slots(self) -> int:
         """Return how many requests may be admitted."""
-        return self.places
+        return self.slots
 
     def take_rejection_token(self, now: float) -> bool:
         """Return whether the rejection budget allows another rejection."""
@@ -126,9 +126,9 @@
         for connection in queue_scenario.connections[:3]:
             connection.client_end.send(b"plain")
             queue_scenario.poll(f"{connection.name} asks, no room")
-        controller.places = 1
+        controller.slots = 1
         queue_scenario.poll("room for one")
-        controller.places = 0
+        controller.slots = 0
         controller.queue_timeout_ms = -1.0
         queue_scenario.poll("the others have waited for too long")
         lines.append(f"b has {by_name['b'].client_end.recv(99)!r}")
