--- a/tests/network/test_client_disconnect.py
+++ b/tests/network/test_client_disconnect.py
@@ -1,7 +1,7 @@
-"""A client leaves while its request waits, and nothing is sent for it any more.
+"""A client disconnects while its request waits, and nothing more is sent for it.
 
-The look for clients that left, which comes every 10 ms, is put off for good: what is shown is what is known right before the
-first byte.  docs/race-conditions.md names the two events of each test.
+The periodic check for disconnected clients (every 10 ms) is disabled, so that the tests show the check right before the first
+byte of an attempt. docs/race-conditions.md lists the two racing events of each test.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def play_leaving(check_scenario: ScenarioChecker) -> ScenarioChecker:
-    """Plays a scenario between two requests of other clients; nothing of it is left behind."""
+    """Run a test between two requests of other clients and record that it leaves nothing behind."""
 
     def play(scenario: Scenario, name: str, *harnesses: InstrumentedHarness) -> None:
         async def surrounded(harness: InstrumentedHarness) -> None:
@@ -40,15 +40,15 @@
 
 
 def reset(sock: socket.socket) -> None:
-    """Closes a connection with a reset."""
+    """Close a connection with a reset."""
     sockets.reset_on_close(sock)
     sock.close()
 
 
-async def leave_before_first_byte(
+async def record_leave_before_first_byte(
     harness: InstrumentedHarness, behind: bytes | None, end: Callable[[socket.socket], Any] | None
 ) -> None:
-    """One request that is held right before its first byte, more bytes behind it, while its client ends its connection."""
+    """Send one request and hold its attempt right before the first byte; the client sends `behind` and then calls `end`."""
     with harness.before_first_byte() as gate:
         client = await harness.send_raw(harness.request_head() + (behind or b""))
         await gate.held.wait()
@@ -60,9 +60,9 @@
     await wait_until(lambda: connection not in harness.clients.connections)
 
 
-def test_before_the_first_byte(play_leaving: ScenarioChecker):
-    """An attempt is held right before its first byte, as after a stall.  Its client closes, closes behind a further byte or half
-    a request, resets, only ends its sending, or stays."""
+def test_leaves_before_first_byte(play_leaving: ScenarioChecker):
+    """An attempt is held right before its first byte, as after a stall. Its client closes the connection (also after sending one
+    more byte or a partial request), resets it, shuts down its sending side, or stays."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         for behind, end in (
@@ -73,13 +73,13 @@
             (b"", lambda sock: sock.shutdown(socket.SHUT_WR)),
             (None, None),
         ):
-            await leave_before_first_byte(harness, behind, end)
+            await record_leave_before_first_byte(harness, behind, end)
 
-    play_leaving(scenario, "crossing_first_byte")
+    play_leaving(scenario, "client_leaves_before_first_byte")
 
 
-def test_while_connecting(play_leaving: ScenarioChecker):
-    """The client leaves while the connection to the backend comes up."""
+def test_leaves_while_connecting(play_leaving: ScenarioChecker):
+    """The client leaves while the connection to the backend is being established."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         gate = Gate()
@@ -98,11 +98,11 @@
             gate.opened.set()
             await wait_until(lambda: not harness.dispatcher.requests)
 
-    play_leaving(scenario, "crossing_dial")
+    play_leaving(scenario, "client_leaves_while_connecting")
 
 
-def test_while_shedding(play_leaving: ScenarioChecker):
-    """The client leaves unread, while load is shed.  With what it sent comes its end."""
+def test_leaves_while_shedding(play_leaving: ScenarioChecker):
+    """The client leaves during load shedding, before its request is read: request and end of stream are read together."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         harness.dispatcher.overload.concurrency_limit = 0.0
@@ -112,11 +112,11 @@
         harness.dispatcher.overload.concurrency_limit = inf
         await wait_until(lambda: connection not in harness.clients.connections)
 
-    play_leaving(scenario, "crossing_door")
+    play_leaving(scenario, "client_leaves_while_shedding")
 
 
-def test_behind_the_listener(play_leaving: ScenarioChecker):
-    """The client leaves while it waits behind the listener: no descriptor is free, or another process admits clients and ends."""
+def test_leaves_in_listen_backlog(play_leaving: ScenarioChecker):
+    """The client leaves while it waits in the listen backlog, because no descriptor is free or another process was accepting."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         clients = harness.clients
@@ -133,15 +133,15 @@
             clients.budget.limit = limit
             if not is_full:
                 clients.listener.open()
-            other = await harness.connect()  # admitted behind the one that has left
+            other = await harness.connect()  # accepted after the one that has left
             await wait_until(lambda count=count: clients.connections and len(clients.connections) <= count + 1)
             await harness.request("safe", X_Call_Id="c1", connection=other)
 
-    play_leaving(scenario, "crossing_listener")
+    play_leaving(scenario, "client_leaves_in_listen_backlog")
 
 
-def test_pipelined_request(play_leaving: ScenarioChecker):
-    """Two requests come in one go, then the end.  The second is not begun once the first is given up."""
+def test_leaves_with_pipelined_request(play_leaving: ScenarioChecker):
+    """The client sends two requests at once and leaves. After the first is abandoned, the second is not started."""
     release = asyncio.Event()
 
     async def scenario(harness: InstrumentedHarness) -> None:
@@ -151,11 +151,15 @@
         release.set()
         await wait_until(lambda: connection not in harness.clients.connections)
 
-    play_leaving(scenario, "crossing_ahead", InstrumentedHarness({"b": lambda number: release if number == 2 else response()}))
+    play_leaving(
+        scenario,
+        "client_leaves_with_pipelined_request",
+        InstrumentedHarness({"b": lambda number: release if number == 2 else response()}),
+    )
 
 
-def test_half_a_body(play_leaving: ScenarioChecker):
-    """A streamed body is not begun yet, and its client leaves half way.  Not one byte goes out."""
+def test_leaves_with_partial_body(play_leaving: ScenarioChecker):
+    """The client leaves in the middle of a body whose streaming has not started. Not one byte is sent to the backend."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         finished: list[bool] = []
@@ -173,19 +177,19 @@
                 await wait_until(lambda: not harness.dispatcher.requests)
             harness.record(f"a connection untouched: {finished}")
 
-    play_leaving(scenario, "crossing_body")
+    play_leaving(scenario, "client_leaves_with_partial_body")
 
 
 class UnnamedBackendsHarness(InstrumentedHarness):
-    """Which of two backends is asked first is left to how long the first response took: they go unnamed."""
+    """A harness that omits the names of backends: which one is chosen first depends on the measured latency."""
 
     def record(self, text: str) -> None:
-        """One line."""
+        """Record one line without backend and connection numbers."""
         super().record(re.sub(r"backend \d, connection \d", "a backend", text))
 
 
-def test_no_retry(play_leaving: ScenarioChecker):
-    """The attempt ends without a response after the client has left.  There is no retry."""
+def test_no_retry_after_client_left(play_leaving: ScenarioChecker):
+    """The attempt ends without a usable response after the client has left. There is no retry."""
     release = asyncio.Event()
 
     async def scenario(harness: InstrumentedHarness) -> None:
@@ -199,11 +203,12 @@
     def script(number: int) -> bytes | asyncio.Event:
         return release if number == 2 else response()
 
-    play_leaving(scenario, "crossing_further", UnnamedBackendsHarness({"b": script, "c": script}))
+    play_leaving(scenario, "client_leaves_no_retry", UnnamedBackendsHarness({"b": script, "c": script}))
 
 
-def test_same_id_again(play_leaving: ScenarioChecker):
-    """A client leaves unnoticed and comes again under the id that it left.  One that is there still keeps its id."""
+def test_request_id_is_reusable_after_client_left(play_leaving: ScenarioChecker):
+    """A client whose disconnect was not noticed yet sends the same request id again and is served. While the first client is
+    still connected, the id is refused."""
     release = asyncio.Event()
 
     async def scenario(harness: InstrumentedHarness) -> None:
@@ -214,4 +219,8 @@
         await harness.request("safe", X_Call_Id="c0")
         release.set()
 
-    play_leaving(scenario, "crossing_same_id", InstrumentedHarness({"b": lambda number: release if number == 2 else response()}))
+    play_leaving(
+        scenario,
+        "client_leaves_request_id_reused",
+        InstrumentedHarness({"b": lambda number: release if number == 2 else response()}),
+    )
