--- a/tests/lifecycle/test_drain.py
+++ b/tests/lifecycle/test_drain.py
@@ -1,4 +1,4 @@
-"""A proxy that operators have drained."""
+"""Drain and resume by admin calls."""
 
 from unittest import mock
 
@@ -7,7 +7,7 @@
 
 
 def test_drain_and_resume(check_scenario: ScenarioChecker):
-    """Told to drain, the proxy is not ready, serves who comes and closes all connections.  Resumed, it keeps them again."""
+    """A draining proxy is not ready, still serves requests and closes all connections; after resume it keeps connections open."""
 
     async def scenario(harness: ProxyHarness) -> None:
         idle, used = await harness.connect(), await harness.connect()
@@ -27,4 +27,4 @@
         for _ in range(2):
             await harness.request("safe", connection=kept)
 
-    check_scenario(scenario, "desk_drain", ProxyHarness({"b": response()}, has_admin=True))
+    check_scenario(scenario, "drain_and_resume", ProxyHarness({"b": response()}, has_admin=True))
