--- a/sloeferry/fault_testing/event_recorder.py
+++ b/sloeferry/fault_testing/event_recorder.py
@@ -20,7 +20,7 @@
 from sloeferry.rehearsal.arrivals import PlannedRequest, plan_requests
 from sloeferry.rehearsal.scenario_tables import RequestClass
 from sloeferry.stand_ins.effect_log import EffectLog, RecentWork
-from sloeferry.stand_ins.http_messages import request_body
+from sloeferry.stand_ins.http_messages import make_request_body
 from sloeferry.stand_ins.rules import Rule
 from sloeferry.stand_ins.wire_protocol import STATUS_OK, RequestKind, RequestOutcome, outcome_of_status
 
@@ -134,7 +134,7 @@
         if (
             request_id is not None
             and self.request_class(request_id)
-            and body != request_body(request_id, self.body_bytes(request_id))
+            and body != make_request_body(request_id, self.body_bytes(request_id))
         ):
             self.violation(
                 Rule.PROTOCOL, now, f"{backend_id} got a body of {len(body)} bytes that is not {request_id.decode()}'s own"
@@ -156,7 +156,7 @@
         """A long queue makes a backend slow."""
         self.note(self._clock(), Event.BACKEND_CONGESTED, backend_id)
 
-    def backend_pushed_over(self, backend_id: str, now: float, capacity_ratio: float, recent: Iterable[RecentWork]) -> None:
+    def backend_overloaded(self, backend_id: str, now: float, capacity_ratio: float, recent: Iterable[RecentWork]) -> None:
         """A backend that warms up was pushed over by `recent`."""
         self.note(
             now,
--- a/sloeferry/fault_testing/fault_actions.py
+++ b/sloeferry/fault_testing/fault_actions.py
@@ -182,8 +182,8 @@
         for place in self.fleet.places:
             self.recorder.note(self.loop.time(), Event.DISCOVERY_UNREACHABLE, place.name, self.ends_at())
         discovery = self.fleet.discovery
-        discovery.go_down()
-        self.loop.call_later(self.fault.lasts_seconds, lambda: self.loop.create_task(discovery.come_back()))
+        discovery.stop()
+        self.loop.call_later(self.fault.lasts_seconds, lambda: self.loop.create_task(discovery.restart()))
 
 
 class DiscoveryLagAction(FaultAction):
@@ -225,7 +225,7 @@
         """Each call, until the fault is over."""
         failure = CallFailure(self.fault.failure)
         for name in self.proxy_names():
-            if not failure.reachable:
+            if not failure.is_reachable:
                 self.recorder.note(self.loop.time(), Event.DISCOVERY_UNREACHABLE, name, self.ends_at())
             self._set_failure(name, failure)
             self.loop.call_later(self.fault.lasts_seconds, self._set_failure, name, None)
--- a/sloeferry/fault_testing/fleet_audit.py
+++ b/sloeferry/fault_testing/fleet_audit.py
@@ -5,15 +5,15 @@
 from sloeferry.fleet.audit import DEFAULT_BOUND_MS, audit_fleet
 from sloeferry.fleet.fleet_config import FleetConfig, ProxyAddress
 from sloeferry.fleet.fleet_query import FleetAnswers, query_fleet
-from sloeferry.stand_ins.connection_balancer import ProxyPlace
+from sloeferry.stand_ins.connection_balancer import ProxyListener
 from sloeferry.stand_ins.discovery import StandInDiscovery
 from sloeferry.stand_ins.wire_protocol import ADMIN_PORT_OFFSET
 
 
-async def audit_running_fleet(places: list[ProxyPlace], discovery: StandInDiscovery) -> dict[str, Any]:
+async def audit_running_fleet(places: list[ProxyListener], discovery: StandInDiscovery) -> dict[str, Any]:
     """Asks all proxies at their admin addresses; discovery stands at its revision once all have answered."""
     proxies = tuple(ProxyAddress(place.name, (place.address[0], place.address[1] + ADMIN_PORT_OFFSET)) for place in places)
     fleet = FleetConfig(proxies, None)
     answers = await query_fleet(fleet)
-    answers = FleetAnswers(answers.proxies, {"revision": discovery.list.revision})
+    answers = FleetAnswers(answers.proxies, {"revision": discovery.backend_list.revision})
     return audit_fleet(fleet, answers, DEFAULT_BOUND_MS).as_json()
--- a/sloeferry/fault_testing/process_fleet.py
+++ b/sloeferry/fault_testing/process_fleet.py
@@ -29,7 +29,7 @@
 from sloeferry.rehearsal.faults import FaultInjector
 from sloeferry.rehearsal.proxy_fleet import ProxyFleet, plan_backends, plan_places
 from sloeferry.rehearsal.scenario_tables import Backends
-from sloeferry.stand_ins.connection_balancer import ProxyPlace
+from sloeferry.stand_ins.connection_balancer import ProxyListener
 from sloeferry.stand_ins.discovery import StandInDiscovery
 from sloeferry.stand_ins.platform import format_address
 from sloeferry.stand_ins.wire_protocol import BackendState
@@ -56,7 +56,7 @@
         self.tool_errors: list[str] = []  # of the tool's own processes
         self.objective_ratios: dict[int, float] = {}  # proxy -> its latency objective, times what the plan says
         self.judge = EventRecorder(plan, options.seed, pathlib.Path(host.folder, "driver.jsonl"), self.loop.time)
-        self.places: list[ProxyPlace] = plan_places(plan, port)
+        self.places: list[ProxyListener] = plan_places(plan, port)
         targets = TargetSelection(plan, port, host.rng)
         self.fault_targets = targets.targets_by_fault
         self._links = targets.links
@@ -196,7 +196,7 @@
             self.loop.call_at(now + self.plan.rig.audit_s, lambda: self.loop.create_task(self._audit()))
 
     async def _audit(self) -> None:
-        self.judge.note(self.loop.time(), Event.AUDIT_BEGAN, self.discovery.list.revision)
+        self.judge.note(self.loop.time(), Event.AUDIT_BEGAN, self.discovery.backend_list.revision)
         result = await audit_running_fleet(self.places, self.discovery)
         self.judge.note(self.loop.time(), Event.AUDIT_ENDED, result)
 
@@ -206,7 +206,7 @@
             proxy.is_over = True
             proxy.send_signal()
         await asyncio.gather(*(worker.end() for worker in self._all_workers))
-        self.discovery.go_down()
+        self.discovery.stop()
         until = self.loop.time() + SHUTDOWN_TIMEOUT_SECONDS
         while any(proxy.process for proxy in self.proxies) and self.loop.time() < until:
             await asyncio.sleep(POLL_SECONDS)
--- a/sloeferry/fault_testing/process_host.py
+++ b/sloeferry/fault_testing/process_host.py
@@ -42,7 +42,7 @@
         clock_offset = self.clock_offsets_seconds.get(number)
         has_failing_calls = number in self.failing_call_proxies
         is_flaky = clock_offset is not None or has_failing_calls
-        arguments, environment = processes.command(FLAKY_PROXY if is_flaky else "sloeferry")
+        arguments, environment = processes.proxy_command(FLAKY_PROXY if is_flaky else "sloeferry")
         if clock_offset is not None:
             environment["SLOEFERRY_RIG_CLOCK"] = repr(clock_offset)
         if has_failing_calls:
--- a/sloeferry/fault_testing/record_replay.py
+++ b/sloeferry/fault_testing/record_replay.py
@@ -132,7 +132,7 @@
 
     def _backend_overloaded(self, at: float, backend: str, warm_up_fraction: float, sent: list) -> None:
         recent = [RecentWork(sent_at, work_ms, request_id.encode()) for sent_at, work_ms, request_id in sent]
-        self._judge.backend_pushed_over(backend, at, warm_up_fraction, recent)
+        self._judge.backend_overloaded(backend, at, warm_up_fraction, recent)
 
     def _backend_congested(self, at: float, backend: str) -> None:
         self._judge.congestion_began(backend)
--- a/sloeferry/fault_testing/shared_balancer.py
+++ b/sloeferry/fault_testing/shared_balancer.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from sloeferry.rehearsal.scenario_tables import BalancerSettings
-from sloeferry.stand_ins.connection_balancer import ConnectionBalancer, ProxyPlace
+from sloeferry.stand_ins.connection_balancer import ConnectionBalancer, ProxyListener
 
 MIN_POLL_INTERVAL_SECONDS = 0.05
 MAX_POLLS_PER_SECOND = 400  # of all proxies together
@@ -29,7 +29,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         settings: BalancerSettings,
-        places: list[ProxyPlace],
+        places: list[ProxyListener],
         on_change: Callable[[str, bool], None],
     ):
         super().__init__(loop, settings, places)
--- a/sloeferry/fault_testing/worker_roles.py
+++ b/sloeferry/fault_testing/worker_roles.py
@@ -13,7 +13,7 @@
 from sloeferry.fault_testing.worker_protocol import ReportKind, WorkerConfig, WorkerReport, WorkerRole
 from sloeferry.stand_ins.backends import StandInBackend
 from sloeferry.stand_ins.clients import StandInClients
-from sloeferry.stand_ins.connection_balancer import ConnectionBalancer, ProxyPlace
+from sloeferry.stand_ins.connection_balancer import ConnectionBalancer, ProxyListener
 from sloeferry.stand_ins.deduplication import DeduplicationStores
 
 DRAIN_CHECK_SECONDS = 0.02
@@ -58,7 +58,7 @@
             tuple(address),
             zone,
             self._recorder,
-            self._deduplication_stores.of_zone(zone),
+            self._deduplication_stores.for_zone(zone),
             self._plan.obligations,
             Random(f"{self._config.seed}/node-{number}"),
         )
@@ -102,7 +102,7 @@
 
     def __init__(self, *arguments: Any):
         super().__init__(*arguments)
-        places = [ProxyPlace(name, tuple(address), zone) for name, address, zone in self._config.places]
+        places = [ProxyListener(name, tuple(address), zone) for name, address, zone in self._config.places]
         self._balancer = ConnectionBalancer(self._loop, self._plan.balancer, places)
         self._clients = [self._create_clients(index, zone) for index, zone in enumerate(self._plan.network.zones)]
 
@@ -121,11 +121,11 @@
         """The run began, in loop time: one clock for all processes of a machine."""
         self._recorder.began_at = now
         for clients in self._clients:
-            clients.begin(now)
+            clients.schedule_requests(now)
         self._loop.call_at(now + self._plan.seconds, self._report_open_calls)
 
     def _report_open_calls(self) -> None:
-        send_report(ReportKind.OPEN_CALLS, sum(clients.open_count for clients in self._clients))
+        send_report(ReportKind.OPEN_CALLS, sum(clients.open_request_count for clients in self._clients))
         self._loop.call_later(OPEN_CALLS_REPORT_SECONDS, self._report_open_calls)
 
     async def set_alive(self, proxy: str, is_alive: bool) -> None:
--- a/sloeferry/fleet/admin_client.py
+++ b/sloeferry/fleet/admin_client.py
@@ -38,7 +38,7 @@
     evidence: str
 
 
-async def call(address: Address, path: str, method: str = "GET") -> JsonObject | NoAnswer:
+async def request_json(address: Address, path: str, method: str = "GET") -> JsonObject | NoAnswer:
     """One call: the JSON object that came with 200 or 202, or why there is none."""
     writer = None
     kind = NoAnswerKind.UNREACHABLE
--- a/sloeferry/fleet/bring_up.py
+++ b/sloeferry/fleet/bring_up.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from sloeferry.fleet.admin_client import NoAnswer, call
+from sloeferry.fleet.admin_client import NoAnswer, request_json
 from sloeferry.fleet.audit import audit_fleet
 from sloeferry.fleet.audit_record import FleetAudit, Subject
 from sloeferry.fleet.fleet_config import FleetConfig
@@ -67,7 +67,7 @@
     for name, subject in due:
         if calls:
             await asyncio.sleep(pace_seconds)
-        answer = await call(addresses[name], PATHS[subject], "POST")
+        answer = await request_json(addresses[name], PATHS[subject], "POST")
         calls.append(BringUpCall(name, subject, answer.evidence if isinstance(answer, NoAnswer) else "yes"))
         report(f"{name}: {PATHS[subject]}: {calls[-1].answer}")
     give_up_at = loop.time() + patience_seconds
--- a/sloeferry/fleet/fleet_query.py
+++ b/sloeferry/fleet/fleet_query.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import NamedTuple, cast
 
-from sloeferry.fleet.admin_client import JsonObject, NoAnswer, NoAnswerKind, call
+from sloeferry.fleet.admin_client import JsonObject, NoAnswer, NoAnswerKind, request_json
 from sloeferry.fleet.documents import ActsDocument, VersionsDocument
 from sloeferry.fleet.fleet_config import FleetConfig, ProxyAddress
 
@@ -67,19 +67,19 @@
             self._progress(sum(not _is_not_asked(answer) for answer in self.answers))
 
     async def _answer(self, proxy: ProxyAddress) -> ProxyAnswer | NoAnswer:
-        versions = await call(proxy.address, "/admin/versions")
+        versions = await request_json(proxy.address, "/admin/versions")
         if isinstance(versions, NoAnswer):
             return versions
         if versions.get("name") != proxy.name:
             return NoAnswer(NoAnswerKind.WRONG_PROXY, f"says that it is {versions.get('name')!r}")
-        acts = await call(proxy.address, self._acts_path)
+        acts = await request_json(proxy.address, self._acts_path)
         if isinstance(acts, NoAnswer):
             return acts
         return ProxyAnswer(cast(VersionsDocument, versions), cast(ActsDocument, acts))
 
     async def ask_discovery(self, address: tuple[str, int]) -> None:
         """Asks for the endpoint list."""
-        self.endpoint_list = await call(address, "/v1/endpoints")
+        self.endpoint_list = await request_json(address, "/v1/endpoints")
 
 
 def _is_not_asked(answer: ProxyAnswer | NoAnswer) -> bool:
--- a/sloeferry/load_testing/load_run.py
+++ b/sloeferry/load_testing/load_run.py
@@ -200,7 +200,7 @@
         proxy = self._proxies[ordinal]
         match disruption.kind:
             case DisruptionKind.CPU_SHARE:
-                proxy.throttle.share = disruption.value
+                proxy.throttle.cpu_ratio = disruption.value
             case DisruptionKind.STALL:
                 proxy.throttle.pause(disruption.value)
             case DisruptionKind.RESTART:
--- a/sloeferry/load_testing/proxy_config.py
+++ b/sloeferry/load_testing/proxy_config.py
@@ -7,7 +7,7 @@
 
 from sloeferry.load_testing.plan import LoadPlan, RequestClassLoad
 from sloeferry.stand_ins import platform
-from sloeferry.stand_ins.backend_list import make_entry
+from sloeferry.stand_ins.backend_list import make_backend_entry
 from sloeferry.stand_ins.wire_protocol import BackendState, RequestKind
 
 DEDUPLICATION_WINDOW_MS = 30_000
@@ -64,6 +64,7 @@
 def endpoint_document(addresses: Sequence[tuple[str, int]]) -> dict[str, Any]:
     """The endpoint list, as discovery tells it, of backends that all serve."""
     members = [
-        make_entry(f"b{index}", address, ZONE, MACHINE_KIND, BackendState.READY, 0) for index, address in enumerate(addresses)
+        make_backend_entry(f"b{index}", address, ZONE, MACHINE_KIND, BackendState.READY, 0)
+        for index, address in enumerate(addresses)
     ]
     return {"revision": 1, "complete": True, "members": members}
--- a/sloeferry/load_testing/proxy_process.py
+++ b/sloeferry/load_testing/proxy_process.py
@@ -143,7 +143,7 @@
         self.lag_probe.is_over.set()
         if self.throttle.is_alive():
             self.throttle.join()
-        processes.end(self.process)
+        processes.terminate(self.process)
 
 
 def extract_revision(revision: str, folder: str) -> pathlib.Path:
--- a/sloeferry/rehearsal/backend_faults.py
+++ b/sloeferry/rehearsal/backend_faults.py
@@ -69,7 +69,7 @@
 
         def switch(backend: StandInBackend, is_on: bool) -> None:
             is_over = self._loop.time() >= ends_at
-            backend.change(neighbour_share=fault.machine_share if is_on and not is_over else 0.0)
+            backend.change(neighbour_cpu_ratio=fault.machine_share if is_on and not is_over else 0.0)
             if not is_over:
                 self._loop.call_later(fault.interval_ms / 1000 * rng.uniform(*NEIGHBOUR_SPREAD), switch, backend, not is_on)
 
--- a/sloeferry/rehearsal/faults.py
+++ b/sloeferry/rehearsal/faults.py
@@ -46,14 +46,14 @@
 
     def _stop_discovery(self, fault: scenario_faults.DiscoveryOutage, rng: Random) -> None:
         discovery = self._fleet.discovery
-        discovery.go_down()
-        self._loop.call_later(fault.lasts, lambda: self._loop.create_task(discovery.come_back()))
+        discovery.stop()
+        self._loop.call_later(fault.lasts, lambda: self._loop.create_task(discovery.restart()))
 
     def _move_discovery(self, fault: scenario_faults.DiscoveryMove, rng: Random) -> None:
         """It goes on elsewhere; proxies are told by a new configuration and SIGHUP."""
         proxies = self._fleet.proxies
-        self._fleet.discovery.go_down()
-        self._loop.create_task(self._fleet.discovery.come_back(len(proxies)))
+        self._fleet.discovery.stop()
+        self._loop.create_task(self._fleet.discovery.restart(len(proxies)))
         for proxy in proxies:
             self._loop.call_later(MAX_RELOAD_DELAY_SECONDS * rng.random(), proxy.reload)
 
--- a/sloeferry/rehearsal/judge.py
+++ b/sloeferry/rehearsal/judge.py
@@ -12,7 +12,7 @@
 from sloeferry.rehearsal.scenario import Scenario
 from sloeferry.rehearsal.scenario_tables import RequestClass
 from sloeferry.stand_ins.effect_log import EffectLog, RecentWork
-from sloeferry.stand_ins.http_messages import request_body
+from sloeferry.stand_ins.http_messages import make_request_body
 from sloeferry.stand_ins.rules import Rule
 from sloeferry.stand_ins.wire_protocol import REJECTED_STATUSES, STATUS_OK, RequestKind, RequestOutcome, outcome_of_status
 
@@ -172,7 +172,7 @@
 
     def body_received(self, backend_id: str, request_id: bytes | None, body: bytes, now: float) -> None:
         """See EffectLog: the body has to be the one that its client sent."""
-        if self.request_class(request_id) and body != request_body(request_id, self.body_bytes(request_id)):
+        if self.request_class(request_id) and body != make_request_body(request_id, self.body_bytes(request_id)):
             text = f"{backend_id} got {len(body)} bytes as the body of {format_id(request_id)}, which are not its own"
             self.violation(Rule.PROTOCOL, now, text)
 
@@ -236,7 +236,7 @@
         """See EffectLog."""
         self.congested_backends.add(backend_id)
 
-    def backend_pushed_over(self, backend_id: str, now: float, capacity_ratio: float, recent: Sequence[RecentWork]) -> None:
+    def backend_overloaded(self, backend_id: str, now: float, capacity_ratio: float, recent: Sequence[RecentWork]) -> None:
         """See EffectLog.  Rule 4 holds against those who could know: most of the work came from who was told."""
         self.pushed_over_count += 1
         knowing_ms = sum(work.work_ms for work in recent if self._knew_start(backend_id, work))
--- a/sloeferry/rehearsal/live.py
+++ b/sloeferry/rehearsal/live.py
@@ -71,7 +71,7 @@
 
     def command(self, proxy: "LiveProxy") -> ProxyCommand:
         """How a proxy is started."""
-        return ProxyCommand(*processes.command(), None)
+        return ProxyCommand(*processes.proxy_command(), None)
 
     def process_started(self, process: asyncio.subprocess.Process) -> None:
         """A proxy's process has been started."""
@@ -172,7 +172,7 @@
         """See ProxyHandle."""
         self.cpu_share = share
         if self._throttle:
-            self._throttle.share = share
+            self._throttle.cpu_ratio = share
         elif share < 1 and self.process:
             self._throttle = Throttle(self.process.pid, share)
             self._throttle.start()
@@ -226,7 +226,7 @@
         for proxy in fleet.proxies:
             proxy.is_over = True
             proxy.send_signal()
-        fleet.discovery.go_down()
+        fleet.discovery.stop()
         for backend in fleet.backends:
             backend.crash()
         await wait_until_ended(fleet)
--- a/sloeferry/rehearsal/proxy_fleet.py
+++ b/sloeferry/rehearsal/proxy_fleet.py
@@ -18,7 +18,7 @@
 from sloeferry.stand_ins import platform
 from sloeferry.stand_ins.backends import StandInBackend
 from sloeferry.stand_ins.clients import StandInClients
-from sloeferry.stand_ins.connection_balancer import ConnectionBalancer, ProxyPlace
+from sloeferry.stand_ins.connection_balancer import ConnectionBalancer, ProxyListener
 from sloeferry.stand_ins.deduplication import DeduplicationStores
 from sloeferry.stand_ins.discovery import StandInDiscovery
 from sloeferry.stand_ins.rules import Rule
@@ -70,11 +70,11 @@
     return planned
 
 
-def plan_places(scenario: Scenario, port: int) -> list[ProxyPlace]:
+def plan_places(scenario: Scenario, port: int) -> list[ProxyListener]:
     """Where the proxies stand, dealt out over the zones in turn."""
     zones = scenario.network.zones
     return [
-        ProxyPlace(f"p{index}", (loopback_address(PROXY_BLOCK, index), port), zones[index % len(zones)])
+        ProxyListener(f"p{index}", (loopback_address(PROXY_BLOCK, index), port), zones[index % len(zones)])
         for index in range(scenario.proxies.count)
     ]
 
@@ -131,7 +131,7 @@
             address,
             zone,
             self.judge,
-            self._deduplication_stores.of_zone(zone),
+            self._deduplication_stores.for_zone(zone),
             self.scenario.obligations,
             self.environment.rng(f"node-{index}"),
         )
@@ -192,7 +192,7 @@
             memory_mb=proxies.memory_mb,
             cores=proxies.cpu_share,
             admin=(address[0], address[1] + ADMIN_PORT_OFFSET),
-            known_list=self.discovery.last_list_of(name),
+            known_list=self.discovery.last_sent_list(name),
         )
 
     @staticmethod
@@ -214,12 +214,12 @@
         """Clients and faults begin, at that time of the loop."""
         self.judge.began_at = now
         for clients in self.clients:
-            clients.begin(now)
+            clients.schedule_requests(now)
         FaultInjector(self).begin(now)
 
     def is_busy(self) -> bool:
         """Whether a client waits for an answer."""
-        return any(clients.open_count for clients in self.clients)
+        return any(clients.open_request_count for clients in self.clients)
 
     def record(self, now: float) -> dict[str, Any]:
         """The play's record, once all that could end has ended."""
--- a/sloeferry/stand_ins/backend_list.py
+++ b/sloeferry/stand_ins/backend_list.py
@@ -21,7 +21,9 @@
     entry: Entry
 
 
-def make_entry(backend_id: str, address: tuple[str, int], zone: str, machine_kind: str, state: str, started_at_ms: int) -> Entry:
+def make_backend_entry(
+    backend_id: str, address: tuple[str, int], zone: str, machine_kind: str, state: str, started_at_ms: int
+) -> Entry:
     """One backend's entry; `started_at_ms` is Unix time."""
     return {
         "id": backend_id,
--- a/sloeferry/stand_ins/backends.py
+++ b/sloeferry/stand_ins/backends.py
@@ -61,7 +61,7 @@
         self.served_count = 0
         # What may be wrong with it, set by `change`.
         self.is_cut_off = False  # from the network: it hears and says nothing
-        self.neighbour_share = 0.0  # of its machine, that another program takes
+        self.neighbour_cpu_ratio = 0.0  # of its machine, that another program takes
         self.slowdown = 1.0
         self.error_odds = 0.0
         self.truncation_odds = 0.0
@@ -159,7 +159,7 @@
         if self._is_stalled():
             return 0.0
         capacity_ratio = self.warm_up.capacity_ratio(self.loop.time())
-        undisturbed = self.settings.speed * capacity_ratio * (1 - self.neighbour_share)
+        undisturbed = self.settings.speed * capacity_ratio * (1 - self.neighbour_cpu_ratio)
         return undisturbed / self.slowdown / self._congestion.slowdown()
 
     def _look(self) -> None:
--- a/sloeferry/stand_ins/call_failures.py
+++ b/sloeferry/stand_ins/call_failures.py
@@ -7,7 +7,7 @@
 import asyncio
 import enum
 
-from sloeferry.stand_ins.http_messages import response
+from sloeferry.stand_ins.http_messages import make_response
 
 LATE_REFUSAL_SECONDS = 1.0  # that a call waits in vain before discovery ends it
 
@@ -23,7 +23,7 @@
     UNREACHABLE = "unreachable"  # no connection comes up
 
     @property
-    def reachable(self) -> bool:
+    def is_reachable(self) -> bool:
         """Whether discovery counts as reachable meanwhile: if so, what it has to tell counts as told in time."""
         return self not in (CallFailure.LATE_REFUSED, CallFailure.UNREACHABLE)
 
@@ -34,7 +34,7 @@
 def fail(loop: asyncio.AbstractEventLoop, transport: asyncio.Transport, failure: CallFailure) -> None:
     """Ends a call whose request has come, or leaves it without an answer."""
     if failure is CallFailure.REFUSED:
-        transport.write(response(503))
+        transport.write(make_response(503))
         transport.close()
     elif failure is CallFailure.LATE_REFUSED:
         loop.call_later(LATE_REFUSAL_SECONDS, _refuse_late, transport)
@@ -47,5 +47,5 @@
 
 def _refuse_late(transport: asyncio.Transport) -> None:
     if not transport.is_closing():
-        transport.write(response(503))
+        transport.write(make_response(503))
         transport.close()
--- a/sloeferry/stand_ins/client_requests.py
+++ b/sloeferry/stand_ins/client_requests.py
@@ -3,7 +3,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from sloeferry.stand_ins.http_messages import encode_chunked, request_body
+from sloeferry.stand_ins.http_messages import encode_chunked, make_request_body
 from sloeferry.stand_ins.wire_protocol import RequestKind
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
     ]
     if try_number:
         head.append(b"X-Again: 1")
-    body = request_body(request_id, body_bytes)
+    body = make_request_body(request_id, body_bytes)
     chunked_ratio = scenario.clients.chunked_body_ratio
     if request_class.kind != RequestKind.IDEMPOTENT:
         if chunked_ratio and rng.random() < chunked_ratio:
--- a/sloeferry/stand_ins/clients.py
+++ b/sloeferry/stand_ins/clients.py
@@ -9,7 +9,7 @@
 from sloeferry.stand_ins import wire_protocol
 from sloeferry.stand_ins.client_connection import ClientConnection, NoResponse, Response
 from sloeferry.stand_ins.client_requests import make_request, make_request_id
-from sloeferry.stand_ins.connection_balancer import CONNECT_TIMEOUT_SECONDS, ConnectionBalancer, ProxyPlace
+from sloeferry.stand_ins.connection_balancer import CONNECT_TIMEOUT_SECONDS, ConnectionBalancer, ProxyListener
 from sloeferry.stand_ins.effect_log import ClientLog
 from sloeferry.stand_ins.rules import Rule
 from sloeferry.stand_ins.wire_protocol import RequestKind, RequestOutcome
@@ -44,7 +44,7 @@
         rng: Random,
     ):
         self.planned_requests = planned_requests
-        self.open_count = 0  # requests whose client is not done with them
+        self.open_request_count = 0  # requests whose client is not done with them
         self.pools: dict[int, list[ClientConnection]] = {}  # idle connections by client
         self._loop = loop
         self._scenario = scenario
@@ -54,13 +54,13 @@
         self._log = log
         self._rng = rng
 
-    def begin(self, now: float) -> None:
+    def schedule_requests(self, now: float) -> None:
         """The play begins, at that time of the loop."""
         for planned in self.planned_requests:
             self._loop.call_at(now + planned.starts_at, self._start, planned)
 
     def _start(self, planned: "PlannedRequest") -> None:
-        self.open_count += 1
+        self.open_request_count += 1
         self._loop.create_task(self._carry(planned))
 
     async def _carry(self, planned: "PlannedRequest") -> None:
@@ -81,7 +81,7 @@
                 pause_seconds = max(pause_seconds, result.retry_after_seconds)
             await asyncio.sleep(pause_seconds)
         self._log.request_ended(planned, result.outcome, self._loop.time())
-        self.open_count -= 1
+        self.open_request_count -= 1
 
     async def _try(self, planned: "PlannedRequest", try_number: int) -> TryResult:
         """One try; a request that may have crossed the closing of an idle connection is sent once more, on a new one."""
@@ -122,7 +122,7 @@
             await asyncio.sleep(RECONNECT_SECONDS)
         return None
 
-    async def _open_connection(self, place: ProxyPlace, until: float) -> ClientConnection | None:
+    async def _open_connection(self, place: ProxyListener, until: float) -> ClientConnection | None:
         """A new connection to a proxy; None if it does not come up in time."""
         make = partial(ClientConnection, self._loop, place.name, self._unexpected_response)
         seconds_left = max(MIN_CONNECT_SECONDS, until - self._loop.time())
--- a/sloeferry/stand_ins/connection_balancer.py
+++ b/sloeferry/stand_ins/connection_balancer.py
@@ -15,7 +15,7 @@
 READY_REQUEST = b"GET %b HTTP/1.1\r\nHost: front.local\r\n\r\n" % wire_protocol.READY_PATH
 
 
-class ProxyPlace(NamedTuple):
+class ProxyListener(NamedTuple):
     """Where a proxy takes clients' connections."""
 
     name: str
@@ -26,7 +26,7 @@
 class ConnectionBalancer:
     """`alive` says of each proxy, by name, whether it gets new connections."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, settings: "BalancerSettings", places: Sequence[ProxyPlace]):
+    def __init__(self, loop: asyncio.AbstractEventLoop, settings: "BalancerSettings", places: Sequence[ProxyListener]):
         self.places = places
         self.alive = dict.fromkeys((place.name for place in places), False)
         self.poll_seconds = POLL_SECONDS
@@ -35,7 +35,7 @@
         self._turns: dict[str, int] = {}  # by zone
         self._incarnations = dict.fromkeys(self.alive, 0)  # counts starts and ends of each proxy
 
-    def pick(self, zone: str) -> ProxyPlace | None:
+    def pick(self, zone: str) -> ProxyListener | None:
         """The proxy for the next connection from a zone; None if all are down."""
         alive = [place for place in self.places if self.alive[place.name]]
         choices = [place for place in alive if place.zone == zone] or alive
--- a/sloeferry/stand_ins/deduplication.py
+++ b/sloeferry/stand_ins/deduplication.py
@@ -63,6 +63,6 @@
         self._for_all = DeduplicationStore()
         self._by_zone: dict[str, DeduplicationStore] = {}
 
-    def of_zone(self, zone: str) -> dict[str, DeduplicationStore]:
+    def for_zone(self, zone: str) -> dict[str, DeduplicationStore]:
         """Those of a backend there, by the group that a request class names: all backends, or those of its zone."""
         return {"all": self._for_all, "zone": self._by_zone.setdefault(zone, DeduplicationStore())}
--- a/sloeferry/stand_ins/discovery.py
+++ b/sloeferry/stand_ins/discovery.py
@@ -10,10 +10,10 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from sloeferry.stand_ins.backend_list import BackendList, Document, Entry, ListView, make_entry, with_addresses
+from sloeferry.stand_ins.backend_list import BackendList, Document, Entry, ListView, make_backend_entry, with_addresses
 from sloeferry.stand_ins.call_failures import CallFailure, fail
 from sloeferry.stand_ins.effect_log import EffectLog
-from sloeferry.stand_ins.http_messages import Message, MessageReader, response
+from sloeferry.stand_ins.http_messages import Message, MessageReader, make_response
 from sloeferry.stand_ins.wire_protocol import ENDPOINTS_PATH, BackendState
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
     ):
         self.loop = loop
         self.addresses = dict(addresses)
-        self.list = BackendList()
+        self.backend_list = BackendList()
         self.watches: dict[DiscoveryCall, None] = {}  # a set in the order of their coming
         self.failures: dict[str, CallFailure] = {}  # by proxy: how each of its calls fails
         self.extra_delay_seconds = 0.0  # until a change is listed
@@ -65,7 +65,7 @@
             lambda: DiscoveryCall(self, proxy), *self.addresses[proxy], backlog=LISTEN_BACKLOG
         )
 
-    def go_down(self) -> None:
+    def stop(self) -> None:
         """Watches end, nobody is let in."""
         for server in self._servers.values():
             server.close()
@@ -73,7 +73,7 @@
         for watch in list(self.watches):
             watch.abort()
 
-    async def come_back(self, port_offset: int = 0) -> None:
+    async def restart(self, port_offset: int = 0) -> None:
         """There again, so many ports further on."""
         self.addresses = {proxy: (host, port + port_offset) for proxy, (host, port) in self.addresses.items()}
         if not self._servers:
@@ -99,7 +99,7 @@
 
     def reset_revisions(self) -> None:
         """It has lost its count of revisions: what stands in the list is its revision 1."""
-        self.list.reset_revisions(self.loop.time())
+        self.backend_list.reset_revisions(self.loop.time())
         self.end_watches(set(self.addresses))
 
     # Changes
@@ -113,10 +113,10 @@
     def publish(self, backend: "StandInBackend", state: str, started_at: float | None = None) -> None:
         """A backend has started (Unix time, seconds), drains or is gone: listed, and sent to those who watch."""
         backend_id = backend.backend_id
-        started_at_ms = self.list.started_at_ms(backend_id) if started_at is None else round(started_at * 1000)
-        entry = make_entry(backend_id, backend.address, backend.zone, backend.settings.machine_kind, state, started_at_ms)
+        started_at_ms = self.backend_list.started_at_ms(backend_id) if started_at is None else round(started_at * 1000)
+        entry = make_backend_entry(backend_id, backend.address, backend.zone, backend.settings.machine_kind, state, started_at_ms)
         now = self.loop.time()
-        self.list.publish(entry, now)
+        self.backend_list.publish(entry, now)
         self._effect_log.state_published(backend_id, state, now)
         for watch in list(self.watches):
             view = self._views.get(watch.proxy)
@@ -150,12 +150,12 @@
         """The newest revision that this proxy is shown."""
         view = self._views.get(proxy)
         if view is None:
-            return self.list.revision
-        return self.list.revision_at(min(self.loop.time() - view.delay_seconds, view.until))
+            return self.backend_list.revision
+        return self.backend_list.revision_at(min(self.loop.time() - view.delay_seconds, view.until))
 
     def document_for(self, proxy: str, since: int | None) -> Document:
         """What is written to that proxy next, and the record of it."""
-        document = self.list.document(since, self.visible_revision(proxy))
+        document = self.backend_list.document(since, self.visible_revision(proxy))
         if proxy in self._link_addresses:
             document = with_addresses(document, self._link_addresses[proxy])
         self._record_sent(proxy, document)
@@ -178,7 +178,7 @@
             if entry["phase"] == BackendState.GONE:
                 del sent[backend_id]
 
-    def last_list_of(self, proxy: str) -> Document:
+    def last_sent_list(self, proxy: str) -> Document:
         """What a proxy that starts again is given: the list as it last had it."""
         if proxy not in self._sent_entries:
             return {}
@@ -226,7 +226,7 @@
             return
         path, _, query = message.first_line.split(b" ")[1].partition(b"?")
         if path != ENDPOINTS_PATH:
-            self._transport.write(response(404))
+            self._transport.write(make_response(404))
             return
         parameters = dict(part.partition(b"=")[::2] for part in query.split(b"&") if part)
         discovery.loop.call_later(discovery.reserve_turn(), self._serve, parameters)
@@ -240,7 +240,7 @@
         since = int(index) if is_known else None
         if parameters.get(b"stream") != b"1":
             document = discovery.document_for(self.proxy, since)
-            self._transport.write(response(200, json.dumps(document).encode()))
+            self._transport.write(make_response(200, json.dumps(document).encode()))
             return
         self._transport.write(WATCH_HEAD)
         discovery.watches[self] = None
--- a/sloeferry/stand_ins/effect_log.py
+++ b/sloeferry/stand_ins/effect_log.py
@@ -71,7 +71,7 @@
     def congestion_began(self, backend_id: str) -> None:
         """A backend is slowed down by its long queue."""
 
-    def backend_pushed_over(self, backend_id: str, now: float, capacity_ratio: float, recent: Sequence[RecentWork]) -> None:
+    def backend_overloaded(self, backend_id: str, now: float, capacity_ratio: float, recent: Sequence[RecentWork]) -> None:
         """A backend that warms up got more work than it can do; `recent` is what came in the span that counts."""
 
     def violation(self, rule: str, now: float, text: str) -> None:
--- a/sloeferry/stand_ins/http_messages.py
+++ b/sloeferry/stand_ins/http_messages.py
@@ -114,11 +114,11 @@
     return encoded + b"0\r\nX-Call-Class: another\r\nX-Tail: 1\r\n\r\n"
 
 
-def request_body(request_id: bytes, size_bytes: int) -> bytes:
+def make_request_body(request_id: bytes, size_bytes: int) -> bytes:
     """The body of one request: its own, so that another's, or a part of it, is known for what it is."""
     return (request_id * (size_bytes // len(request_id) + 1))[:size_bytes]
 
 
-def response(status: int, body: bytes = b"", header_lines: bytes = b"") -> bytes:
+def make_response(status: int, body: bytes = b"", header_lines: bytes = b"") -> bytes:
     """A complete response; `header_lines` end in CRLF each."""
     return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n%b\r\n%b" % (status, len(body), header_lines, body)
--- a/sloeferry/stand_ins/processes.py
+++ b/sloeferry/stand_ins/processes.py
@@ -38,7 +38,7 @@
             sock.close()
 
 
-def command(module: str = "sloeferry") -> Command:
+def proxy_command(module: str = "sloeferry") -> Command:
     """A module as the platform's `run` starts it; the environment may be added to."""
     environ = {name: value for name, value in os.environ.items() if not name.startswith(NOT_INHERITED)}
     return Command([sys.executable, "-m", module], environ)
@@ -53,7 +53,7 @@
     **environ: str,
 ) -> subprocess.Popen:
     """A proxy in a process group of its own, with that configuration; `tree`: whose code it runs (None: this folder's)."""
-    words, inherited = command(module)
+    words, inherited = proxy_command(module)
     return subprocess.Popen(
         words,
         cwd=tree,
@@ -72,7 +72,7 @@
         os.killpg(process.pid, number)
 
 
-def end(process: subprocess.Popen, timeout_seconds: float = END_TIMEOUT_SECONDS) -> None:
+def terminate(process: subprocess.Popen, timeout_seconds: float = END_TIMEOUT_SECONDS) -> None:
     """Asks a process to end, and kills it if it does not."""
     if process.poll() is not None:
         return
@@ -104,12 +104,12 @@
 class Throttle(threading.Thread):
     """Holds a process group to a share of one core, by stopping and continuing it in slices as short as the machine allows.
 
-    `share` may be changed at any time; None holds nothing.  Set `stop_requested` to end it.
+    `cpu_ratio` may be changed at any time; None holds nothing.  Set `stop_requested` to end it.
     """
 
-    def __init__(self, pid: int, share: float | None):
+    def __init__(self, pid: int, cpu_ratio: float | None):
         super().__init__(daemon=True)
-        self.share = share
+        self.cpu_ratio = cpu_ratio
         self.stop_requested = threading.Event()
         self._pid = pid
         self._paused_until = 0.0
@@ -139,11 +139,11 @@
         while not self.stop_requested.is_set():
             sleep(THROTTLE_SECONDS)
             now, used_now = monotonic(), cpu_seconds(self._pid)
-            if self.share is not None:
-                earned_seconds = (now - looked_at) * self.share
+            if self.cpu_ratio is not None:
+                earned_seconds = (now - looked_at) * self.cpu_ratio
                 saved_seconds = min(MAX_SAVED_CPU_SECONDS, saved_seconds + earned_seconds) - (used_now - used_seconds)
             looked_at, used_seconds = now, used_now
-            has_used_up = self.share is not None and saved_seconds <= 0
+            has_used_up = self.cpu_ratio is not None and saved_seconds <= 0
             self._set_stopped(now < self._paused_until or has_used_up)
 
     def _set_stopped(self, is_stopped: bool) -> None:
--- a/sloeferry/stand_ins/request_handler.py
+++ b/sloeferry/stand_ins/request_handler.py
@@ -11,7 +11,7 @@
 from sloeferry.stand_ins import wire_protocol
 from sloeferry.stand_ins.deduplication import DeduplicationStore
 from sloeferry.stand_ins.effect_log import RecentWork
-from sloeferry.stand_ins.http_messages import Message, response
+from sloeferry.stand_ins.http_messages import Message, make_response
 from sloeferry.stand_ins.rules import Rule
 from sloeferry.stand_ins.wire_protocol import RequestKind
 from sloeferry.stand_ins.work_queue import Job
@@ -74,18 +74,18 @@
         path = message.first_line.split(b" ")[1]
         if path in (wire_protocol.LOAD_PATH, wire_protocol.HEALTH_PATH):
             self._effect_log.health_check_received(backend.backend_id, HEALTH_CHECK_WORK_MS)
-            connection.respond(response(200, self.load_report() if path == wire_protocol.LOAD_PATH else b""))
+            connection.respond(make_response(200, self.load_report() if path == wire_protocol.LOAD_PATH else b""))
             return
         request_id = message.fields.get(wire_protocol.REQUEST_ID, b"")
         request_class = self._effect_log.request_class(request_id)
         if request_class is None:
             text = f"{backend.backend_id} was sent an id that nobody asked: {request_id!r}"
             self._effect_log.violation(Rule.PROTOCOL, backend.loop.time(), text)
-            connection.respond(response(400))
+            connection.respond(make_response(400))
             return
         # An error says nothing of what ran: half of them come at once, half when all has been done.
         if self._effect_log.always_fails(request_id) or backend.error_odds and self._rng.random() < backend.error_odds / 2:
-            connection.respond(response(500, b"", self._report_header()))
+            connection.respond(make_response(500, b"", self._report_header()))
             return
         work_ms = self._effect_log.work_ms(request_id)
         if self._is_pushed_over(request_id, min(work_ms, MAX_WORK_MULTIPLE * request_class.work_ms)):
@@ -104,7 +104,7 @@
         if not backend.warm_up.is_pushed_over(RecentWork(now, work_ms, request_id)):
             return False
         capacity_ratio = backend.warm_up.capacity_ratio(now)
-        self._effect_log.backend_pushed_over(backend.backend_id, now, capacity_ratio, backend.warm_up.recent_work())
+        self._effect_log.backend_overloaded(backend.backend_id, now, capacity_ratio, backend.warm_up.recent_work())
         backend.crash()
         return True
 
@@ -126,7 +126,7 @@
 
     def reject(self, connection: "BackendConnection") -> None:
         """Rejects a request that has not run."""
-        connection.respond(response(503, b"", wire_protocol.REJECTED_HEADER + self._report_header()))
+        connection.respond(make_response(503, b"", wire_protocol.REJECTED_HEADER + self._report_header()))
 
     def job_done(self, job: Job) -> None:
         """Answers a request that is done, and the repeats that have waited for it."""
@@ -153,14 +153,14 @@
 
     def _respond_now(self, connection: "BackendConnection", request_id: bytes) -> None:
         if self._backend.error_odds and self._rng.random() < self._backend.error_odds / 2:
-            connection.respond(response(500, b"", self._report_header()))
+            connection.respond(make_response(500, b"", self._report_header()))
             return
         if self._backend.truncation_odds and self._rng.random() < self._backend.truncation_odds:
             connection.truncate(TRUNCATED_RESPONSE)
             return
         self._backend.served_count += 1
         body = request_id.ljust(self._effect_log.response_bytes(request_id))
-        connection.respond(response(200, body, self._report_header()))
+        connection.respond(make_response(200, body, self._report_header()))
 
     def _report_header(self) -> bytes:
         return b"X-Load-Report: %b\r\n" % self.load_report()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,7 @@
 
 from sloeferry.errors import UsageError
 from sloeferry.fault_testing.link_relay import Link, LinkCondition, LinkState
-from sloeferry.fleet.admin_client import NoAnswer, call, parse_answer
+from sloeferry.fleet.admin_client import NoAnswer, parse_answer, request_json
 from sloeferry.fleet.audit import audit_fleet
 from sloeferry.fleet.cli import fleet
 from sloeferry.fleet.fleet_config import FleetConfig, ProxyAddress, read_fleet_config
@@ -71,7 +71,7 @@
         self.fail("it never came to that")
 
     async def holds(self, at, **what):
-        said = await call(("127.0.0.1", self.ops[at]), "/admin/versions")
+        said = await request_json(("127.0.0.1", self.ops[at]), "/admin/versions")
         if isinstance(said, NoAnswer):
             return False
         held = {
@@ -106,7 +106,7 @@
         for at in range(count):
             await self.until(lambda at=at: self.holds(at, revision=3))
         # The change, and what keeps some from it.
-        known = roster.last_list_of("p8")
+        known = roster.last_sent_list("p8")
         self.processes[8].kill()
         self.processes[8].wait()
         await link.set_condition(LinkCondition(LinkState.HOLD))
@@ -130,7 +130,7 @@
         await self.until(lambda: self.holds(8, revision=3))
 
         async def silent():  # as long as the audit takes to call it cut off
-            said = await call(("127.0.0.1", self.ops[4]), "/admin/versions")
+            said = await request_json(("127.0.0.1", self.ops[4]), "/admin/versions")
             return not isinstance(said, NoAnswer) and said["confirmed_ms"] > 5200
 
         await self.until(silent)
@@ -150,7 +150,7 @@
         roster.show_newest_list("p5", sends_missed_changes=False)  # its watch has missed a change, and only a new one brings it
         after = await self.verb("bring-up", path, "--pace", "0.05", "--patience", "2")
         garbage.close()
-        roster.go_down()
+        roster.stop()
         link.server.close()
         return before, after
 
