--- a/tests/network/test_discovery_client.py
+++ b/tests/network/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The endpoint list: polls, watches and what keeps serving without them."""
+"""The discovery client: polls, watches, and serving with the cached list while discovery is down."""
 
 import asyncio
 import types
@@ -17,11 +17,11 @@
 from tests.support.instrumented_harness import InstrumentedHarness, wait_until
 from tests.support.proxy_harness import ProxyHarness, ScenarioChecker
 
-ARRIVAL_SECONDS = 0.1  # for a list that was written to have arrived
+ARRIVAL_SECONDS = 0.1  # within which a written list arrives
 
 
-def test_endpoint_list(check_scenario: ScenarioChecker):
-    """Changes act; what cannot be read is ignored."""
+def test_changes_apply_and_unreadable_documents_are_ignored(check_scenario: ScenarioChecker):
+    """Changes of the list take effect; unreadable documents and entries are ignored."""
 
     async def scenario(harness: ProxyHarness) -> None:
         discovery = harness.discovery
@@ -42,23 +42,25 @@
         await asyncio.sleep(ARRIVAL_SECONDS)
         await harness.request("safe")
 
-    check_scenario(scenario, "sockets_list", ProxyHarness({"b": response()}))
+    check_scenario(scenario, "discovery_list_changes", ProxyHarness({"b": response()}))
 
 
-def test_discovery_is_down(check_scenario: ScenarioChecker):
-    """Discovery is down while a proxy starts.  It is ready on the cached list, which serves: forty that restart at once would all
-    ask in the same moment."""
+def test_cached_list_serves_while_discovery_is_down(check_scenario: ScenarioChecker):
+    """Discovery is down while a proxy starts.  The proxy is ready with the cached list and serves without a poll.
+
+    Otherwise forty proxies that restart at once would all poll at the same moment.
+    """
 
     async def scenario(harness: ProxyHarness) -> None:
         harness.record(f"calls for the list before the first client: {len(harness.discovery.polls)}")
         await harness.request("safe")
 
     harness = ProxyHarness({"b": response()}, cached_endpoints=["b"], poll_within_ms=400_000)
-    check_scenario(scenario, "sockets_list_down", harness)
+    check_scenario(scenario, "discovery_down_at_start", harness)
 
 
-def test_watch_that_ends_in_any_way(check_scenario: ScenarioChecker):
-    """Whatever ends a watch, or leaves it silent, the next poll asks from the last revision on."""
+def test_poll_after_any_end_of_a_watch(check_scenario: ScenarioChecker):
+    """After any end of a watch, and after a silent one, the next poll continues from the last revision."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         discovery = harness.discovery
@@ -78,11 +80,11 @@
         STREAM_HEAD + b'30\r\n{"revision":7,"complete":false,"members":[]}   \n\r\n',
     ]
     with mock.patch("sloeferry.network.discovery_watch.MAX_SILENCE_SECONDS", 0.1):
-        check_scenario(scenario, "sockets_rough_discovery", harness)
+        check_scenario(scenario, "discovery_watch_ends", harness)
 
 
-def test_discovery_comes_back(check_scenario: ScenarioChecker):
-    """Discovery is cut off.  It is connected to until it is there, not once a poll; the cached list serves meanwhile."""
+def test_dials_until_discovery_is_back(check_scenario: ScenarioChecker):
+    """Discovery is unreachable.  One poll dials until it is reachable, and the cached list is used meanwhile."""
 
     async def scenario(harness: ProxyHarness) -> None:
         loop, port = asyncio.get_running_loop(), await harness.free_port()
@@ -101,4 +103,4 @@
         server.close()
         harness.record(f"connected, seats taken: {budget.in_use}")
 
-    check_scenario(scenario, "sockets_discovery_back", ProxyHarness({}, cached_endpoints=["nobody"]))
+    check_scenario(scenario, "discovery_reconnects", ProxyHarness({}, cached_endpoints=["unreachable"]))
--- a/tests/network/test_forwarding.py
+++ b/tests/network/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests and responses on their way through the proxy, on loopback.  Nothing is decided by how long anything takes."""
+"""Forwarding of requests and responses, on loopback.  No result depends on how long anything takes."""
 
 import asyncio
 import re
@@ -11,7 +11,7 @@
 LOAD_REPORT = 'X-Load-Report: {"inflight":1}'
 REQUEST_HEAD = "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: c1\r\nX-Call-Class: once\r\nX-Caller: acme\r\nX-Budget-Ms: 3000\r\n"
 
-# What a backend sends on its first request.
+# A backend's response to its first request, by the name of the case in the golden file.
 BAD_RESPONSES = (
     ("cut", b""),
     ("erred", response("no", 500)),
@@ -22,14 +22,14 @@
     ("endless", b"HTTP/1.1 200 X\r\n\r\nno end told, Connection: close"),
     ("huge", response("x" * (1 << 22))),
     ("nonsense", b"220 who is there?\r\n\r\n"),
-    # These come on connections that stay open, and none of them waits for more.
+    # The connection stays open after these, and the proxy must not wait for more.
     ("3 GB", b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nx"),
     ("head without end", b"HTTP/1.1 200 X\r\n" + b"A: b\r\n" * 9000),
     ("1xx without end", b"HTTP/1.1 103 X\r\n\r\n" * 2000),
     ("length too long", b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\nshort"),
     ("two lengths", b"HTTP/1.1 200 X\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc"),
 )
-# Good responses, with more behind them, ahead of them or in their load report.
+# Valid responses with surplus bytes after them, an interim response before them, or an unusual load report.
 RESPONSES_WITH_MORE = (
     response("x" * 400000),
     response() + b"\x00\xff noise\r\n\r\n",
@@ -43,7 +43,7 @@
 
 
 def test_request_and_response_are_forwarded(check_scenario: ScenarioChecker):
-    """Method, path, query, body, id and key are forwarded unchanged, the response back; connections are kept."""
+    """Method, path, query, body, id and key are forwarded unchanged, as is the response; connections are reused."""
 
     async def scenario(harness: ProxyHarness) -> None:
         client = await harness.connect()
@@ -51,11 +51,11 @@
         await harness.request("safe", connection=client)
         await harness.request("safe", connection=client, X_Budget_Ms="99999999")
 
-    check_scenario(scenario, "sockets_passing_on", ProxyHarness({"b": response("done", 200, LOAD_REPORT)}))
+    check_scenario(scenario, "forwarding_unchanged", ProxyHarness({"b": response("done", 200, LOAD_REPORT)}))
 
 
 class CaseHarness(ProxyHarness):
-    """One case of a table."""
+    """A proxy whose backends send one of the bad responses to their first request, or are unreachable."""
 
     def __init__(self, case: str, class_name: str, first_response: Script):
         def script(number: int) -> Script:
@@ -65,15 +65,17 @@
         if is_reachable:
             super().__init__({"b": script, "c": script})
         else:
-            super().__init__({}, cached_endpoints=["nobody"])
+            super().__init__({}, cached_endpoints=["unreachable"])
         self.case = case
         self.class_name = class_name
 
 
-def test_progress_decides_what_follows(check_scenario: ScenarioChecker):
-    """A backend fails in every way, on its first request.  How many bytes went out decides: a non-idempotent request is rejected
-    only where nothing ran, else it fails; an idempotent one is retried at the other backend; a backend's own 429 or 503 is
-    never forwarded."""
+def test_bad_response_is_retried_or_failed_by_progress(check_scenario: ScenarioChecker):
+    """A backend fails in various ways on its first request, and the bytes written decide what follows.
+
+    A non-idempotent request is rejected only if it has not run, and fails otherwise.  An idempotent one is retried at the other
+    backend.  A backend's own 429 or 503 is never forwarded.
+    """
 
     async def scenario(harness: CaseHarness) -> None:
         harness.record(f"-- {harness.case}")
@@ -81,59 +83,61 @@
 
     cases = [CaseHarness(case, class_name, bad) for case, bad in BAD_RESPONSES for class_name in ("once", "safe")]
     cases.append(CaseHarness("refused", "once", None))
-    check_scenario(scenario, "sockets_bytes", *cases)
+    check_scenario(scenario, "forwarding_bad_responses", *cases)
+
 
+def test_surplus_bytes_after_a_response(check_scenario: ScenarioChecker):
+    """A valid response is forwarded whatever its size, the bytes around it and its load report.
 
-def test_bytes_beyond_a_response(check_scenario: ScenarioChecker):
-    """A good response stands, however large within memory and whatever comes behind it, ahead of it or in its load report.  A
-    connection on which more came is closed."""
+    A connection with surplus bytes after a response is closed.
+    """
 
     async def scenario(harness: ProxyHarness) -> None:
         for _ in RESPONSES_WITH_MORE:
             await harness.request("once")
 
-    check_scenario(scenario, "sockets_more", ProxyHarness({"b": lambda number: RESPONSES_WITH_MORE[number - 1]}))
+    check_scenario(scenario, "forwarding_surplus_bytes", ProxyHarness({"b": lambda number: RESPONSES_WITH_MORE[number - 1]}))
 
 
-def test_silent_backend(check_scenario: ScenarioChecker):
-    """Nothing comes back.  There is a final answer all the same, before the client gives up."""
+def test_silent_backend_times_out(check_scenario: ScenarioChecker):
+    """A backend never responds.  The client gets a final response before its deadline."""
 
     async def scenario(harness: ProxyHarness) -> None:
         await harness.request("once")
-        await asyncio.sleep(0.7)  # what was given up on counts as in flight for as long again
+        await asyncio.sleep(0.7)  # an attempt that timed out counts as in flight for as long again
         await harness.request("safe")
 
-    check_scenario(scenario, "sockets_silent", ProxyHarness({"b": None}, deadline_ms=300))
+    check_scenario(scenario, "forwarding_silent_backend", ProxyHarness({"b": None}, deadline_ms=300))
 
 
-def test_dead_connection(check_scenario: ScenarioChecker):
-    """A kept connection that its backend has closed is found before anything is written to it."""
+def test_closed_idle_connection_is_not_reused(check_scenario: ScenarioChecker):
+    """An idle connection that its backend has closed is detected before a request is written to it."""
 
     async def scenario(harness: ProxyHarness) -> None:
         for _ in range(3):
             await harness.request("once")
             for writer in harness.backends.writers:
                 writer.close()
-            await asyncio.sleep(0.05)  # for the end to arrive
+            await asyncio.sleep(0.05)  # until the close has arrived
 
-    check_scenario(scenario, "sockets_dead_connection", ProxyHarness({"b": response()}))
+    check_scenario(scenario, "forwarding_closed_idle_connection", ProxyHarness({"b": response()}))
 
 
-def test_what_http_allows_a_client(check_scenario: ScenarioChecker):
-    """What HTTP/1.1 allows a client, and an old one: all of it is served."""
+def test_http_features_of_clients(check_scenario: ScenarioChecker):
+    """Pipelining, chunked bodies, HTTP/1.0, Connection: close, Expect: 100-continue and a slow head are supported."""
 
     async def scenario(harness: ProxyHarness) -> None:
         pipelining = await harness.connect()
-        pipelining[1].write((REQUEST_HEAD + "Content-Length: 3\r\n\r\none").encode())  # both at once
+        pipelining[1].write((REQUEST_HEAD + "Content-Length: 3\r\n\r\none").encode())  # with the next one, both at once
         await harness.send(REQUEST_HEAD + "Content-Length: 3\r\n\r\ntwo", pipelining)
         await harness.send(b"", pipelining)
         await harness.send(REQUEST_HEAD + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
         await harness.send(REQUEST_HEAD.replace("1.1", "1.0", 1) + "Content-Length: 0\r\n\r\n")
         await harness.send(REQUEST_HEAD + "Connection: close\r\nContent-Length: 0\r\n\r\n")
-        patient = await harness.connect()
-        patient[1].write((REQUEST_HEAD + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n").encode())
-        harness.record((await patient[0].readuntil(b"\r\n\r\n")).decode().strip())
-        await harness.send("body", patient)
+        expecting = await harness.connect()
+        expecting[1].write((REQUEST_HEAD + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n").encode())
+        harness.record((await expecting[0].readuntil(b"\r\n\r\n")).decode().strip())
+        await harness.send("body", expecting)
         slow = await harness.connect()
         for part in re.findall(r"(?s).{1,40}", REQUEST_HEAD + "Content-Length: 4\r\n\r\n"):
             slow[1].write(part.encode())
@@ -141,11 +145,14 @@
         await harness.send("drip", slow)
 
     chunked = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nit\r\n3\r\n is\r\n0\r\n\r\n"
-    check_scenario(scenario, "sockets_manners", ProxyHarness({"b": chunked}))
+    check_scenario(scenario, "forwarding_http_features", ProxyHarness({"b": chunked}))
 
 
 def test_failing_policy(check_scenario: ScenarioChecker):
-    """The policy raises, or never decides.  One request is lost with it, answered in time; others go on."""
+    """The policy raises an exception, or never decides.
+
+    Only the request concerned fails, with a response in time; the others are served.
+    """
 
     async def scenario(harness: ProxyHarness) -> None:
         with mock.patch.object(Policy, "request_arrived", side_effect=ZeroDivisionError):
@@ -157,4 +164,4 @@
             await harness.request("safe")
         await harness.request("safe")
 
-    check_scenario(scenario, "sockets_failing_decisions", ProxyHarness({"b": response()}, deadline_ms=300))
+    check_scenario(scenario, "forwarding_failing_policy", ProxyHarness({"b": response()}, deadline_ms=300))
