--- a/sloeferry/fault_testing/__init__.py
+++ b/sloeferry/fault_testing/__init__.py
@@ -1,1 +1,1 @@
-"""Fault testing: real proxy processes, stand-in backends and clients in a few worker processes, and faults between them."""
+"""Fault testing with real proxy processes, stand-in backends and clients in worker processes, and injected faults."""
--- a/sloeferry/fault_testing/audit_check.py
+++ b/sloeferry/fault_testing/audit_check.py
@@ -1,4 +1,4 @@
-"""Whether the fleet's audit and the records of the same run contradict each other."""
+"""Consistency check between the fleet's audit and the records of the same run."""
 
 from typing import Any, NamedTuple
 
@@ -9,38 +9,38 @@
 
 
 class WrittenList(NamedTuple):
-    """The newest list that was written to a proxy, and when."""
+    """The newest endpoint list that discovery wrote to a proxy, and the loop time at which it did."""
 
     revision: int
     at: float
 
 
 class AuditCheck:
-    """The audit's result, and what proxies had been notified of before and after it.  Times are loop times."""
+    """The audit's result, and the list revisions that proxies had been sent before and after it; times are loop times."""
 
     def __init__(self) -> None:
         self.result: dict[str, Any] | None = None
-        self.last_written: dict[str, WrittenList] = {}  # proxy -> what was written to it last
+        self.last_written: dict[str, WrittenList] = {}  # by proxy
         self._began_at = 0.0
         self._newest_revision = 0
         self._notified_before: dict[str, int] = {}
         self._notified_after: dict[str, int] = {}
 
     def begin(self, at: float, newest_revision: int) -> None:
-        """The fleet is asked; discovery stands at that revision."""
+        """Note that the audit starts while discovery is at that revision."""
         self._began_at = at
         self._newest_revision = newest_revision
-        # Between being notified and having read it a moment passes, and the audit takes one too.
+        # A list written within NOTICE_SECONDS may not have been read yet when the audit query arrives.
         settled = {proxy: written for proxy, written in self.last_written.items() if written.at < at - NOTICE_SECONDS}
         self._notified_before = {proxy: written.revision for proxy, written in settled.items()}
 
     def end(self, result: dict[str, Any]) -> None:
-        """The fleet has answered."""
+        """Store the audit's result, and the revisions that proxies had been sent by then."""
         self.result = result
         self._notified_after = {proxy: written.revision for proxy, written in self.last_written.items()}
 
     def failures(self, killed_at: dict[str, float], stopped: ProxySpans, lists_held: ProxySpans) -> list[str]:
-        """Where the result and the records contradict each other."""
+        """Return a text for each proxy whose audit row contradicts the records."""
         if self.result is None:
             return []
         found = (self._row_failure(row, killed_at, stopped, lists_held) for row in self.result["rows"])
@@ -57,17 +57,17 @@
             was_killed = killed_at.get(name, -1.0) > began_at - RECENT_KILL_SECONDS
             if was_killed or stopped.covers(name, began_at, NOTICE_SECONDS):
                 return None
-            return f"audit: {name} is called unknown, {row['cause']}, and nothing kept it from answering"
+            return f"audit: {name} is reported as unknown, {row['cause']}, but no fault kept it from answering"
         if lists_held.covers(name, began_at, 0.0, NOTICE_SECONDS):
-            return None  # what was written to it may wait on its way: either may be true
+            return None  # the list may still be held in the link, so either state is correct
         after = self._notified_after.get(name, newest)
         if after != newest and not is_reported_behind:
-            return f"audit: {name} was last told revision {after} of {newest} and is called current"
+            return f"audit: {name} was last sent revision {after}, the newest is {newest}, but it is reported as current"
         if self._notified_before.get(name) == newest and is_reported_behind:
-            return f"audit: {name} was told revision {newest} and is called a straggler: {row['cause']}"
+            return f"audit: {name} was sent revision {newest} but is reported as a straggler: {row['cause']}"
         return None
 
     def summary(self) -> dict[str, Any]:
-        """What of the result goes into the run's record."""
+        """Return the part of the result that goes into the run's record."""
         causes = sorted(f"{row['name']}: {row['cause']}" for row in self.result["rows"] if row["cause"])
         return {**{key: self.result[key] for key in SUMMARY_KEYS}, "causes": causes}
--- a/sloeferry/fault_testing/cli.py
+++ b/sloeferry/fault_testing/cli.py
@@ -1,4 +1,4 @@
-"""`sloeferry rig`: what is typed, checked and handed on."""
+"""The command line of `sloeferry rig`."""
 
 import json
 import pathlib
@@ -18,13 +18,13 @@
 from sloeferry.rehearsal.report import format_record
 from sloeferry.rehearsal.scenario import ScenarioError
 
-NAME_WIDTH = 16  # characters, in the list of plans
+NAME_WIDTH = 16  # characters of the name column in the list of plans
 EXIT_CODES = {Verdict.KEPT: 0, Verdict.BROKEN: 1, Verdict.VOID: 3}
 
 
 @dataclass(frozen=True, slots=True)
 class RunOutcome:
-    """A run's record, the same in some lines, and what it amounts to."""
+    """A run's record, its text form and its verdict."""
 
     record: dict[str, Any]
     text: str
@@ -33,20 +33,22 @@
 
 @click.group()
 def rig() -> None:
-    """Plays plans with real proxies, each a process, and faults between them.  Loopback only; figures of stand-ins."""
+    """Run plans with real proxy processes and injected faults.  Loopback only; figures come from stand-ins."""
 
 
 @rig.command()
 @click.argument("plan")
-@click.option("--proxies", type=click.IntRange(1, plans.MAX_PROXIES), help="In the place of the plan's own number.")
-@click.option("--nodes", type=click.IntRange(1, 1000), help="In all; the load goes with them.")
+@click.option("--proxies", type=click.IntRange(1, plans.MAX_PROXIES), help="Number of proxies, in place of the plan's.")
+@click.option("--nodes", type=click.IntRange(1, 1000), help="Total number of backends; the load is scaled with it.")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
-@click.option("--record", type=click.Path(dir_okay=False, path_type=pathlib.Path), help="Where the record is written, as JSON.")
+@click.option("--record", type=click.Path(dir_okay=False, path_type=pathlib.Path), help="File to write the record to, as JSON.")
 @click.option(
-    "--keep-logs", type=click.Path(file_okay=False, path_type=pathlib.Path), help="Where all processes' records and logs go."
+    "--keep-logs",
+    type=click.Path(file_okay=False, path_type=pathlib.Path),
+    help="Folder to copy all processes' records and logs to.",
 )
-@click.option("--plant", help="A wrong line planted in the proxies' code (see `rig plants`).")
-@click.option("--virtual", is_flag=True, help="Its twin in virtual time: what has no part there is left out, and said.")
+@click.option("--plant", help="Fault to plant in the proxies' code (see `rig plants`).")
+@click.option("--virtual", is_flag=True, help="Run in virtual time; faults that do not exist there are left out and listed.")
 @click.option("--json", "as_json", is_flag=True)
 def run(
     plan: str,
@@ -59,13 +61,16 @@
     virtual: bool,
     as_json: bool,
 ) -> None:
-    """Plays PLAN (a shipped name, `drawn-` and a seed, or a path).  Exit 0: kept, 1: broken, 3: void, 2: can't be played."""
+    """Run PLAN: a shipped name, `drawn-N` or `soak-N` with a seed N, or a path.
+
+    Exit status 0: kept, 1: broken, 2: the plan cannot be run, 3: void.
+    """
     resized = plans.resize(plans.read_plan(plan), proxies, nodes)
     if record and not record.parent.is_dir():
-        raise ScenarioError(f"--record: {record.parent} is no folder")
+        raise ScenarioError(f"--record: {record.parent} is not a folder")
     if virtual:
         if plant:
-            raise ScenarioError("--plant: for real processes alone")
+            raise ScenarioError("--plant: requires real processes and cannot be combined with --virtual")
         outcome = _run_virtual(resized, seed)
     else:
         options = RunOptions(plans.read_plan_text(plan), resized, seed, proxies, nodes)
@@ -98,26 +103,26 @@
 
 @rig.command("list")
 def list_plans() -> None:
-    """The plans that are shipped."""
+    """List the shipped plans."""
     print_shipped(plans.shipped_names(), plans.read_plan, NAME_WIDTH)
 
 
 @rig.command()
 @click.argument("plan")
 def check(plan: str) -> None:
-    """Reads and checks PLAN, and says what of it has no part in virtual time; exit 2 and one line where it can't be played."""
+    """Validate PLAN and list its faults that do not exist in virtual time; exit status 2 if it is invalid."""
     checked = plans.read_plan(plan)
     _, left_out = plans.to_virtual_scenario(checked)
     backends = sum(group.count for group in checked.backends)
     click.echo(
         f"{checked.name}: {checked.seconds:g} s, {checked.proxies.count} proxies, {backends} nodes, "
-        f"{len(checked.scenario_faults)} troubles, {len(checked.process_faults)} faults: good"
+        f"{len(checked.scenario_faults)} troubles, {len(checked.process_faults)} faults: valid"
     )
-    click.echo("  in virtual time: " + (f"all but {', '.join(left_out)}" if left_out else "all of it"))
+    click.echo("  in virtual time: " + (f"all except {', '.join(left_out)}" if left_out else "all faults"))
 
 
 @rig.command()
 def plants() -> None:
-    """The wrong lines that can be planted, and the plan that convicts each."""
+    """List the faults that can be planted, and the plan that detects each."""
     for name, fault in PLANTED.items():
         click.echo(f"{name:20s} {fault.plan:12s} {fault.about}")
--- a/sloeferry/fault_testing/fault_actions.py
+++ b/sloeferry/fault_testing/fault_actions.py
@@ -1,7 +1,7 @@
-"""What the driver does when a fault of the plan strikes: a class for each kind.
+"""The actions by which the driver injects the faults of a plan: one class for each kind of fault.
 
-A fault is recorded before anything is done: what is done is seen by other processes within a ms, and a loss that stands in
-the records before its cause would be held against a proxy.
+A fault is recorded before its action runs.  Other processes see the effect within a millisecond, and a lost request that is
+recorded before the fault would be counted against a proxy.
 """
 
 import os
@@ -17,14 +17,14 @@
 if TYPE_CHECKING:
     from sloeferry.fault_testing.process_fleet import ProcessFleet
 
-START_INTERVAL_SECONDS = 0.05  # between two starts of processes: a start holds the driver up
-STARTUP_SECONDS = 2.0  # in which a process has read its file for certain
-CUT_LINK_MARGIN_SECONDS = 0.1  # for which callers count as cut off after a link is whole again
-LINK_FAULT_KEYS = {"direction": "way", "delay_ms": "ms", "byte_limit": "bytes"}  # fields, and the plan's words for them
+START_INTERVAL_SECONDS = 0.05  # between process starts, since each one blocks the driver
+STARTUP_SECONDS = 2.0  # after which a process has certainly read its settings file
+CUT_LINK_MARGIN_SECONDS = 0.1  # for which clients count as cut off after their link has been repaired
+LINK_FAULT_KEYS = {"direction": "way", "delay_ms": "ms", "byte_limit": "bytes"}  # field -> key in plans
 
 
 class FaultAction:
-    """One fault of a plan on its targets; `strike` is called once, when it is due."""
+    """One fault of a plan and its targets; `inject` is called once, when the fault is due."""
 
     def __init__(self, fleet: "ProcessFleet", number: int, fault: Any):
         self.fleet = fleet
@@ -35,40 +35,40 @@
         self.recorder = fleet.judge
 
     def inject(self) -> None:
-        """Records the fault, does it, and records when it is over."""
+        """Record the fault, apply it, and record its end."""
         self.record_start()
         self.apply()
         ends_at = self.ends_at()
         self.loop.call_later(self.fault.lasts_seconds, self.recorder.note, ends_at, Event.FAULT_ENDED, self.number)
 
     def record_start(self) -> None:
-        """Records the fault and its targets."""
+        """Record the start of the fault and its targets."""
         targets = self.targets
         now = self.loop.time()
         self.recorder.note(now, Event.FAULT_BEGAN, self.number, self.fault.kind, targets.proxies, len(targets.links))
 
     def apply(self) -> None:
-        """Does what the fault is, and sees to it that it ends."""
+        """Apply the fault and schedule its end."""
         raise NotImplementedError
 
     def ends_at(self) -> float:
-        """Loop time at which it is over, if it strikes now."""
+        """Return the loop time at which the fault ends if it is injected now."""
         return self.loop.time() + self.fault.lasts_seconds
 
     def proxies(self) -> list[LiveProxy]:
-        """Those that it strikes."""
+        """Return the target proxies."""
         return [self.fleet.proxies[number] for number in self.targets.proxies]
 
     def proxy_names(self) -> list[str]:
-        """The names of those that it strikes."""
+        """Return the names of the target proxies."""
         return [f"p{number}" for number in self.targets.proxies]
 
 
 class LinkAction(FaultAction):
-    """The links' condition changes; the relay does it."""
+    """A fault of links, which the relay process applies."""
 
     def inject(self) -> None:
-        """Records the fault and whom it excuses, and tells the relay."""
+        """Record the fault and the exemptions that follow from it, and send the condition to the relay."""
         self.record_start()
         self._record_exemptions()
         links = self.targets.links
@@ -83,16 +83,16 @@
         for name in self.proxy_names():
             if self.fault.between == "discovery":
                 self.recorder.note(now, Event.DISCOVERY_HELD, name, ends_at)
-            elif self.fault.between == "callers":  # nobody can answer through it
+            elif self.fault.between == "callers":  # no response can pass the link
                 self.recorder.proxy_stopped(name, now, ends_at)
                 self.recorder.note(now, Event.CLIENTS_CUT_OFF, name, ends_at + CUT_LINK_MARGIN_SECONDS)
 
 
 class KillAction(FaultAction):
-    """Proxies are killed; each is started again when the fault is over."""
+    """A fault that kills proxies, and starts each again when it ends."""
 
     def apply(self) -> None:
-        """Kills them, and starts them one after the other."""
+        """Kill all target proxies, and schedule their starts one after the other."""
         for index, number in enumerate(self.targets.proxies):
             self.prepare_next_process(number)
             proxy = self.fleet.proxies[number]
@@ -100,49 +100,52 @@
             self.loop.call_later(self.fault.lasts_seconds + START_INTERVAL_SECONDS * index, proxy.start)
 
     def prepare_next_process(self, number: int) -> None:
-        """What that proxy's next process is to be."""
+        """Configure the next process of the proxy with that number; by default it is unchanged."""
 
 
 class ClockStepAction(KillAction):
-    """The wall clock is off from the next process on: nothing sets a clock that others have too."""
+    """A fault that sets the wall clock of proxies off, from their next process on.
+
+    The system clock is shared with all other processes and is never set.
+    """
 
     def prepare_next_process(self, number: int) -> None:
-        """Its clock will be off."""
+        """Set the clock offset of the next process."""
         self.fleet.environment.clock_offsets_seconds[number] = self.fault.offset_seconds
 
 
 class FailingSystemCallsAction(KillAction):
-    """System calls fail at times from the next process on."""
+    """A fault that makes system calls fail intermittently, from the next process on."""
 
     def prepare_next_process(self, number: int) -> None:
-        """Its calls will fail."""
+        """Make system calls of the next process fail."""
         self.fleet.environment.failing_call_proxies.add(number)
 
 
 class StopAction(FaultAction):
-    """SIGSTOP, and SIGCONT."""
+    """A fault that sends SIGSTOP, and SIGCONT when it ends."""
 
     def apply(self) -> None:
-        """All at once."""
+        """Pause all target proxies at once."""
         for proxy in self.proxies():
             proxy.pause(self.fault.lasts_seconds)
 
 
 class TerminationAction(FaultAction):
-    """SIGTERM, spread over the fault's time."""
+    """A fault that sends SIGTERM to proxies, spread evenly over its duration."""
 
     def apply(self) -> None:
-        """One after the other."""
+        """Schedule the restarts of the target proxies one after the other."""
         proxies = self.proxies()
         for index, proxy in enumerate(proxies):
             self.loop.call_later(self.fault.lasts_seconds * index / len(proxies), proxy.restart)
 
 
 class ReloadAction(FaultAction):
-    """New settings, in the state that the fault says, and SIGHUP for most."""
+    """A fault that writes new settings, possibly corrupted, and sends SIGHUP to most proxies."""
 
     def apply(self) -> None:
-        """All at once; those whose process may not have read its file yet get neither."""
+        """Write all settings at once; a process that may still be reading them at startup gets no corrupt file or signal."""
         rng = self.fleet.environment.rng(f"hup-{self.fault.at_seconds}")
         numbers = self.targets.proxies
         without_signal = set(rng.sample(numbers, round(self.fault.lost_signal_ratio * len(numbers))))
@@ -150,7 +153,7 @@
             self._write_settings(number, proxy)
             started_at = self.fleet.environment.started_at.get(number, 0.0)
             if self.loop.time() < started_at + STARTUP_SECONDS:
-                continue  # started on half of a file it would rightly end
+                continue  # a process that starts with half a file rightly exits
             self._corrupt_file(proxy)
             if number not in without_signal:
                 proxy.send_signal(signal.SIGHUP)
@@ -168,17 +171,17 @@
             proxy.config_path.write_text(text[: len(text) // 2])
         elif self.fault.file == "missing":
             proxy.config_path.unlink()
-        elif self.fault.file == "swapped":  # another file in its place, while it is read
+        elif self.fault.file == "swapped":  # the file is replaced while it is read
             other = proxy.config_path.with_suffix(".new")
             other.write_text(text)
             self.loop.call_soon(os.replace, other, proxy.config_path)
 
 
 class DiscoveryDowntimeAction(FaultAction):
-    """Discovery is down for all, whichever proxies were drawn."""
+    """A fault that takes discovery down for all proxies, whichever its targets are."""
 
     def apply(self) -> None:
-        """It ends, and comes back."""
+        """Stop discovery and schedule its return."""
         for place in self.fleet.places:
             self.recorder.note(self.loop.time(), Event.DISCOVERY_UNREACHABLE, place.name, self.ends_at())
         discovery = self.fleet.discovery
@@ -187,10 +190,10 @@
 
 
 class DiscoveryLagAction(FaultAction):
-    """Nothing new is shown to some proxies."""
+    """A fault that withholds list changes from some proxies."""
 
     def apply(self) -> None:
-        """The list stays as it is now."""
+        """Freeze the list at its present revision for the target proxies."""
         discovery = self.fleet.discovery
         for name in self.proxy_names():
             discovery.show_older_list(name, until=self.loop.time())
@@ -198,10 +201,10 @@
 
 
 class OlderReplicaAction(FaultAction):
-    """Some proxies are answered by a replica that is behind."""
+    """A fault where an outdated replica of discovery answers some proxies."""
 
     def apply(self) -> None:
-        """Their watches end, so that they call again."""
+        """Show the target proxies an older list, and end their watches so that they reconnect."""
         discovery = self.fleet.discovery
         names = self.proxy_names()
         for name in names:
@@ -211,18 +214,18 @@
 
 
 class RevisionResetAction(FaultAction):
-    """Discovery's count starts anew, for all."""
+    """A fault that restarts the revisions of discovery, for all proxies."""
 
     def apply(self) -> None:
-        """Once; nothing is to be mended."""
+        """Reset the revisions once; there is nothing to undo."""
         self.fleet.discovery.reset_revisions()
 
 
 class FailingDiscoveryAction(FaultAction):
-    """Discovery's calls fail for some proxies."""
+    """A fault that makes discovery fail the calls of some proxies."""
 
     def apply(self) -> None:
-        """Each call, until the fault is over."""
+        """Make each call fail until the fault ends."""
         failure = CallFailure(self.fault.failure)
         for name in self.proxy_names():
             if not failure.reachable:
@@ -255,5 +258,5 @@
 
 
 def create_action(fleet: "ProcessFleet", number: int, fault: Fault) -> FaultAction:
-    """What strikes when that fault of the plan is due."""
+    """Return the action that injects that fault of the plan."""
     return ACTIONS[type(fault)](fleet, number, fault)
--- a/sloeferry/fault_testing/fault_generator.py
+++ b/sloeferry/fault_testing/fault_generator.py
@@ -1,6 +1,6 @@
-"""Process faults and scenario faults as all drawn plans draw them.
+"""Generator of the process faults and scenario faults of generated plans.
 
-Each method draws from the plan's random numbers as it is called: the order of calls is part of what a seed stands for.
+Each method draws from the plan's random number generator when it is called: the order of calls determines the plan.
 """
 
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 PlanTable = dict[str, Any]  # one table of a plan file, by its TOML keys
 FaultFactory = Callable[[], PlanTable]
 
-SETTINGS_FILE_STATES = ["whole", "cut", "stale", "swapped", "missing"]  # what a process finds of its settings at SIGHUP
+SETTINGS_FILE_STATES = ["whole", "cut", "stale", "swapped", "missing"]  # state of the settings file at SIGHUP
 SCENARIO_FAULTS: list[PlanTable] = [
     {"what": "crash", "at": 3.0, "lasts": 1.5, "part": 0.3},
     {"what": "silent", "at": 2.0, "lasts": 2.0, "part": 0.2},
@@ -18,17 +18,17 @@
     {"what": "stall", "at": 1.0, "lasts": 5.0, "part": 0.4, "ms": 400, "every_ms": 900},
 ]
 MIN_FAULT_SECONDS = 0.5
-FAULT_FREE_EDGE_SECONDS = 0.5  # at the beginning and at the end of a plan, without a fault
+FAULT_FREE_EDGE_SECONDS = 0.5  # without process faults, at the beginning and at the end of a plan
 MAX_LINK_FAULT_SECONDS = 2.5
 
 
 def rolling_deploy(lasts_seconds: float, drain_seconds: float) -> PlanTable:
-    """The scenario fault that all drawn plans have: most backends are replaced, some at a time."""
+    """Return the scenario fault that all generated plans have: 60 % of the backends are replaced, in batches."""
     return {"what": "deploy", "at": 1.0, "lasts": lasts_seconds, "part": 0.6, "batch": 0.15, "drain_s": drain_seconds}
 
 
 class FaultGenerator:
-    """Draws the faults of one plan of `plan_seconds`; `struck_ratios`: which parts of the proxies may be struck."""
+    """Generates the faults of one plan of `plan_seconds`; `target_ratios` are the possible ratios of affected proxies."""
 
     def __init__(self, rng: Random, plan_seconds: float, target_ratios: list[float]):
         self.rng = rng
@@ -36,13 +36,13 @@
         self._struck_ratios = target_ratios
 
     def fault(self, kind: str, max_seconds: float, **keys: Any) -> PlanTable:
-        """A fault of that kind, of at most `max_seconds`, with the further TOML keys."""
+        """Return a fault of that kind that lasts at most `max_seconds`, with the given TOML keys."""
         lasts = round(self.rng.uniform(MIN_FAULT_SECONDS, max_seconds), 2)
         at = round(self.rng.uniform(FAULT_FREE_EDGE_SECONDS, self._plan_seconds - lasts - FAULT_FREE_EDGE_SECONDS), 2)
         return {"at": at, "lasts": lasts, "part": self.rng.choice(self._struck_ratios), "what": kind, **keys}
 
     def link_fault(self, between: str) -> PlanTable:
-        """A fault of the links between proxies and `between`."""
+        """Return a fault of the links between proxies and `between`."""
         kind = self.rng.choice(["hold", "delay", "cut", "half-open", "break"])
         keys: PlanTable = {}
         if kind in ("hold", "break"):
@@ -55,7 +55,7 @@
         return self.fault(kind, MAX_LINK_FAULT_SECONDS, between=between, nodes=backend_ratio, **keys)
 
     def reload(self, objective_ratios: list[float]) -> PlanTable:
-        """A reload of new settings, some of whose signals are lost; with no ratios the latency objective stays."""
+        """Return a reload of new settings that may lose signals; with no ratios the latency objective stays the same."""
         keys: PlanTable = {"lost": self.rng.choice([0, 0.3])}
         if objective_ratios:
             keys["sla"] = self.rng.choice(objective_ratios)
@@ -63,11 +63,11 @@
         return self.fault("hup", 1, **keys)
 
     def clock_step(self, offsets_seconds: list[float]) -> PlanTable:
-        """Wall clocks that are off by one of those offsets."""
+        """Return a fault that sets wall clocks off by one of those offsets."""
         return self.fault("clock", 1, by_s=self.rng.choice(offsets_seconds))
 
     def discovery_faults(self) -> list[FaultFactory]:
-        """Discovery down, behind, counting anew, or answering from an older replica."""
+        """Return factories of faults where discovery is down, lags, restarts its revisions, or answers from an older replica."""
         return [
             lambda: self.fault("list-out", 2),
             lambda: self.fault("list-lag", 3),
@@ -76,7 +76,7 @@
         ]
 
     def process_faults(self) -> list[FaultFactory]:
-        """Proxies killed, stopped, or told to leave."""
+        """Return factories of faults where proxies are killed, stopped or terminated."""
         return [
             lambda: self.fault("kill", 2),
             lambda: self.fault("stop", 2),
@@ -84,7 +84,7 @@
         ]
 
     def link_faults(self) -> list[FaultFactory]:
-        """Links to backends, twice as likely as those to callers."""
+        """Return factories of link faults; links to backends have twice the weight of links to clients."""
         return [
             lambda: self.link_fault("nodes"),
             lambda: self.link_fault("nodes"),
--- a/sloeferry/fault_testing/generated_plan.py
+++ b/sloeferry/fault_testing/generated_plan.py
@@ -1,4 +1,4 @@
-"""The frame of a drawn plan, and how it is written as TOML."""
+"""The parameters of a generated plan, and its form as TOML."""
 
 from dataclasses import dataclass
 
@@ -6,16 +6,16 @@
 
 from sloeferry.fault_testing.fault_generator import PlanTable
 
-WARM_UP_SECONDS = 4  # of backends that start cold
+WARM_UP_SECONDS = 4  # of backends that start cold, at first with COLD_CAPACITY_RATIO of their capacity
 COLD_CAPACITY_RATIO = 0.2
-# Endings come to proxies well before they count as notified, `deemed_s` of the plan's discovery.
+# Proxies are notified of ended backends well before they count as notified, which is after `deemed_s` of the discovery table.
 DISCOVERY_SETTINGS = {"notice_s": 0.8, "silent_s": 1.5, "add_s": 0.3}
-IDLE_TIMEOUTS_SECONDS = [1, 30]  # one of them: after so long backends close connections that nobody uses
+IDLE_TIMEOUTS_SECONDS = [1, 30]  # after which backends close idle connections
 IMPATIENT_CLIENT_RATIOS = [0, 0.1]
 
 
 def request_classes(work_ms: int, pull_share: int, push_group: str, push_body_bytes: int) -> list[PlanTable]:
-    """The three kinds of request that drawn plans know: idempotent, deduplicated by key, and non-idempotent."""
+    """Return three request classes: idempotent, deduplicated by idempotency key, and non-idempotent."""
     return [
         {"name": "pull", "share": pull_share, "work_ms": work_ms},
         {
@@ -32,14 +32,17 @@
 
 @dataclass(frozen=True, slots=True)
 class GeneratedPlan:
-    """What drawn plans differ in.  `load_ratio`: of the backends' capacity, for as long as `max_requests_per_second` allows."""
+    """The parameters in which generated plans differ.
+
+    The request rate is `load_ratio` of the backends' capacity, limited to `max_requests_per_second`.
+    """
 
     name: str
     seconds: float
     proxy_count: int
     backend_count: int
-    cores_per_backend: int  # of a backend
-    is_cold: bool  # whether backends that start have to warm up
+    cores_per_backend: int
+    is_cold: bool  # backends need a warm-up when they start
     work_ms: int
     load_ratio: float
     max_requests_per_second: float
@@ -49,10 +52,10 @@
     scenario_faults: list[PlanTable]
     idle_timeout_seconds: int
     impatient_client_ratio: float
-    discovery_mode: str | None = None  # None: as plans have it by default
+    discovery_mode: str | None = None  # None: the default of plans
 
     def to_toml(self) -> str:
-        """The plan file."""
+        """Return the text of the plan file."""
         mode = {"mode": self.discovery_mode} if self.discovery_mode else {}
         tables = {
             "name": self.name,
@@ -68,7 +71,7 @@
                 "impatient": self.impatient_client_ratio,
             },
             "discovery": {**DISCOVERY_SETTINGS, **mode},
-            # Nothing is promised of service under what was drawn; a request may be lost only by what the judge excuses.
+            # There is no [expect] table, so no minimum service; only requests that the judge exempts may be lost.
             "fault": sorted(self.faults, key=lambda fault: fault["at"]),
             "trouble": self.scenario_faults,
         }
--- a/sloeferry/fault_testing/record_replay.py
+++ b/sloeferry/fault_testing/record_replay.py
@@ -130,9 +130,9 @@
                 f"{request_id} was posted to {backend} by {proxy} on revision {revision}, told of {notified} before"
             )
 
-    def _backend_overloaded(self, at: float, backend: str, warm_up_fraction: float, sent: list) -> None:
+    def _backend_overloaded(self, at: float, backend: str, capacity_ratio: float, sent: list) -> None:
         recent = [RecentWork(sent_at, work_ms, request_id.encode()) for sent_at, work_ms, request_id in sent]
-        self._judge.backend_pushed_over(backend, at, warm_up_fraction, recent)
+        self._judge.backend_pushed_over(backend, at, capacity_ratio, recent)
 
     def _backend_congested(self, at: float, backend: str) -> None:
         self._judge.congestion_began(backend)
@@ -169,8 +169,8 @@
     def _proxy_killed(self, at: float, proxy: str) -> None:
         self._judge.proxy_killed(proxy, at)
 
-    def _proxy_crashed(self, at: float, proxy: str, how: str) -> None:
-        self._judge.proxy_crashed(proxy, at, how)
+    def _proxy_crashed(self, at: float, proxy: str, reason: str) -> None:
+        self._judge.proxy_crashed(proxy, at, reason)
 
     def _proxy_stopped(self, at: float, proxy: str, until: float) -> None:
         self._stopped.add(proxy, at, until)
--- a/sloeferry/fault_testing/recorded_events.py
+++ b/sloeferry/fault_testing/recorded_events.py
@@ -1,50 +1,50 @@
-"""The events that processes of a run record; the value is the word in the record."""
+"""The events that processes of a run record."""
 
 import enum
 from typing import Any, Protocol
 
 
 class Event(enum.StrEnum):
-    """What happened.  The fields that follow time and word in a record stand beside each."""
+    """An event; its value is its name in records.  The comments list the fields that follow time and name."""
 
     RUN_BEGAN = "begin"
-    FAULT_BEGAN = "fault"  # number, kind, proxies, how many links
+    FAULT_BEGAN = "fault"  # number, kind, proxies, number of links
     FAULT_ENDED = "over"  # number
     PROCESS_LATE = "late"  # role, ms
 
     # Clients
     REQUEST_BEGAN = "asked"  # id, proxy, deadline
     REQUEST_SENT = "sent"  # id, deadline
-    RESPONSE_RECEIVED = "answered"  # id, status, whether its body is its own
+    RESPONSE_RECEIVED = "answered"  # id, status, true unless a 200 has another request's body
     IDLE_CLOSE_RACED = "crossed"  # id
     RESPONSE_MISSING = "lost"  # id, reason
-    CALL_ENDED = "ended"  # number of the call, outcome, when it began, how many requests it made
+    CALL_ENDED = "ended"  # number of the call, outcome, time of its first request, number of its requests
 
     # Backends
-    ATTEMPT_RECEIVED = "posted"  # backend, zone, id, when its first byte came
-    ATTEMPT_VERSIONS = "acted"  # backend, id, under which versions its proxy sent it
+    ATTEMPT_RECEIVED = "posted"  # backend, zone, id, arrival time of its first byte
+    ATTEMPT_VERSIONS = "acted"  # backend, id, versions that its proxy acted on
     ATTEMPT_RAN = "ran"  # backend, id
     BACKEND_CONGESTED = "choked"  # backend
-    BACKEND_OVERLOADED = "fell"  # backend, its warm-up fraction, what it was sent
+    BACKEND_OVERLOADED = "fell"  # backend, its capacity ratio, recent work as lists of time, service time in ms and id
     RULE_VIOLATED = "breach"  # rule, text
 
     # Links
-    LINK_ENTERED = "entered"  # link, id, when its first byte came
+    LINK_ENTERED = "entered"  # link, id, arrival time of its first byte
     LINK_REFUSED = "refused"  # link
-    CLIENTS_CUT_OFF = "apart"  # proxy, until when
-    DISCOVERY_HELD = "unfed"  # proxy, until when
-    DISCOVERY_UNREACHABLE = "unreached"  # proxy, until when
+    CLIENTS_CUT_OFF = "apart"  # proxy, end time
+    DISCOVERY_HELD = "unfed"  # proxy, end time
+    DISCOVERY_UNREACHABLE = "unreached"  # proxy, end time
 
     # Discovery
-    ENDPOINT_NOTIFIED = "told"  # proxy, endpoint, its phase, when it started
+    ENDPOINT_NOTIFIED = "told"  # proxy, endpoint, its state, Unix time of its start in ms
     LIST_WRITTEN = "listed"  # proxy, revision
-    ENDPOINT_PUBLISHED = "published"  # endpoint, its phase
-    BACKEND_STARTED = "started"  # backend, when
+    ENDPOINT_PUBLISHED = "published"  # endpoint, its state
+    BACKEND_STARTED = "started"  # backend, Unix time of its start in ms
 
     # Proxies
     PROXY_KILLED = "killed"  # proxy
-    PROXY_CRASHED = "crashed"  # proxy, how
-    PROXY_STOPPED = "stopped"  # proxy, until when
+    PROXY_CRASHED = "crashed"  # proxy, reason
+    PROXY_STOPPED = "stopped"  # proxy, end time
 
     # The fleet's audit
     AUDIT_BEGAN = "auditing"  # discovery's revision
@@ -52,7 +52,7 @@
 
 
 class EventSink(Protocol):
-    """Who takes events."""
+    """An object that records events."""
 
     def note(self, at: float, event: Event, *fields: Any) -> None:
-        """An event; `at` is loop time."""
+        """Record an event; `at` is loop time."""
--- a/sloeferry/fault_testing/short_plan_generator.py
+++ b/sloeferry/fault_testing/short_plan_generator.py
@@ -1,7 +1,7 @@
-"""Short plans drawn from a seed: `drawn-17` is the same plan everywhere.
+"""Generator of short plans from a seed: `drawn-17` is the same plan everywhere.
 
-One fault at the most keeps a proxy from the endpoint list, and for less than the time after which it counts as notified
-(`deemed_s`): two in a row could keep a drain from a proxy for longer, and no proxy could keep rule 3 then.
+A plan has exactly one fault that keeps proxies from the endpoint list, shorter than the time after which a proxy counts as
+notified (`deemed_s`): two consecutive faults could withhold a drain from a proxy for longer, and it could not keep rule 3.
 """
 
 from random import Random
@@ -16,7 +16,7 @@
 
 
 def generate_plan(seed: int) -> GeneratedPlan:
-    """The plan of that seed.  The order of the draws is what a seed stands for."""
+    """Return the plan of that seed; changing the order of the random draws changes the plan of every seed."""
     rng = Random(f"plan {seed}")
     proxy_count = rng.choice([6, 12, 18, 24])
     cores_per_backend = rng.choice([1, 2, 4])
@@ -56,7 +56,7 @@
 
 
 def _generate_faults(rng: Random) -> list[PlanTable]:
-    """One fault that discovery has part in, and up to four others."""
+    """Return one fault that affects discovery, and one to four others."""
     generator = FaultGenerator(rng, PLAN_SECONDS, TARGET_RATIOS)
     discovery_faults = [*generator.discovery_faults(), lambda: generator.link_fault("discovery")]
     other_faults = [
--- a/sloeferry/fault_testing/soak_plan_generator.py
+++ b/sloeferry/fault_testing/soak_plan_generator.py
@@ -1,9 +1,10 @@
-"""Plans of the fault soak, drawn from a seed: `soak-17` is the same plan everywhere.
+"""Generator of the plans of the fault soak from a seed: `soak-17` is the same plan everywhere.
 
-10 to 40 proxies, backends that are replaced, and five to nine faults that overlap in time: processes killed, stopped, told
-to leave, given new settings; wall clocks off; system calls that fail; links held, cut, half open, broken; discovery down,
-late, behind, counting anew, or failing each call in one way, for longer than proxies may go without being notified.  The
-rules are the oracle, with each proxy's own guard of sending (docs/fault-testing.md).
+A plan has 10 to 40 proxies, a rolling deploy of the backends, and five to nine faults that may overlap in time: processes
+killed, stopped, terminated or reloaded; wall clocks off; system calls that fail; links held, delayed, cut, half open or
+broken; discovery down, lagging, answering from an older replica, restarting its revisions, or failing each call in one way
+for longer than the time after which proxies count as notified.  The test oracle is the safety rules and each proxy's own
+send guard (docs/fault-testing.md).
 """
 
 from random import Random
@@ -15,11 +16,11 @@
 PLAN_SECONDS = 16.0
 TARGET_RATIOS = [0.1, 0.3]
 CLOCK_OFFSETS_SECONDS = [-3600.0, -5.0, 5.0, 3600.0]
-MAX_CALL_FAILURE_SECONDS = 9.0  # past the 6 s after which proxies count as notified
+MAX_CALL_FAILURE_SECONDS = 9.0  # longer than the 6 s after which proxies count as notified
 
 
 def generate_plan(seed: int) -> GeneratedPlan:
-    """The plan of that seed.  The order of the draws is what a seed stands for."""
+    """Return the plan of that seed; changing the order of the random draws changes the plan of every seed."""
     rng = Random(f"soak {seed}")
     proxy_count = rng.choice([10, 14, 20, 28, 40])
     backend_count = rng.choice([8, 12, 16])
@@ -48,14 +49,14 @@
 
 
 def _generate_faults(rng: Random) -> list[PlanTable]:
-    """One or two faults of discovery, failing calls twice as likely, and four to seven others."""
+    """Return one or two faults of discovery, of which failing calls have twice the weight, and four to seven others."""
     generator = FaultGenerator(rng, PLAN_SECONDS, TARGET_RATIOS)
     failures = [failure.value for failure in CallFailure]
 
-    def failing_call_proxies() -> PlanTable:
+    def generate_failing_discovery() -> PlanTable:
         return generator.fault("list-fail", MAX_CALL_FAILURE_SECONDS, how=rng.choice(failures))
 
-    discovery_faults = [failing_call_proxies, failing_call_proxies, *generator.discovery_faults()]
+    discovery_faults = [generate_failing_discovery, generate_failing_discovery, *generator.discovery_faults()]
     other_faults = [
         *generator.process_faults(),
         lambda: generator.reload(objective_ratios=[]),
@@ -63,5 +64,5 @@
         lambda: generator.fault("calls", 1),
         *generator.link_faults(),
     ]
-    of_discovery = [rng.choice(discovery_faults)() for _ in range(rng.randint(1, 2))]
-    return of_discovery + [rng.choice(other_faults)() for _ in range(rng.randint(4, 7))]
+    chosen_discovery_faults = [rng.choice(discovery_faults)() for _ in range(rng.randint(1, 2))]
+    return chosen_discovery_faults + [rng.choice(other_faults)() for _ in range(rng.randint(4, 7))]
