--- a/sloeferry/fault_testing/audit_check.py
+++ b/sloeferry/fault_testing/audit_check.py
@@ -2,7 +2,7 @@
 
 from typing import Any, NamedTuple
 
-from sloeferry.rehearsal.proxy_spans import NOTICE_SECONDS, ProxySpans
+from sloeferry.rehearsal.proxy_spans import NOTIFICATION_GRACE_SECONDS, ProxySpans
 
 RECENT_KILL_SECONDS = 30.0
 SUMMARY_KEYS = ("current", "straggler", "unknown", "acts_after_bound", "reached")
@@ -30,8 +30,8 @@
         """Note that the audit starts while discovery is at that revision."""
         self._began_at = at
         self._newest_revision = newest_revision
-        # A list written within NOTICE_SECONDS may not have been read yet when the audit query arrives.
-        settled = {proxy: written for proxy, written in self.last_written.items() if written.at < at - NOTICE_SECONDS}
+        # A list written within NOTIFICATION_GRACE_SECONDS may not have been read yet when the audit query arrives.
+        settled = {proxy: written for proxy, written in self.last_written.items() if written.at < at - NOTIFICATION_GRACE_SECONDS}
         self._notified_before = {proxy: written.revision for proxy, written in settled.items()}
 
     def end(self, result: dict[str, Any]) -> None:
@@ -55,10 +55,10 @@
         newest = self._newest_revision
         if row["state"] == "unknown":
             was_killed = killed_at.get(name, -1.0) > began_at - RECENT_KILL_SECONDS
-            if was_killed or stopped.covers(name, began_at, NOTICE_SECONDS):
+            if was_killed or stopped.covers(name, began_at, NOTIFICATION_GRACE_SECONDS):
                 return None
             return f"audit: {name} is reported as unknown, {row['cause']}, but no fault kept it from answering"
-        if lists_held.covers(name, began_at, 0.0, NOTICE_SECONDS):
+        if lists_held.covers(name, began_at, 0.0, NOTIFICATION_GRACE_SECONDS):
             return None  # the list may still be held in the link, so either state is correct
         after = self._notified_after.get(name, newest)
         if after != newest and not is_reported_behind:
--- a/sloeferry/fault_testing/plan.py
+++ b/sloeferry/fault_testing/plan.py
@@ -82,7 +82,7 @@
         generate_plan = short_plan_generator.generate_plan if drawn[1] == "drawn" else soak_plan_generator.generate_plan
         return generate_plan(int(drawn[2])).to_toml()
     path = SHIPPED_FOLDER / f"{name}.toml" if name in shipped_names() else pathlib.Path(name)
-    return scenarios.read_text(path, [*shipped_names(), "drawn-N", "soak-N"])
+    return scenarios.read_scenario_text(path, [*shipped_names(), "drawn-N", "soak-N"])
 
 
 def read_plan(name: str) -> Plan:
@@ -92,7 +92,7 @@
 
 def parse_plan(text: str, name: str = "plan") -> Plan:
     """The plan in that TOML text, checked; raises ScenarioError, which names the key."""
-    plan = scenarios.parse(text, name, Plan)
+    plan = scenarios.parse_scenario(text, name, Plan)
     if plan.proxies.count > MAX_PROXIES:
         _reject(name, "bank.proxies", f"{plan.proxies.count} are too many for one machine, {MAX_PROXIES} at most")
     if plan.clock:
--- a/sloeferry/fault_testing/process_fleet.py
+++ b/sloeferry/fault_testing/process_fleet.py
@@ -189,7 +189,7 @@
         self.judge.note(now, Event.RUN_BEGAN)
         for worker in self._client_workers:
             worker.command("begin", now)
-        FaultInjector(self).begin(now)
+        FaultInjector(self).schedule(now)
         for number, fault in enumerate(self.plan.process_faults):
             self.loop.call_at(now + fault.at_seconds, create_action(self, number, fault).inject)
         if self.plan.rig.audit_s:
--- a/sloeferry/fault_testing/record_replay.py
+++ b/sloeferry/fault_testing/record_replay.py
@@ -12,7 +12,7 @@
 from sloeferry.fault_testing.record_judge import RecordJudge
 from sloeferry.fault_testing.recorded_events import Event
 from sloeferry.rehearsal.proxy_fleet import make_backend_id
-from sloeferry.rehearsal.proxy_spans import NOTICE_SECONDS, ProxySpans
+from sloeferry.rehearsal.proxy_spans import NOTIFICATION_GRACE_SECONDS, ProxySpans
 from sloeferry.stand_ins.effect_log import RecentWork
 from sloeferry.stand_ins.wire_protocol import RequestOutcome
 
@@ -96,7 +96,9 @@
     def _link_refused(self, at: float, link: str) -> None:
         between, _, proxy_number = link.partition("/")
         if between == "callers":  # a relay took the connection for a proxy that was not there
-            self._judge.clients_cut_off.add("p" + proxy_number, at - NOTICE_SECONDS / 4, at + NOTICE_SECONDS / 4)
+            self._judge.clients_cut_off.add(
+                "p" + proxy_number, at - NOTIFICATION_GRACE_SECONDS / 4, at + NOTIFICATION_GRACE_SECONDS / 4
+            )
 
     def _clients_cut_off(self, at: float, proxy: str, until: float) -> None:
         self._judge.clients_cut_off.add(proxy, at, until)
@@ -121,11 +123,11 @@
         """An attempt acts on no older list than its proxy was notified of a moment before."""
         proxy = self._judge.tries[request_id.encode()].proxy
         incarnation, _, revision = versions.partition("list=")[2].partition(":")[0].partition(".")
-        settled = (written.revision for written in self._list_history[proxy] if written.at < at - NOTICE_SECONDS)
+        settled = (written.revision for written in self._list_history[proxy] if written.at < at - NOTIFICATION_GRACE_SECONDS)
         notified = max(settled, default=0)
         if incarnation != "1" or int(revision) >= notified:
             return
-        if not any(spans.covers(proxy, at, NOTICE_SECONDS) for spans in (self._stopped, self._lists_held)):
+        if not any(spans.covers(proxy, at, NOTIFICATION_GRACE_SECONDS) for spans in (self._stopped, self._lists_held)):
             self.stale_attempts.append(
                 f"{request_id} was posted to {backend} by {proxy} on revision {revision}, told of {notified} before"
             )
--- a/sloeferry/rehearsal/arrivals.py
+++ b/sloeferry/rehearsal/arrivals.py
@@ -49,7 +49,7 @@
     always_fails: bool
 
 
-class LoadPiece(NamedTuple):
+class LoadSegment(NamedTuple):
     """A span of the play with one rate of requests; seconds, requests a second."""
 
     begins_at: float
@@ -79,19 +79,19 @@
 
     def draw(self) -> list[PlannedRequest]:
         requests: list[PlannedRequest] = []
-        for piece in self._load_pieces():
+        for piece in self._load_segments():
             starts_at = piece.begins_at
             while piece.rate and (starts_at := starts_at + self._rng.expovariate(piece.rate)) < piece.ends_at:
                 requests.append(self._draw_request(len(requests), starts_at))
         return requests
 
-    def _load_pieces(self) -> Iterator[LoadPiece]:
+    def _load_segments(self) -> Iterator[LoadSegment]:
         seconds, pieces = self._scenario.seconds, list(self._scenario.clients.load_curve)
         if sum(length for length, _ in pieces) < seconds:
             pieces.append((seconds, pieces[-1][1]))
         begins_at = 0.0
         for length, rate in pieces:
-            yield LoadPiece(begins_at, min(begins_at + length, seconds), rate)
+            yield LoadSegment(begins_at, min(begins_at + length, seconds), rate)
             begins_at += length
             if begins_at >= seconds:
                 break
--- a/sloeferry/rehearsal/backend_faults.py
+++ b/sloeferry/rehearsal/backend_faults.py
@@ -11,7 +11,7 @@
 from sloeferry.stand_ins.wire_protocol import BackendState
 
 if TYPE_CHECKING:
-    from sloeferry.rehearsal.faults import Handlers
+    from sloeferry.rehearsal.faults import FaultHandlers
     from sloeferry.rehearsal.proxy_fleet import ProxyFleet
 
 DRAIN_EXTRA_SECONDS = 2.0  # that a drained backend waits for what it still has
@@ -28,7 +28,7 @@
         self._fleet = fleet
         self._loop = fleet.loop
 
-    def handlers(self) -> "Handlers":
+    def handlers(self) -> "FaultHandlers":
         """What carries out which kind."""
         return {
             scenario_faults.BackendStalls: self._stall,
--- a/sloeferry/rehearsal/baselines.py
+++ b/sloeferry/rehearsal/baselines.py
@@ -14,16 +14,16 @@
 
 DESIGN = "design"
 POLICIES = (DESIGN, "random", "round-robin", "least-own", "best-of-two")
-MIN_ODDS = 0.2  # so that a baseline's choice is sent
+MIN_PROBABILITY = 0.2  # so that a baseline's choice is sent
 
 
-def install(dispatcher: Dispatcher, name: str) -> None:
+def install_baseline(dispatcher: Dispatcher, name: str) -> None:
     """Has this proxy choose so; the design needs nothing."""
     if name != DESIGN:
-        dispatcher.policy.selector.choose = Baseline(dispatcher.policy, name).choose
+        dispatcher.policy.selector.choose = BaselineSelector(dispatcher.policy, name).choose
 
 
-class Baseline:
+class BaselineSelector:
     """One of the other ways."""
 
     def __init__(self, policy: Policy, name: str):
@@ -50,7 +50,7 @@
         latency = policy.latency
         expected_ms = work_ms * latency.slowdown(endpoint, now) * latency.level_slowdowns[0]
         odds = latency.spread.fraction_below((request.objective_at - now) / expected_ms)
-        return Choice(endpoint, max(MIN_ODDS, odds), expected_ms)
+        return Choice(endpoint, max(MIN_PROBABILITY, odds), expected_ms)
 
     def _random(self, fit: Sequence[Endpoint], now: float) -> Endpoint:
         return self._policy.rng.choice(fit)
--- a/sloeferry/rehearsal/cli.py
+++ b/sloeferry/rehearsal/cli.py
@@ -11,13 +11,13 @@
 
 from sloeferry.rehearsal import scenario as scenarios
 from sloeferry.rehearsal.baselines import DESIGN, POLICIES
-from sloeferry.rehearsal.report import clear_progress_line, format_record, progress_line
+from sloeferry.rehearsal.report import clear_progress_line, format_record, make_progress_reporter
 from sloeferry.rehearsal.scenario import Scenario, ScenarioError
 
 MAX_SEEDS = 100
 
 
-class Pair(NamedTuple):
+class SeedComparison(NamedTuple):
     """One seed, played with the design and with a baseline."""
 
     seed: int
@@ -97,7 +97,7 @@
     log: bool,
 ) -> None:
     """Plays SCENARIO (a shipped name, or a path).  Exit 0: rules kept, 1: one broken, 2: can't be played."""
-    checked = scenarios.read(scenario)
+    checked = scenarios.read_scenario(scenario)
     if live and policy != DESIGN:
         raise ScenarioError("--policy: a live play has the design alone")
     if live and environment_seed:
@@ -117,7 +117,7 @@
     scenario: Scenario, seed: int, live: bool, policy: str, environment_seed: int, show_line: Callable[[str], object] | None
 ) -> dict[str, Any]:
     """The record of a play, in virtual time or live."""
-    progress = progress_line(scenario.name)
+    progress = make_progress_reporter(scenario.name)
     # What a play needs is imported where it is played: the other commands are quick.
     if live:
         from sloeferry.rehearsal import live as live_play
@@ -131,14 +131,14 @@
 @rehearse.command("list")
 def list_scenarios() -> None:
     """The scenarios that are shipped."""
-    print_shipped(scenarios.shipped(), scenarios.read, 20)
+    print_shipped(scenarios.shipped_names(), scenarios.read_scenario, 20)
 
 
 @rehearse.command("check")
 @click.argument("scenario")
 def check(scenario: str) -> None:
     """Reads and checks SCENARIO; exit 2 and one line where it can't be played."""
-    checked = scenarios.read(scenario)
+    checked = scenarios.read_scenario(scenario)
     backend_count = sum(backends.count for backends in checked.backends)
     click.echo(
         f"{checked.name}: {checked.seconds:g} s, {checked.proxies.count} proxies, {backend_count} nodes, "
@@ -158,7 +158,7 @@
     return seeds
 
 
-def mean_difference(pairs: Sequence[Pair]) -> MeanDifference:
+def mean_difference(pairs: Sequence[SeedComparison]) -> MeanDifference:
     """Of the services, the design's less the baseline's."""
     differences = [pair.design_service - pair.baseline_service for pair in pairs]
     mean = statistics.fmean(differences)
@@ -174,8 +174,8 @@
 @click.option("--json", "as_json", is_flag=True)
 def compare(scenario: str, seeds: str, baseline: str, as_json: bool) -> None:
     """Plays SCENARIO with the design and with a baseline, seed by seed, and tells the difference and its noise."""
-    checked = scenarios.read(scenario)
-    pairs = [play_pair(checked, seed, baseline) for seed in parse_seeds(seeds)]
+    checked = scenarios.read_scenario(scenario)
+    pairs = [compare_seed(checked, seed, baseline) for seed in parse_seeds(seeds)]
     mean, noise = mean_difference(pairs)
     if as_json:
         click.echo(json.dumps({"scenario": checked.name, "vs": baseline, "pairs": pairs, "mean": mean, "noise": noise}))
@@ -188,12 +188,14 @@
     click.echo(f"  difference {mean:+.3f}, give or take {noise:.3f}")
 
 
-def play_pair(scenario: Scenario, seed: int, baseline: str) -> Pair:
+def compare_seed(scenario: Scenario, seed: int, baseline: str) -> SeedComparison:
     """One seed with the design, then with a baseline."""
     from sloeferry.rehearsal.play import play
 
-    records = [play(scenario, seed, policy, progress_line(f"{scenario.name} {seed} {policy}")) for policy in (DESIGN, baseline)]
+    records = [
+        play(scenario, seed, policy, make_progress_reporter(f"{scenario.name} {seed} {policy}")) for policy in (DESIGN, baseline)
+    ]
     clear_progress_line()
     services = [record["service"]["total"] for record in records]
     violations = [sum(record["rules"].values()) for record in records]
-    return Pair(seed, *services, *violations)
+    return SeedComparison(seed, *services, *violations)
--- a/sloeferry/rehearsal/faults.py
+++ b/sloeferry/rehearsal/faults.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from sloeferry.rehearsal.proxy_fleet import ProxyFleet
 
-Handlers = dict[type[Fault], Callable[[Any, Random], None]]
+FaultHandlers = dict[type[Fault], Callable[[Any, Random], None]]
 
 MAX_RELOAD_DELAY_SECONDS = 0.5  # until a proxy gets its SIGHUP once discovery has moved
 
@@ -24,7 +24,7 @@
     def __init__(self, fleet: "ProxyFleet"):
         self._fleet = fleet
         self._loop = fleet.loop
-        self.handlers: Handlers = {
+        self.handlers: FaultHandlers = {
             **BackendFaults(fleet).handlers(),
             **ProxyFaults(fleet).handlers(),
             scenario_faults.DiscoveryOutage: self._stop_discovery,
@@ -33,7 +33,7 @@
             **dict.fromkeys(typing.get_args(scenario_faults.RequestFault), self._drawn_with_requests),
         }
 
-    def begin(self, now: float) -> None:
+    def schedule(self, now: float) -> None:
         """The play begins, at that time of the loop."""
         for index, fault in enumerate(self._fleet.scenario.scenario_faults):
             rng = self._fleet.environment.rng(f"trouble-{index}")
--- a/sloeferry/rehearsal/judge.py
+++ b/sloeferry/rehearsal/judge.py
@@ -18,7 +18,7 @@
 
 MAX_VIOLATION_TEXTS = 20
 # Part of the work that pushed a backend over, which has to come from proxies that could know that it was cold.
-KNOWING_WORK_RATIO = (2, 3)
+INFORMED_WORK_RATIO = (2, 3)
 
 
 @dataclass(slots=True)
@@ -35,7 +35,7 @@
     run_count: int = 0
 
 
-def format_id(request_id: bytes) -> str:
+def format_request_id(request_id: bytes) -> str:
     """A request id as texts have it."""
     return request_id.decode("latin-1")
 
@@ -119,7 +119,7 @@
     def response_received(self, request_id: bytes, now: float, status: int, body: bytes) -> RequestOutcome:
         """See ClientLog."""
         client_try, request_class = self.tries[request_id], self.request_class(request_id)
-        name = format_id(request_id)
+        name = format_request_id(request_id)
         if client_try.answered_at:
             self.violation(Rule.ONE_ANSWER, now, f"{name} was answered twice")
         client_try.answered_at = now
@@ -147,7 +147,7 @@
             return RequestOutcome.PROXY_KILLED
         if self.was_proxy_stopped(client_try):
             return RequestOutcome.PROXY_STOPPED
-        self.violation(Rule.ONE_ANSWER, now, f"{format_id(request_id)} got no answer from {client_try.proxy}: {reason}")
+        self.violation(Rule.ONE_ANSWER, now, f"{format_request_id(request_id)} got no answer from {client_try.proxy}: {reason}")
         return RequestOutcome.UNANSWERED
 
     def request_ended(self, planned: PlannedRequest, outcome: RequestOutcome, now: float) -> None:
@@ -162,7 +162,7 @@
     def was_proxy_stopped(self, client_try: ClientTry) -> bool:
         """Whether its proxy's machine stood still at its deadline, or for half of its time: nobody can answer then."""
         sent_at, deadline = client_try.sent_at, client_try.deadline
-        spans = self.stopped_spans.of(client_try.proxy)
+        spans = self.stopped_spans.spans_of(client_try.proxy)
         if any(span.since <= deadline <= span.until + self.slack_seconds for span in spans):
             return True
         overlaps = (min(span.until, deadline) - max(span.since, sent_at) for span in spans)
@@ -173,7 +173,7 @@
     def body_received(self, backend_id: str, request_id: bytes | None, body: bytes, now: float) -> None:
         """See EffectLog: the body has to be the one that its client sent."""
         if self.request_class(request_id) and body != make_request_body(request_id, self.body_bytes(request_id)):
-            text = f"{backend_id} got {len(body)} bytes as the body of {format_id(request_id)}, which are not its own"
+            text = f"{backend_id} got {len(body)} bytes as the body of {format_request_id(request_id)}, which are not its own"
             self.violation(Rule.PROTOCOL, now, text)
 
     def attempt_received(self, backend_id: str, zone: str, request_id: bytes, sent_at: float) -> None:
@@ -181,7 +181,7 @@
         client_try = self.tries[request_id]
         client_try.attempt_count += 1
         self.attempt_count += 1
-        sent = f"{format_id(request_id)} was sent to {backend_id}"
+        sent = f"{format_request_id(request_id)} was sent to {backend_id}"
         if sent_at > client_try.deadline + self.slack_seconds:
             self.violation(Rule.ONE_ANSWER, sent_at, f"{sent} {1000 * (sent_at - client_try.deadline):.0f} ms past its expiry")
         if client_try.answered_at and sent_at > client_try.answered_at + self.slack_seconds:
@@ -210,7 +210,9 @@
             self.repeated_run_count += 1
             if request_class.kind != RequestKind.IDEMPOTENT:
                 self.violation(
-                    Rule.NO_REPEATED_EFFECT, now, f"{format_id(request_id)}, {request_class.kind}, ran again, on {backend_id}"
+                    Rule.NO_REPEATED_EFFECT,
+                    now,
+                    f"{format_request_id(request_id)}, {request_class.kind}, ran again, on {backend_id}",
                 )
         if client_try.status in REJECTED_STATUSES:
             self._rejected_and_ran(request_id, now, request_class)
@@ -220,7 +222,7 @@
         is_known_everywhere = is_deduplicated and request_class.deduplication_group == "all"
         if request_class.kind != RequestKind.IDEMPOTENT and not is_known_everywhere:
             self.violation(
-                Rule.NO_REPEATED_EFFECT, now, f"{format_id(request_id)}, {request_class.kind}, was declined and has run"
+                Rule.NO_REPEATED_EFFECT, now, f"{format_request_id(request_id)}, {request_class.kind}, was declined and has run"
             )
 
     def work_done(self, work_ms: float) -> None:
@@ -240,7 +242,7 @@
         """See EffectLog.  Rule 4 holds against those who could know: most of the work came from who was told."""
         self.pushed_over_count += 1
         knowing_ms = sum(work.work_ms for work in recent if self._knew_start(backend_id, work))
-        numerator, denominator = KNOWING_WORK_RATIO
+        numerator, denominator = INFORMED_WORK_RATIO
         if knowing_ms >= sum(work.work_ms for work in recent) * numerator / denominator:
             self.violation(Rule.NO_OVERLOAD_IN_WARM_UP, now, f"{backend_id} fell over at {capacity_ratio:.2f} of its capacity")
 
--- a/sloeferry/rehearsal/play.py
+++ b/sloeferry/rehearsal/play.py
@@ -16,7 +16,7 @@
 from sloeferry.rehearsal.network import SimulatedHost, SimulatedNetwork
 from sloeferry.rehearsal.play_environment import MAX_DRAIN_SECONDS, READY_TIMEOUT_SECONDS, RESTART_SECONDS, ProxyHandle
 from sloeferry.rehearsal.proxy_fleet import ProxyFleet
-from sloeferry.rehearsal.scenario import Scenario, start_of_clock
+from sloeferry.rehearsal.scenario import Scenario, parse_start_time
 from sloeferry.rehearsal.simulated_epoll import SimulatedEpoll
 from sloeferry.rehearsal.simulated_process import SimulatedProcess
 from sloeferry.rehearsal.simulated_socket import SimulatedSocket
@@ -36,7 +36,7 @@
     """A `PlayEnvironment` in virtual time."""
 
     def __init__(self, scenario: Scenario, seed: int, folder: str, policy: str, environment_seed: int):
-        unix_start = start_of_clock(scenario.clock) if scenario.clock else DEFAULT_UNIX_START
+        unix_start = parse_start_time(scenario.clock) if scenario.clock else DEFAULT_UNIX_START
         network = scenario.network
         self.scheduler = Scheduler(seed, unix_start, environment_seed)
         self.folder = folder
@@ -47,7 +47,7 @@
             network.cross_zone_ms / 1000,
             network.client_extra_ms / 1000,
             network.jitter_ratio,
-            network.split_odds,
+            network.split_probability,
         )
         self.loop = SimulatedProcess(self.scheduler, SimulatedHost(self.network, "127.1.0.1", None), "troubles")
         self.rng = self.scheduler.rng
@@ -93,7 +93,7 @@
         self.process.cpu_share = self.cpu_share
         environ = {"BALANCER_CONFIG": str(self.config_path)}
         policy = self.environment.policy
-        work = serve(read_instance_config(environ), environ, lambda dispatcher: baselines.install(dispatcher, policy))
+        work = serve(read_instance_config(environ), environ, lambda dispatcher: baselines.install_baseline(dispatcher, policy))
         self.process.run_main(work, self._exited)
         self.fleet.balancer.proxy_started(self.name)
 
--- a/sloeferry/rehearsal/proxy_faults.py
+++ b/sloeferry/rehearsal/proxy_faults.py
@@ -11,7 +11,7 @@
 from sloeferry.stand_ins.wire_protocol import ADMIN_PORT_OFFSET
 
 if TYPE_CHECKING:
-    from sloeferry.rehearsal.faults import Handlers
+    from sloeferry.rehearsal.faults import FaultHandlers
     from sloeferry.rehearsal.play_environment import ProxyHandle
     from sloeferry.rehearsal.proxy_fleet import ProxyFleet
 
@@ -27,7 +27,7 @@
         self._fleet = fleet
         self._loop = fleet.loop
 
-    def handlers(self) -> "Handlers":
+    def handlers(self) -> "FaultHandlers":
         """What carries out which kind."""
         return {
             scenario_faults.ProxyCrash: self._crash,
--- a/sloeferry/rehearsal/proxy_fleet.py
+++ b/sloeferry/rehearsal/proxy_fleet.py
@@ -215,7 +215,7 @@
         self.judge.began_at = now
         for clients in self.clients:
             clients.schedule_requests(now)
-        FaultInjector(self).begin(now)
+        FaultInjector(self).schedule(now)
 
     def is_busy(self) -> bool:
         """Whether a client waits for an answer."""
--- a/sloeferry/rehearsal/proxy_spans.py
+++ b/sloeferry/rehearsal/proxy_spans.py
@@ -3,7 +3,7 @@
 from collections import defaultdict
 from typing import NamedTuple
 
-NOTICE_SECONDS = 0.4  # in which a proxy that was notified may not have taken it in yet
+NOTIFICATION_GRACE_SECONDS = 0.4  # in which a proxy that was notified may not have taken it in yet
 
 
 class Span(NamedTuple):
@@ -23,7 +23,7 @@
         """Another span; it may overlap others."""
         self._spans[proxy].append(Span(since, until))
 
-    def of(self, proxy: str) -> list[Span]:
+    def spans_of(self, proxy: str) -> list[Span]:
         """All spans of that proxy, in the order in which they were added."""
         return self._spans[proxy]
 
--- a/sloeferry/rehearsal/record.py
+++ b/sloeferry/rehearsal/record.py
@@ -31,7 +31,7 @@
 def make_record(judge: Judge) -> dict[str, Any]:
     """A play's record; its keys are fixed, files that are kept have them."""
     requests = [request for request in judge.planned_requests if request.outcome]
-    service = Service(judge.scenario)
+    service = ServiceScore(judge.scenario)
     windows = split_into_windows(requests, judge.scenario.seconds)
     parts = service_parts(service, requests, windows)
     costs = service_costs(judge, service, requests)
@@ -39,9 +39,9 @@
     return {
         "scenario": judge.scenario.name,
         "service": {
-            "total": rounded(total),
-            **{key: rounded(value) for key, value in parts.items()},
-            "prices": {key: rounded(value) for key, value in costs.items()},
+            "total": round_figure(total),
+            **{key: round_figure(value) for key, value in parts.items()},
+            "prices": {key: round_figure(value) for key, value in costs.items()},
         },
         "rules": dict(judge.violation_counts),
         "breaches": judge.violation_texts,
@@ -50,14 +50,14 @@
         "nodes": {
             "choked": len(judge.congested_backends),
             "fell": judge.pushed_over_count,
-            "work_s": rounded(judge.work_done_ms / 1000),
+            "work_s": round_figure(judge.work_done_ms / 1000),
         },
     }
 
 
 @dataclass(frozen=True)
-class Service:
-    """Service: the part of the priority weight that was served within the latency objective."""
+class ServiceScore:
+    """ServiceScore: the part of the priority weight that was served within the latency objective."""
 
     scenario: Scenario
 
@@ -89,7 +89,7 @@
     return windows
 
 
-def service_parts(service: Service, requests: Requests, windows: Sequence[Requests]) -> dict[str, float | None]:
+def service_parts(service: ServiceScore, requests: Requests, windows: Sequence[Requests]) -> dict[str, float | None]:
     """The parts that total service is made of."""
     pairs = [first + second for first, second in pairwise(windows)] or windows
     min_requests = len(requests) / len(windows) * MIN_WINDOW_RATIO
@@ -99,9 +99,9 @@
     by_tenant = ([request for request in requests if request.tenant_index == index] for index in tenant_indexes)
     return {
         "whole": service.ratio(requests),
-        "worst_10s": lowest(service.ratio(pair) for pair in pairs if len(pair) >= min_requests),
-        "worst_scheme": lowest(map(service.ratio, by_class)),
-        "worst_customer": lowest(map(service.ratio, by_tenant)),
+        "worst_10s": lowest_known(service.ratio(pair) for pair in pairs if len(pair) >= min_requests),
+        "worst_scheme": lowest_known(map(service.ratio, by_class)),
+        "worst_customer": lowest_known(map(service.ratio, by_tenant)),
     }
 
 
@@ -118,7 +118,7 @@
     return sum(weighted) / sum(part_weights.values())
 
 
-def service_costs(judge: Judge, service: Service, requests: Requests) -> dict[str, float]:
+def service_costs(judge: Judge, service: ServiceScore, requests: Requests) -> dict[str, float]:
     """What is taken off service: work that helped nobody, bad news that came late, detours and health checks."""
     costs = judge.scenario.costs
     request_count = max(1, len(requests))
@@ -137,17 +137,17 @@
     }
 
 
-def window_record(index: int, window: Requests, service: Service) -> dict[str, Any]:
+def window_record(index: int, window: Requests, service: ServiceScore) -> dict[str, Any]:
     """One row of the table over time."""
     return {
-        "at": rounded(index * WINDOW_SECONDS),
+        "at": round_figure(index * WINDOW_SECONDS),
         "asked": len(window),
-        "service": rounded(service.ratio(window)),
+        "service": round_figure(service.ratio(window)),
         **{outcome.value: sum(request.outcome == outcome for request in window) for outcome in WINDOW_OUTCOMES},
     }
 
 
-def request_counts(judge: Judge, service: Service, requests: Requests) -> dict[str, int]:
+def request_counts(judge: Judge, service: ServiceScore, requests: Requests) -> dict[str, int]:
     """How many requests ended in which way, and what was done for them."""
     outcomes = [request.outcome for request in requests]
     return {
@@ -162,11 +162,11 @@
     }
 
 
-def lowest(values: Iterable[float | None]) -> float | None:
+def lowest_known(values: Iterable[float | None]) -> float | None:
     """The lowest of those that are known."""
     return min((value for value in values if value is not None), default=None)
 
 
-def rounded(value: float | None) -> float | None:
+def round_figure(value: float | None) -> float | None:
     """As figures stand in records."""
     return None if value is None else round(value, 6)
--- a/sloeferry/rehearsal/report.py
+++ b/sloeferry/rehearsal/report.py
@@ -41,7 +41,7 @@
     return "  RULES BROKEN: " + ", ".join(broken) if broken else "  rules kept"
 
 
-def progress_line(label: str) -> Callable[[float, ProxyFleet], None] | None:
+def make_progress_reporter(label: str) -> Callable[[float, ProxyFleet], None] | None:
     """Shows progress on one line that is written over; None where standard error is no terminal."""
     if not sys.stderr.isatty():
         return None
--- a/sloeferry/rehearsal/scenario.py
+++ b/sloeferry/rehearsal/scenario.py
@@ -30,8 +30,8 @@
 )
 from sloeferry.stand_ins.wire_protocol import RequestKind
 
-SHIPPED = pathlib.Path(__file__).parent / "scenarios"
-MAX_CURVE_PLAYS = 10  # a load curve may be so many times as long as the play
+SHIPPED_FOLDER = pathlib.Path(__file__).parent / "scenarios"
+MAX_CURVE_LENGTH_RATIO = 10  # a load curve may be so many times as long as the play
 
 
 class ScenarioError(UsageError):
@@ -80,28 +80,28 @@
 # Reading
 
 
-def shipped() -> list[str]:
+def shipped_names() -> list[str]:
     """Names of the scenarios that are shipped."""
-    return sorted(path.stem for path in SHIPPED.glob("*.toml"))
+    return sorted(path.stem for path in SHIPPED_FOLDER.glob("*.toml"))
 
 
-def read(name_or_path: str | pathlib.Path) -> Scenario:
+def read_scenario(name_or_path: str | pathlib.Path) -> Scenario:
     """A scenario, checked: a shipped name, or a path."""
-    is_shipped = str(name_or_path) in shipped()
-    path = SHIPPED / f"{name_or_path}.toml" if is_shipped else pathlib.Path(name_or_path)
-    return parse(read_text(path, shipped()), path.name)
+    is_shipped = str(name_or_path) in shipped_names()
+    path = SHIPPED_FOLDER / f"{name_or_path}.toml" if is_shipped else pathlib.Path(name_or_path)
+    return parse_scenario(read_scenario_text(path, shipped_names()), path.name)
 
 
-def read_text(path: pathlib.Path, shipped_names: Sequence[str]) -> str:
-    """What stands in a file; `shipped_names` are for the error's text."""
+def read_scenario_text(path: pathlib.Path, known_names: Sequence[str]) -> str:
+    """What stands in a file; `known_names` are for the error's text."""
     try:
         return path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         reason = getattr(error, "strerror", None) or "is no UTF-8 text"
-        raise ScenarioError(f"{path}: can't be read: {reason}; shipped are {', '.join(shipped_names)}") from None
+        raise ScenarioError(f"{path}: can't be read: {reason}; shipped are {', '.join(known_names)}") from None
 
 
-def parse(text: str, name: str = "scenario", scenario_type: type[AnyScenario] = Scenario) -> AnyScenario:
+def parse_scenario(text: str, name: str = "scenario", scenario_type: type[AnyScenario] = Scenario) -> AnyScenario:
     """A scenario out of TOML, checked; `scenario_type` says what else may stand there.  Raises ScenarioError."""
     try:
         scenario = msgspec.toml.decode(text, type=scenario_type)
@@ -114,7 +114,7 @@
     return scenario
 
 
-def start_of_clock(clock: str) -> float:
+def parse_start_time(clock: str) -> float:
     """Unix time in seconds of a scenario's `clock`.  Raises ValueError."""
     try:
         moment = datetime.fromisoformat(clock)
@@ -176,7 +176,7 @@
         lowest, highest = clients.patience_range
         if not 0 < lowest <= highest:
             self._fail("callers.patience", "the least must be above 0 and no more than the most")
-        if sum(length for length, _ in clients.load_curve) > MAX_CURVE_PLAYS * self._scenario.seconds:
+        if sum(length for length, _ in clients.load_curve) > MAX_CURVE_LENGTH_RATIO * self._scenario.seconds:
             self._fail("callers.curve", "is more than ten times as long as the play")
 
     def _check_fault(self, key: str, fault: ScenarioFault) -> None:
@@ -194,6 +194,6 @@
         if not self._scenario.clock:
             return
         try:
-            start_of_clock(self._scenario.clock)
+            parse_start_time(self._scenario.clock)
         except ValueError as error:
             self._fail("clock", str(error))
--- a/sloeferry/rehearsal/scenario_tables.py
+++ b/sloeferry/rehearsal/scenario_tables.py
@@ -44,7 +44,7 @@
     client_extra_ms: NonNegative = field(default=0.9, name="client_ms")
     jitter_ratio: NonNegative = field(default=0.2, name="jitter")
     # The odds that what is sent comes in two, and again for the rest.
-    split_odds: Annotated[float, Meta(ge=0, le=0.9)] = field(default=0.0, name="pieces")
+    split_probability: Annotated[float, Meta(ge=0, le=0.9)] = field(default=0.0, name="pieces")
 
 
 class Congestion(Table):
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -53,7 +53,7 @@
     for old, new in lines:
         assert old in text, old
         text = text.replace(old, new)
-    return s.parse(text, "squall")
+    return s.parse_scenario(text, "squall")
 
 
 class Quay(trace.LineRecorder):
@@ -249,12 +249,12 @@
 class Scenarios(unittest.TestCase):
     def test_shipped(self):
         """Every shipped scenario can be read, is called as its file, and every trouble has its part."""
-        for name in s.shipped():
-            self.assertEqual(s.read(name).name, name)
+        for name in s.shipped_names():
+            self.assertEqual(s.read_scenario(name).name, name)
         handlers = FaultInjector(types.SimpleNamespace(loop=None)).handlers
         self.assertEqual(set(typing.get_args(ScenarioFault)), set(handlers))
         self.assertGreaterEqual(
-            set(s.shipped()),
+            set(s.shipped_names()),
             set(
                 [
                     "calm",
@@ -272,7 +272,7 @@
                 ]
             ),
         )
-        large = s.read("large")
+        large = s.read_scenario("large")
         self.assertGreaterEqual((large.proxies.count, sum(n.count for n in large.backends)), (32, 200))
 
     def test_faults(self):
@@ -296,7 +296,7 @@
         ):
             self.assertIn(old, text)
             with self.assertRaises(s.ScenarioError) as caught:
-                s.parse(text.replace(old, new, 1))
+                s.parse_scenario(text.replace(old, new, 1))
             lines.lines.append(f"{new.splitlines()[-1]}  ->  {caught.exception}")
         trace.compare(self, lines, "rehearsal_faults")
         for words in (
@@ -346,7 +346,7 @@
 class Plays(unittest.TestCase):
     RUN = (
         "import json, sys; from sloeferry.rehearsal import play, scenario as s; "
-        "print(json.dumps(play.play(s.read(sys.argv[1]), int(sys.argv[2])), sort_keys=True))"
+        "print(json.dumps(play.play(s.read_scenario(sys.argv[1]), int(sys.argv[2])), sort_keys=True))"
     )
 
     def start(self, seed, hashes):
@@ -406,7 +406,7 @@
         """Answers, time-outs and drains within one millisecond: one answer each, nothing twice, nothing after."""
         hows = {}
         for seed in range(6):
-            record = play.play(s.read(HERE / "instant.toml"), seed)
+            record = play.play(s.read_scenario(HERE / "instant.toml"), seed)
             self.assertEqual((record["breaches"], record["faults"]), ([], []))
             for how, count in record["txns"].items():
                 hows[how] = hows.get(how, 0) + count
@@ -444,7 +444,7 @@
     def test_stood_still(self):
         """Guards Clients.stood: what lay unread while the proxy got no time is not new.  Taken for new it was sent
         on past its expiry."""
-        told = s.read(HERE / "standstill.toml")
+        told = s.read_scenario(HERE / "standstill.toml")
         self.assertEqual(self.broken(told), ({}, []))
         with mock.patch.object(StallAccounting, "_charge_stall", lambda *_: None):
             rules, texts = self.broken(told)
@@ -454,7 +454,7 @@
     def test_crowd_outside(self):
         """Guards Guest.outside: of a crowd the last are let in late, and their time runs from when they asked.  Taken
         for new they were answered past their expiry."""
-        told, accept = s.read(HERE / "crowd.toml"), Listener.accept
+        told, accept = s.read_scenario(HERE / "crowd.toml"), Listener.accept
 
         def forgets(door, *most):
             door.backlogged_since_ms = None
@@ -468,7 +468,7 @@
     def test_full_after_a_stop(self):
         """Guards Clients.stalled: whoever found no place after a standstill is let in later, and has waited as long as the
         others.  Taken for new it was sent on a second past its expiry."""
-        told, accept = s.read(HERE / "full.toml"), Listener.accept
+        told, accept = s.read_scenario(HERE / "full.toml"), Listener.accept
 
         def forgets(door, *most):
             door.stalled_backlog_count = 0
@@ -488,7 +488,7 @@
     def test_clients_that_leave(self):
         """Guards Facade.goes_on: of clients that leave in bursts, many while their proxy stands still, none has its
         request sent on 0.3 s after that."""
-        told, posted = s.read(HERE / "leavers.toml"), judge.Judge.attempt_received
+        told, posted = s.read_scenario(HERE / "leavers.toml"), judge.Judge.attempt_received
 
         def sent_on():
             found = []
@@ -511,10 +511,10 @@
 
     def test_untold(self):
         """A cold node falls over, whoever sent to it; rule 4 is broken by those who could know that it was cold."""
-        told = s.read(HERE / "untold.toml")
+        told = s.read_scenario(HERE / "untold.toml")
         record = play.play(told, 3)
         self.assertEqual((record["breaches"], record["nodes"]["fell"]), ([], 1))
-        at_once = s.parse((HERE / "untold.toml").read_text().replace("add_s = 2", "add_s = 0"))
+        at_once = s.parse_scenario((HERE / "untold.toml").read_text().replace("add_s = 2", "add_s = 0"))
         with mock.patch.object(SlowStart, "may_send", lambda *_: True):
             self.assertEqual(self.broken(told, 3, "round-robin")[0], {})
             rules, texts = self.broken(at_once, 3, "round-robin")
@@ -522,7 +522,7 @@
 
     def test_keeps_its_clients(self):
         """Told to quiesce, it goes on as ever, but for its answer to those who ask whether it is ready."""
-        told = s.read("quiesce")
+        told = s.read_scenario("quiesce")
         self.assertEqual(self.broken(told), ({}, []))
         with (
             mock.patch.object(Lifecycle, "closes_connections", lambda self: self.is_stopping),
@@ -539,14 +539,14 @@
             message.single_headers[name.lower()] = value
             message.body_bytes += len(name) + len(value) + 4
 
-        told = s.read("quiesce")
+        told = s.read_scenario("quiesce")
         self.assertGreater(play.play(told, 2, "design")["service"]["worst_scheme"], 0.95)
         with mock.patch.object(MessageFraming, "on_header", on_header):  # nodes wait for bytes that never come
             self.assertLess(play.play(told, 2, "design")["service"]["worst_scheme"], 0.8)
 
     def test_sent_twice(self):
         """A body that flowed is taken for a new request once its last byte has come, as it once was."""
-        told, complete = s.read("bulk"), MessageFraming.on_message_complete
+        told, complete = s.read_scenario("bulk"), MessageFraming.on_message_complete
 
         def again(framing):
             framing.message.is_streamed = False
