--- a/sloeferry/fault_testing/flaky_proxy.py
+++ b/sloeferry/fault_testing/flaky_proxy.py
@@ -1,6 +1,7 @@
-"""A proxy whose clock or system calls misbehave: python -m sloeferry.fault_testing.flaky_proxy.
+"""A proxy with a wrong clock or failing system calls: python -m sloeferry.fault_testing.flaky_proxy.
 
-SLOEFERRY_RIG_CLOCK: seconds by which its wall clock is off.  SLOEFERRY_RIG_CALLS: its system calls fail at times.
+SLOEFERRY_RIG_CLOCK sets the offset of its wall clock in seconds.  A non-empty SLOEFERRY_RIG_CALLS makes its system calls
+fail intermittently.
 """
 
 import os
@@ -8,8 +9,8 @@
 import time
 
 if __name__ == "__main__":
-    early_reloads: list[int] = []  # as sloeferry/__main__.py does it
-    signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
+    early_reloads: list[int] = []  # as in sloeferry/__main__.py
+    signal.signal(signal.SIGHUP, lambda signal_number, _: early_reloads.append(signal_number))
 
     from sloeferry import environment
     from sloeferry.fault_testing import flaky_sockets
--- a/sloeferry/fault_testing/flaky_sockets.py
+++ b/sloeferry/fault_testing/flaky_sockets.py
@@ -1,6 +1,7 @@
-"""System calls that fail as their manual pages say they may: sockets for a proxy under test, put in by environment.replace.
+"""Sockets for a proxy under test whose system calls fail with errors that their manual pages list.
 
-In each period calls fail for a part of it, a different error each time; between, reads and writes are short.
+They are installed by environment.replace.  In each period, connect and accept fail with random errors for FAILING_SECONDS;
+reads and writes are short at all times.
 """
 
 import errno
@@ -9,53 +10,53 @@
 import time
 
 PERIOD_SECONDS = 3.0
-FAILING_SECONDS = 0.5  # of each period
+FAILING_SECONDS = 0.5  # at the start of each period
 CONNECT_ERRORS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNREFUSED)
 ACCEPT_ERRORS = (errno.ECONNABORTED, errno.EMFILE, errno.ENOBUFS, errno.EPROTO)
-MIN_TRANSFER_BYTES = 7  # of a short read or write
+MIN_TRANSFER_BYTES = 7  # smallest short read or write
 
 
 def is_failing() -> bool:
-    """Whether calls fail now; the same moment in all processes of a machine."""
+    """Return True while calls fail; the periods are the same in all processes of a machine."""
     return time.monotonic() % PERIOD_SECONDS < FAILING_SECONDS
 
 
 def _raise_error(errors: tuple[int, ...]) -> None:
-    number = random.choice(errors)
-    raise OSError(number, errno.errorcode[number])
+    error_number = random.choice(errors)
+    raise OSError(error_number, errno.errorcode[error_number])
 
 
 class FlakySocket(socket.socket):
-    """A TCP socket whose calls fail for a while, or do a part of what they were asked."""
+    """A TCP socket whose connects and accepts fail periodically, and whose reads and writes are short."""
 
     def connect(self, address: tuple[str, int]) -> None:
-        """As socket.connect, or one of CONNECT_ERRORS."""
+        """Connect as socket.connect does, or raise one of CONNECT_ERRORS."""
         if is_failing():
             _raise_error(CONNECT_ERRORS)
         super().connect(address)
 
     def accept(self) -> tuple[socket.socket, tuple[str, int]]:
-        """As socket.accept, or one of ACCEPT_ERRORS."""
+        """Accept as socket.accept does, or raise one of ACCEPT_ERRORS."""
         if is_failing():
             _raise_error(ACCEPT_ERRORS)
         fd, address = self._accept()
         return FlakySocket(self.family, self.type, self.proto, fileno=fd), address
 
     def recv_into(self, buffer: bytearray | memoryview, nbytes: int = 0, flags: int = 0) -> int:
-        """As socket.recv_into, of a random part of the buffer."""
+        """Receive as socket.recv_into does, into a buffer shortened to a random length."""
         if flags or len(buffer) <= MIN_TRANSFER_BYTES:
             return super().recv_into(buffer, nbytes, flags)
         return super().recv_into(memoryview(buffer)[: random.randint(MIN_TRANSFER_BYTES, len(buffer))], 0, flags)
 
     def send(self, data: bytes | memoryview, flags: int = 0) -> int:
-        """As socket.send, of a random part of the data."""
+        """Send as socket.send does, data shortened to a random length."""
         if len(data) <= MIN_TRANSFER_BYTES:
             return super().send(data, flags)
         return super().send(memoryview(data)[: random.randint(MIN_TRANSFER_BYTES, len(data))], flags)
 
 
 def tcp_socket() -> FlakySocket:
-    """As environment.tcp_socket: a new TCP socket that never blocks."""
+    """Return a new non-blocking TCP socket, as environment.tcp_socket does."""
     sock = FlakySocket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     return sock
--- a/sloeferry/fault_testing/fleet_audit.py
+++ b/sloeferry/fault_testing/fleet_audit.py
@@ -1,4 +1,4 @@
-"""The fleet's own word of itself in the middle of a run, as operators get it."""
+"""The fleet audit in the middle of a run, over the same admin interface that operators use."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 
 async def audit_running_fleet(places: list[ProxyPlace], discovery: StandInDiscovery) -> dict[str, Any]:
-    """Asks all proxies at their admin addresses; discovery stands at its revision once all have answered."""
+    """Query all proxies at their admin addresses, and return the audit against discovery's revision after the last answer."""
     proxies = tuple(ProxyAddress(place.name, (place.address[0], place.address[1] + ADMIN_PORT_OFFSET)) for place in places)
     fleet = FleetConfig(proxies, None)
     answers = await query_fleet(fleet)
--- a/sloeferry/fault_testing/garbage_collection.py
+++ b/sloeferry/fault_testing/garbage_collection.py
@@ -1,4 +1,4 @@
-"""What processes that measure have in common."""
+"""Garbage collector settings of processes that measure."""
 
 import gc
 
@@ -6,6 +6,9 @@
 
 
 def tune_garbage_collection() -> None:
-    """All that is there now is kept: a collection that looked at it would take longer than what is measured."""
+    """Freeze all present objects and raise the collection thresholds.
+
+    A collection that traverses the present objects would take longer than the times that are measured.
+    """
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/sloeferry/fault_testing/link_relay.py
+++ b/sloeferry/fault_testing/link_relay.py
@@ -1,6 +1,7 @@
-"""Links between two processes, and what can be done to them: asyncio, loopback, any number in one process.
+"""TCP relay for links between two processes, which can hold, delay, cut or break connections.
 
-A link listens for connections (the client's end) and dials the address that it stands for (the server's end).
+One process relays any number of links on loopback, with asyncio.  A link listens for connections (the client end) and
+connects to its target address (the server end) for each.
 """
 
 import asyncio
@@ -16,24 +17,24 @@
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 seconds
 BACKLOG = 1024
-RESET_DELAY_SECONDS = 0.005  # what was let through before a break arrives before the reset
+RESET_DELAY_SECONDS = 0.005  # so that bytes forwarded before a break arrive before the reset
 
 Address = tuple[str, int]
 
 
 class LinkState(enum.Enum):
-    """What a link does at present.  The value is the word that plans use."""
+    """The present behaviour of a link; the value is the name in plans."""
 
-    WHOLE = ""
-    HOLD = "hold"  # what is sent waits
+    NORMAL = ""
+    HOLD = "hold"  # sent bytes are queued
     DELAY = "delay"
     CUT = "cut"  # connections are reset, new ones refused
-    HALF_OPEN = "half-open"  # the server's end has gone, the client's is not notified
-    BREAK = "break"  # each connection is reset after so many bytes
+    HALF_OPEN = "half-open"  # the server end is reset, the client end is not notified
+    BREAK = "break"  # each connection is reset after `byte_limit` bytes
 
 
 class Direction(enum.Enum):
-    """Which way bytes go on a link.  The value is the word that plans use."""
+    """The direction of bytes on a link; the value is the name in plans."""
 
     TO_SERVER = "there"
     TO_CLIENT = "back"
@@ -42,38 +43,38 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkCondition:
-    """A state and its figures, as far as it has any.  `byte_limit`: bytes that pass before a break."""
+    """The state of a link and its parameters; `byte_limit` is the number of bytes forwarded before a break."""
 
-    state: LinkState = LinkState.WHOLE
+    state: LinkState = LinkState.NORMAL
     direction: Direction = Direction.BOTH
     delay_ms: float = 0.0
     byte_limit: int = 0
 
     @classmethod
     def from_plan(cls, kind: str, keys: dict[str, Any]) -> "LinkCondition":
-        """By the words of a plan: a fault's kind (empty: whole again), and its keys `way`, `ms`, `bytes`."""
+        """Return the condition for a fault's kind (empty: normal) and its keys `way`, `ms` and `bytes`, as plans have them."""
         direction = Direction(keys.get("way", Direction.BOTH.value))
         return cls(LinkState(kind), direction, keys.get("ms", 0.0), keys.get("bytes", 0))
 
     def is_holding(self, direction: Direction) -> bool:
-        """Whether what goes that way waits."""
+        """Return True if bytes in that direction are queued."""
         if self.state is LinkState.HOLD:
             return self.direction in (Direction.BOTH, direction)
         return self.state is LinkState.HALF_OPEN
 
 
 def reset(transport: asyncio.Transport | None) -> None:
-    """Ends a connection with a reset rather than an orderly end."""
+    """Close a connection with a TCP reset instead of an orderly close."""
     if transport and not transport.is_closing():
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         transport.abort()
 
 
 class Link:
-    """One address that stands for another.
+    """A listening address that relays connections to a target address.
 
-    `recorder` is asked to `note` connections that the target refused and, with `records_requests`, when each request's first
-    byte came in.
+    It notes in `recorder` each connection that the target refused and, with `records_requests`, the arrival time of each
+    request's first byte.
     """
 
     def __init__(
@@ -96,14 +97,14 @@
         self._listen_address = listen_address
 
     async def open(self) -> None:
-        """Listens."""
+        """Start to listen."""
         self.server = await self.loop.create_server(self._create_client_end, *self._listen_address, backlog=BACKLOG)
 
     def _create_client_end(self) -> "RelayEnd":
         return RelayEnd(RelayedConnection(self), Direction.TO_SERVER)
 
     async def set_condition(self, condition: LinkCondition) -> None:
-        """From now on; when it is whole again, what was held goes on."""
+        """Apply a condition from now on; when the link returns to normal, queued bytes are forwarded."""
         was_cut = self.condition.state is LinkState.CUT
         self.condition = condition
         if condition.state is LinkState.CUT:
@@ -111,7 +112,7 @@
         elif condition.state is LinkState.HALF_OPEN:
             for connection in list(self.connections):
                 connection.drop_server()
-        elif condition.state is LinkState.WHOLE:
+        elif condition.state is LinkState.NORMAL:
             await self._repair(was_cut)
 
     async def _cut(self) -> None:
@@ -131,9 +132,9 @@
 
 
 class RelayedConnection:
-    """One connection through a link: two ends, and what waits for either.
+    """One connection through a link: its two ends, and the data queued for either.
 
-    What passes is bytes, or None for the end of the stream.
+    Data is bytes, or None for the end of the stream.
     """
 
     def __init__(self, link: Link):
@@ -142,25 +143,25 @@
         self.server_end: RelayEnd | None = None
         self.is_half_open = False
         self._held: list[tuple[Direction, bytes | None]] = []
-        self._delivery_due_at = {Direction.TO_SERVER: 0.0, Direction.TO_CLIENT: 0.0}  # of what is on its way, delayed
+        self._delivery_due_at = {Direction.TO_SERVER: 0.0, Direction.TO_CLIENT: 0.0}  # of the last delayed data
         self._forwarded_bytes = {Direction.TO_SERVER: 0, Direction.TO_CLIENT: 0}
         self._request_reader = MessageReader() if link.records_requests else None
         self._request_began_at: float | None = None
         link.connections[self] = None
 
     async def dial(self) -> None:
-        """Connects to the link's target."""
+        """Connect to the link's target."""
         link = self.link
         try:
             await link.loop.create_connection(lambda: RelayEnd(self, Direction.TO_CLIENT), *link.target_address)
-        except OSError:  # nobody took what came here, though a connection stood
+        except OSError:  # the target refused, although the client's connection to the relay was accepted
             link.recorder.note(link.loop.time(), Event.LINK_REFUSED, link.name)
             self.reset()
             return
         self.flush()
 
     def receive(self, direction: Direction, data: bytes | None) -> None:
-        """What one end has sent, on its way to the other."""
+        """Handle data that one end has sent, and forward it to the other."""
         if direction is Direction.TO_SERVER and self._request_reader is not None and data:
             self._note_requests(data)
         self._forward(direction, data)
@@ -181,10 +182,10 @@
     def _forward(self, direction: Direction, data: bytes | None) -> None:
         now = self.link.loop.time()
         condition = self.link.condition
-        is_behind_held = any(held_direction is direction for held_direction, _ in self._held)
+        is_behind_held = any(queued_direction is direction for queued_direction, _ in self._held)
         if self._receiver(direction) is None or condition.is_holding(direction) or is_behind_held:
             self._held.append((direction, data))
-        elif condition.state is LinkState.DELAY or self._delivery_due_at[direction] > now:  # nothing overtakes what is on its way
+        elif condition.state is LinkState.DELAY or self._delivery_due_at[direction] > now:  # data must not overtake delayed data
             self._delivery_due_at[direction] = max(self._delivery_due_at[direction], now + condition.delay_ms / 1000)
             self.link.loop.call_at(self._delivery_due_at[direction], self._deliver, direction, data)
         else:
@@ -208,25 +209,25 @@
         receiver.transport.write(data)
 
     def flush(self) -> None:
-        """Passes on what was held, as far as nothing holds it still."""
+        """Forward queued data, as far as the present condition allows."""
         held = self._held
         self._held = []
         for direction, data in held:
             self._forward(direction, data)
 
     def reset(self) -> None:
-        """Resets both ends."""
+        """Reset both ends."""
         self.link.connections.pop(self, None)
         for end in (self.client_end, self.server_end):
             reset(end.transport if end else None)
 
     def drop_server(self) -> None:
-        """Resets the server's end; the client's is not notified."""
+        """Reset the server end without notifying the client end."""
         self.is_half_open = True
         reset(self.server_end.transport if self.server_end else None)
 
     def connection_ended(self, direction: Direction, is_reset: bool) -> None:
-        """The connection to one end is over: so is the other, in the same way."""
+        """Close or reset the other end in the same way as one end was."""
         if self.is_half_open and direction is Direction.TO_CLIENT:
             return
         if is_reset:
@@ -239,7 +240,7 @@
 
 
 class RelayEnd(asyncio.Protocol):
-    """The connection to the client, or to the server.  `direction`: where what it sends goes."""
+    """The connection to the client or to the server; `direction` is the direction of the data that it receives."""
 
     def __init__(self, connection: RelayedConnection, direction: Direction):
         self.connection = connection
@@ -247,7 +248,7 @@
         self._direction = direction
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """The client's end has come: the server is dialled."""
+        """Store the transport; if it is the client end, connect to the server."""
         self.transport = transport
         if self._direction is Direction.TO_SERVER:
             self.connection.client_end = self
@@ -257,9 +258,9 @@
             self.connection.server_end = self
 
     def data_received(self, data: bytes) -> None:
-        """Bytes from this end."""
+        """Pass on bytes from this end."""
         self.connection.receive(self._direction, data)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection to this end is over."""
+        """Pass on the close or reset of this end."""
         self.connection.connection_ended(self._direction, is_reset=error is not None)
--- a/sloeferry/fault_testing/placement.py
+++ b/sloeferry/fault_testing/placement.py
@@ -1,6 +1,6 @@
-"""Where everything of a run stands: loopback addresses and ports, and which proxies and links each fault strikes.
+"""Loopback addresses and ports of a run, and the target proxies and links of each fault.
 
-All of it follows from plan and seed, before anything starts, but for the ports: those that no other run has.
+All of it is determined by plan and seed before any process starts, except for the ports, which no other run may use.
 """
 
 import socket
@@ -14,16 +14,20 @@
 from sloeferry.rehearsal.proxy_fleet import BACKEND_BLOCK, DISCOVERY_BLOCK, loopback_address
 from sloeferry.rehearsal.scenario import ScenarioError
 
-LINK_BLOCK = 50  # of loopback addresses (127.BLOCK.x.y), beside the blocks of a rehearsal's own placing
-LOCK_ADDRESS_NUMBER = 249  # in discovery's block: the address that holds a run's ports
-# Below the ports that the machine gives away by itself.
+LINK_BLOCK = 50  # of loopback addresses (127.BLOCK.x.y), distinct from the blocks of a rehearsal
+LOCK_ADDRESS_NUMBER = 249  # in discovery's block: the address whose listening socket reserves a run's ports
+# Below the machine's ephemeral ports.
 FIRST_PORT, END_PORT, PORTS_PER_RUN = 12000, 32000, 2500
 
 Address = tuple[str, int]
 
 
 class RelayedLink(NamedTuple):
-    """A link between a proxy and `between`; `backend`: its number, where it is to one; `listen`: the relay's address."""
+    """A relayed link between a proxy and backends, clients or discovery.
+
+    `between` names the other end as plans do, `backend` is the number of the backend if the link leads to one, and
+    `listen_address` is the relay's address.
+    """
 
     between: str
     proxy: int
@@ -32,37 +36,40 @@
 
 
 class FaultTargets(NamedTuple):
-    """What a fault strikes: proxies by number, links by name."""
+    """The targets of a fault: proxies by number, links by name."""
 
     proxies: list[int]
     links: list[str]
 
 
 def discovery_link(proxy: int) -> str:
-    """The name of the link between a proxy and discovery."""
+    """Return the name of the link between a proxy and discovery."""
     return f"discovery/{proxy}"
 
 
 def clients_link(proxy: int) -> str:
-    """The name of the link between clients and a proxy."""
+    """Return the name of the link between clients and a proxy."""
     return f"callers/{proxy}"
 
 
 def backend_address(number: int, port: int) -> Address:
-    """The address of a backend."""
+    """Return the address of the backend with that number."""
     return loopback_address(BACKEND_BLOCK, number), port
 
 
 @dataclass(slots=True)
 class TargetSelection:
-    """What each fault strikes, and all links that takes; `random_for(name)` gives random numbers by what they are for."""
+    """The targets of each fault, and the links that they require.
+
+    `rng_for(purpose)` returns the random number generator for that purpose.
+    """
 
     plan: Plan
     port: int
     rng_for: Callable[[str], Random]
     targets_by_fault: list[FaultTargets] = field(default_factory=list)
-    links: dict[str, RelayedLink] = field(default_factory=dict)  # only those that a fault strikes
-    _link_count_by_proxy: dict[int, int] = field(default_factory=dict)  # how many
+    links: dict[str, RelayedLink] = field(default_factory=dict)  # by name; only targets of faults
+    _link_count_by_proxy: dict[int, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         for number, fault in enumerate(self.plan.process_faults):
@@ -81,7 +88,7 @@
         return _sample_indexes(rng, sum(group.count for group in self.plan.backends), fault.backend_ratio)
 
     def _add_link(self, between: str, proxy: int, backend: int | None) -> str:
-        """The name of that link, placed where it is new: an address a proxy, a port each."""
+        """Return the name of that link; a new one gets the address of its proxy and the next port."""
         name = f"{between}/{proxy}" if backend is None else f"{between}/{proxy}/{backend}"
         if name not in self.links:
             number = self._link_count_by_proxy.get(proxy, 0)
@@ -91,22 +98,22 @@
 
 
 def _sample_indexes(rng: Random, count: int, ratio: float) -> list[int]:
-    """At least one of so many, in order."""
+    """Return a sorted random sample of `ratio` of the numbers below `count`, but at least one."""
     return sorted(rng.sample(range(count), max(1, round(ratio * count))))
 
 
 class ReservedPorts(NamedTuple):
-    """The first port of a run, and the socket that holds all of them until it is closed."""
+    """The first port of a run, and the socket that reserves all of its ports until it is closed."""
 
     lock: socket.socket
     first_port: int
 
 
 def reserve_ports() -> ReservedPorts:
-    """Ports that no other run has; raises ScenarioError where all are taken."""
+    """Reserve ports that no other run uses; raises ScenarioError if all are taken."""
     for port in range(FIRST_PORT, END_PORT, PORTS_PER_RUN):
         try:
             return ReservedPorts(socket.create_server((loopback_address(DISCOVERY_BLOCK, LOCK_ADDRESS_NUMBER), port)), port)
         except OSError:
             continue
-    raise ScenarioError("no ports are free for a play: eight go on at once")
+    raise ScenarioError("no free ports for this run: eight other runs are in progress")
--- a/sloeferry/fault_testing/plan.py
+++ b/sloeferry/fault_testing/plan.py
@@ -1,7 +1,7 @@
-"""Plan files: a rehearsal's scenario, and beside its faults those that strike between processes.
+"""Plan files: a rehearsal's scenario, extended with faults of processes, links and discovery.
 
-Read, checked and given defaults in one place; an error names its key.  Times are as their keys say: `_ms` milliseconds,
-`_s` or none seconds.
+Plans are read, validated and given defaults in one place; an error names its key.  Keys that end in `_ms` are milliseconds,
+other times are seconds.
 """
 
 import pathlib
@@ -21,14 +21,14 @@
 SHIPPED_FOLDER = pathlib.Path(__file__).parent / "plans"
 MAX_PROXIES = 400  # on one machine
 GENERATED_NAME = re.compile(r"(drawn|soak)-(\d{1,9})")
-# Faults that rehearsals in virtual time have too, and as which of a scenario's.
+# Faults that also exist in virtual time, and the corresponding scenario fault.
 VIRTUAL_COUNTERPARTS = {
     Kill: scenario_faults.ProxyCrash,
     Stop: scenario_faults.ProxyPause,
     Termination: scenario_faults.ProxyRollingRestart,
     DiscoveryDowntime: scenario_faults.DiscoveryOutage,
 }
-# Faults of scenarios that plans do not take: a process fault does the same, or a run of processes has no means for them.
+# Scenario faults that plans reject: a process fault does the same, or real processes cannot reproduce them.
 UNSUPPORTED_SCENARIO_FAULTS = (
     scenario_faults.OneSidedLoss,
     scenario_faults.LossyZoneLink,
@@ -40,9 +40,9 @@
 
 
 class RigSettings(Table):
-    """The processes beside the proxies.
+    """The processes of a run other than the proxies, and its audit.
 
-    `late_ms`: a process that measures and ran later than that voids the run; `audit_s`: when the fleet is audited, whose
+    A run is void if a measuring process had an event-loop lag above `late_ms`.  At `audit_s` the fleet is audited, and the
     result is compared with the records.
     """
 
@@ -53,10 +53,10 @@
 
 
 class Expectations(Table):
-    """What the plan holds its proxies to, beside the four rules.
+    """The plan's expectations of its proxies, in addition to the four safety rules.
 
-    `service`: the least part of the priority weights that is served in time; `lost`: how many requests at the most may stay
-    without a response, whoever is to blame.
+    `service` is the minimum ratio of the priority weights that is served in time; `lost` is the maximum number of requests
+    without a response, whatever the cause.
     """
 
     service: Ratio = 0.0
@@ -64,7 +64,7 @@
 
 
 class Plan(Scenario, kw_only=True):
-    """A scenario, with faults between processes."""
+    """A scenario with faults of processes, links and discovery."""
 
     rig: RigSettings = RigSettings()
     process_faults: list[AnyFault] = msgspec.field(default_factory=list, name="fault")
@@ -72,12 +72,12 @@
 
 
 def shipped_names() -> list[str]:
-    """The names of the plans that come with the package."""
+    """Return the names of the plans that the package contains."""
     return sorted(path.stem for path in SHIPPED_FOLDER.glob("*.toml"))
 
 
 def read_plan_text(name: str) -> str:
-    """The text of a plan: a shipped name, `drawn-` or `soak-` and a seed, or a path."""
+    """Return the text of a plan, given a shipped name, `drawn-N` or `soak-N` with a seed N, or a path."""
     if drawn := GENERATED_NAME.fullmatch(name):
         generate_plan = short_plan_generator.generate_plan if drawn[1] == "drawn" else soak_plan_generator.generate_plan
         return generate_plan(int(drawn[2])).to_toml()
@@ -86,22 +86,22 @@
 
 
 def read_plan(name: str) -> Plan:
-    """The plan of that name or path, checked; raises ScenarioError."""
+    """Return the validated plan of that name or path; raises ScenarioError."""
     return parse_plan(read_plan_text(name), pathlib.Path(name).name)
 
 
 def parse_plan(text: str, name: str = "plan") -> Plan:
-    """The plan in that TOML text, checked; raises ScenarioError, which names the key."""
+    """Return the validated plan in that TOML text; raises ScenarioError, which names the key."""
     plan = scenarios.parse(text, name, Plan)
     if plan.proxies.count > MAX_PROXIES:
-        _reject(name, "bank.proxies", f"{plan.proxies.count} are too many for one machine, {MAX_PROXIES} at most")
+        _reject(name, "bank.proxies", f"{plan.proxies.count} proxies are too many for one machine, {MAX_PROXIES} at most")
     if plan.clock:
-        _reject(name, "clock", "a machine's own clock is never set; use a fault")
+        _reject(name, "clock", "the machine's clock is never set; use a clock fault")
     for index, fault in enumerate(plan.scenario_faults):
         if isinstance(fault, UNSUPPORTED_SCENARIO_FAULTS):
             _reject(name, f"trouble[{index}].what", "exists in virtual time alone; see the faults")
     if plan.rig.audit_s and plan.rig.audit_s > plan.seconds:
-        _reject(name, "rig.audit_s", "comes after the end")
+        _reject(name, "rig.audit_s", "is after the end of the plan")
     for index, fault in enumerate(plan.process_faults):
         _check_fault(plan, fault, name, f"fault[{index}]")
     return plan
@@ -120,7 +120,7 @@
 
 
 def resize(plan: Plan, proxies: int | None = None, backends: int | None = None) -> Plan:
-    """The same plan with so many proxies, and so many backends in all; load goes with the backends."""
+    """Return the plan with that number of proxies, and of backends in total; the load scales with the backends."""
     replace = msgspec.structs.replace
     if proxies:
         plan = replace(plan, proxies=replace(plan.proxies, count=proxies))
@@ -134,7 +134,7 @@
 
 
 def to_virtual_scenario(plan: Plan) -> tuple[Scenario, list[str]]:
-    """The scenario that plays in virtual time, and the kinds of the faults that have no part there."""
+    """Return the scenario for virtual time, and the kinds of the faults that do not exist there."""
     faults = list(plan.scenario_faults)
     left_out = []
     for fault in plan.process_faults:
--- a/sloeferry/fault_testing/plan_faults.py
+++ b/sloeferry/fault_testing/plan_faults.py
@@ -1,7 +1,7 @@
-"""The faults that a plan may name: a TOML table `[[fault]]` each, `what` says which.
+"""The faults that a plan may contain: one TOML table `[[fault]]` each, whose key `what` names the kind.
 
-Fields carry units in their names; `msgspec.field(name=...)` gives the key in the file where it is another.  The TOML key
-`part` of most faults is the part of the proxies that is struck, drawn from the seed.
+Field names contain units; `msgspec.field(name=...)` gives the key in the file if it differs.  The target proxies are
+selected at random from the seed unless `proxies` lists them; the TOML key `part` is their ratio.
 """
 
 from typing import Annotated, Literal
@@ -14,7 +14,7 @@
 
 
 class Fault(Table, tag_field="what"):
-    """What all faults have: when, for how long, and which proxies, by number or a part of them that is drawn."""
+    """The fields of all faults: start, duration, and the target proxies, by number or as a ratio."""
 
     at_seconds: NonNegative = field(name="at")
     lasts_seconds: Positive = field(name="lasts", default=2.0)
@@ -23,27 +23,27 @@
 
     @property
     def kind(self) -> str:
-        """The word for it in plans and records."""
+        """Return the name of the kind in plans and records."""
         return self.__struct_config__.tag
 
 
 class Kill(Fault, tag="kill"):
-    """SIGKILL; started again when it is over."""
+    """SIGKILL for the target proxies, which are started again at the end of the fault."""
 
 
 class Stop(Fault, tag="stop"):
-    """SIGSTOP, and SIGCONT when it is over."""
+    """SIGSTOP for the target proxies, and SIGCONT at the end of the fault."""
 
 
 class Termination(Fault, tag="term"):
-    """SIGTERM, one after the other, and a new process for each."""
+    """SIGTERM for the target proxies one after the other, and a new process for each."""
 
 
 class Reload(Fault, tag="hup"):
-    """New settings and SIGHUP.
+    """New settings and SIGHUP for the target proxies.
 
-    `lost_ratio`: of those struck, who never get the signal; `file`: in what state the settings stand there as they are read;
-    `objective_ratio`: the latency objective, times what it was.
+    `lost_signal_ratio` of the targets never get the signal; `file` is the state of the settings file when it is read;
+    `objective_ratio` multiplies the plan's latency objective.
     """
 
     lost_signal_ratio: Ratio = field(name="lost", default=0.0)
@@ -52,71 +52,74 @@
 
 
 class ClockStep(Fault, tag="clock"):
-    """The wall clock of those processes is off by so much."""
+    """A wall clock that is off by `offset_seconds` in the target proxies."""
 
     offset_seconds: float = field(name="by_s", default=3600.0)
 
 
 class FailingSystemCalls(Fault, tag="calls"):
-    """System calls of those processes fail at times, and do a part of what they were asked (flaky_sockets.py)."""
+    """Intermittent failures and short transfers of system calls in the target proxies (flaky_sockets.py)."""
 
 
 class LinkFault(Fault):
-    """Between those proxies and `between`; `backend_ratio`: the part of the backends, drawn."""
+    """A fault of the links between the target proxies and `between`.
+
+    Of links to backends, those to a random `backend_ratio` of the backends are targets.
+    """
 
     between: Literal["nodes", "discovery", "callers"] = "nodes"
     backend_ratio: Ratio = field(name="nodes", default=1.0)
 
 
 class HeldLink(LinkFault, tag="hold"):
-    """What is sent waits until it is over, one way or both; a machine that is cut off looks so."""
+    """Bytes in one direction or both are queued until the end of the fault, as if a machine were cut off."""
 
     direction: Literal["there", "back", "both"] = field(name="way", default="both")
 
 
 class DelayedLink(LinkFault, tag="delay"):
-    """What is sent takes so much longer."""
+    """All bytes are delayed by `delay_ms`."""
 
     delay_ms: Positive = field(name="ms", default=50.0)
 
 
 class CutLink(LinkFault, tag="cut"):
-    """Reset at once, and refused while it lasts."""
+    """Connections are reset at once, and new ones are refused during the fault."""
 
 
 class HalfOpenLink(LinkFault, tag="half-open"):
-    """The far end has gone and the near end is not notified until it is over: then it is reset."""
+    """The server end is reset, and the client end only at the end of the fault."""
 
 
 class BrokenLink(LinkFault, tag="break"):
-    """Each connection is reset once so many bytes have gone that way on it: inside a message."""
+    """Each connection is reset after `byte_limit` bytes in one direction, inside a message."""
 
     byte_limit: Annotated[int, Meta(ge=0)] = field(name="bytes", default=40)
     direction: Literal["there", "back"] = field(name="way", default="back")
 
 
 class DiscoveryDowntime(Fault, tag="list-out"):
-    """Discovery is down, for all."""
+    """Discovery is down for all proxies."""
 
 
 class DiscoveryLag(Fault, tag="list-lag"):
-    """Those are notified of nothing new."""
+    """The target proxies are notified of no changes."""
 
 
 class OlderReplica(Fault, tag="list-older"):
-    """Those are answered by a replica that is so much behind."""
+    """A replica that is `behind_seconds` out of date answers the target proxies."""
 
     behind_seconds: Positive = field(name="by_s", default=5.0)
 
 
 class FailingDiscovery(Fault, tag="list-fail"):
-    """Their watches end, and each of their calls fails in that way (CallFailure)."""
+    """The target proxies' watches end, and each of their calls to discovery fails as `failure` says (CallFailure)."""
 
     failure: Literal["refused", "late-refused", "reset", "silent", "half", "unreachable"] = field(name="how", default="refused")
 
 
 class RevisionReset(Fault, tag="list-anew"):
-    """Discovery starts anew, with its revision at 1."""
+    """Discovery restarts its revisions at 1."""
 
 
 AnyProcessFault = Kill | Stop | Termination | Reload | ClockStep | FailingSystemCalls
--- a/sloeferry/fault_testing/plan_run.py
+++ b/sloeferry/fault_testing/plan_run.py
@@ -1,4 +1,4 @@
-"""The course of one run with real processes: started, played, measured, ended, judged."""
+"""One run of a plan with real processes: it starts, measures, ends and judges them."""
 
 import asyncio
 import os
@@ -23,14 +23,14 @@
 TMPFS_FOLDER = "/dev/shm"
 POLL_SECONDS = 0.05
 MEASURE_POLL_SECONDS = 0.25
-START_DELAY_SECONDS = 0.2  # all processes have been told by then
-MAX_SHOWN_ERRORS = 3  # lines of a proxy's log
-MAX_ERROR_CHARACTERS = 200  # characters of such a line
-EXPECTED_ERROR = "SIGHUP, all stays as it was"  # the one that a plan asks for: a file that can't be used
+START_DELAY_SECONDS = 0.2  # until all processes have received the start time
+MAX_SHOWN_ERRORS = 3  # lines per proxy log
+MAX_ERROR_CHARACTERS = 200  # of a shown line
+EXPECTED_ERROR = "SIGHUP, all stays as it was"  # the effect of a reload fault with a corrupt file
 
 
 class PlanRun:
-    """One run.  Figures go into the record as they are: seconds, MB and CPU seconds."""
+    """One run of a plan; its figures go into the record unchanged, in seconds, MB and CPU seconds."""
 
     def __init__(self, fleet: ProcessFleet):
         self.figures: dict[str, Any] = {}
@@ -38,7 +38,7 @@
         self._loop = fleet.loop
 
     async def run(self) -> None:
-        """From the first process to the end of the last call."""
+        """Run the plan from the first process start to the end of the last call."""
         await self._fleet.open()
         await self._start_proxies()
         tune_garbage_collection()
@@ -49,7 +49,7 @@
         self.figures["began"] = began_at
 
     async def _start_proxies(self) -> None:
-        """Returns once all are ready, or patience ends."""
+        """Start all proxies, and return when all are ready or after READY_TIMEOUT_SECONDS."""
         fleet = self._fleet
         loop = self._loop
         started_at = loop.time()
@@ -82,7 +82,7 @@
 
 
 def min_mean_max(values: list[float]) -> list[float]:
-    """The least, the mean and the most."""
+    """Return the minimum, the mean and the maximum."""
     return [round(min(values), 2), round(sum(values) / len(values), 2), round(max(values), 2)]
 
 
@@ -101,16 +101,16 @@
 
 
 def run_processes(options: RunOptions, folder: pathlib.Path, proxy_tree: str | None = None) -> RunResult:
-    """Runs a plan with real processes; blocks until all of them have ended.
+    """Run a plan with real processes, and block until all of them have ended.
 
-    `folder`: for records, logs and configurations; `proxy_tree`: whose code proxies run, None: this one's.
+    `folder` takes records, logs and configurations.  `proxy_tree` is the source tree that proxies run, None: this one.
     """
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(_run(options, folder, proxy_tree))
 
 
 def logged_errors(folder: pathlib.Path) -> list[str]:
-    """What proxies logged as errors, a violation of their own guard of sending among them; some of each."""
+    """Return the first few errors of each proxy's log; violations of its send guard are among them."""
     found = []
     for path in sorted(folder.glob("p*.log")):
         with open(path, errors="replace") as file:
@@ -120,11 +120,12 @@
 
 
 def run_and_judge(options: RunOptions, planted_fault: str | None, keep_logs: pathlib.Path | None) -> dict[str, Any]:
-    """The record of a run, which has a folder of its own as long as it lasts.
+    """Run a plan in a temporary folder and return the run's record.
 
-    `planted_fault`: a wrong line in the proxies' code; `keep_logs`: where records and logs go, whatever becomes of the run.
+    `planted_fault` names a fault to plant in the proxies' code.  Records and logs are copied to `keep_logs`, even if the run
+    fails.
     """
-    # A disk may take most of a second for a file that is cut short, and the driver would be late with it.
+    # Truncating a file on disk can take most of a second, which would delay the driver.
     parent = TMPFS_FOLDER if os.path.isdir(TMPFS_FOLDER) else None
     with tempfile.TemporaryDirectory(prefix="rig-", dir=parent) as name:
         folder = pathlib.Path(name)
@@ -138,8 +139,8 @@
                 _copy_files(folder, keep_logs)
 
 
-def _copy_files(folder: pathlib.Path, to: pathlib.Path) -> None:
-    to.mkdir(parents=True, exist_ok=True)
+def _copy_files(folder: pathlib.Path, target_folder: pathlib.Path) -> None:
+    target_folder.mkdir(parents=True, exist_ok=True)
     for path in folder.iterdir():
         if path.is_file():
-            shutil.copy(path, to / path.name)
+            shutil.copy(path, target_folder / path.name)
--- a/sloeferry/fault_testing/planted_faults.py
+++ b/sloeferry/fault_testing/planted_faults.py
@@ -1,8 +1,8 @@
-"""Builds of the proxy with one wrong line each: what fault testing has to convict.
+"""Builds of the proxy with one planted fault each, which fault testing has to detect.
 
-A planted build is this tree's own `sloeferry`, copied, with texts put in the place of others that stand there exactly once;
-where one does not, that is said, for then the table here is behind the code.  Where a second guard would hold what the first
-lets through, it is taken out as well: a build that breaks no rule shows nothing of the first.
+A planted build is a copy of this tree's `sloeferry` with edits applied.  The text that an edit replaces has to occur exactly
+once in its file; otherwise planting fails, since this table is out of date.  If a second guard would mask the fault, it is
+disabled as well: a build that violates no rule would not show that the fault is detected.
 """
 
 import pathlib
@@ -17,34 +17,34 @@
 
 
 class Edit(NamedTuple):
-    """One text in the place of another."""
+    """The replacement of the text `right` by the text `wrong`."""
 
-    path: str  # in the package
+    path: str  # relative to the package
     right: str
     wrong: str
 
 
 @dataclass(frozen=True, slots=True)
 class PlantedFault:
-    """A build with a fault."""
+    """A fault that can be planted, and the plan that detects it."""
 
-    plan: str  # the plan that convicts it
-    rules: str  # which rules may be named for it
+    plan: str  # the plan that detects it
+    rules: str  # the rule that the run reports as broken
     about: str
-    edits: tuple[Edit, ...]  # the fault, and the second guards that would hold it
+    edits: tuple[Edit, ...]  # the fault, and the removal of second guards that would mask it
 
 
 PLANTED = {
     "drain-forgotten": PlantedFault(
         "lists",
         "3",
-        "an endpoint that drains is taken for ready",
+        "a draining endpoint is treated as ready",
         (Edit("network/protocol.py", '"leaving": EndpointState.DRAINING', '"leaving": EndpointState.READY'),),
     ),
     "changes-unheard": PlantedFault(
         "lists",
         "3",
-        "what changes in the list is not passed on to the policy",
+        "changes of the endpoint list are not passed on to the policy",
         (
             Edit(
                 "network/discovery_client.py",
@@ -56,16 +56,16 @@
     "news-dropped": PlantedFault(
         "zombies",
         "3",
-        "after it stood still, what discovery wrote is dropped with the watch",
+        "after the process was stopped, unread updates of discovery are dropped with the watch",
         (Edit("network/discovery_watch.py", "                if is_open_and_idle(sock):\n", "                if True:\n"),),
     ),
     "late-taken-for-new": PlantedFault(
         "zombies",
         "1",
-        "after it stood still, what lies unread is taken for new",
+        "after the process was stopped, unread requests are treated as just received",
         (
             Edit("network/stall_accounting.py", "if self._server.dispatcher.overload.is_stall(late_ms):", "if False:"),
-            # Its clients have left at their deadline, which a look before the first byte sees.
+            # Its clients have closed at their deadline, which the check before the first byte of a response detects.
             Edit(
                 "network/client_connection.py",
                 "return self.is_closed or environment.has_peer_ended(self.sock)",
@@ -76,7 +76,7 @@
     "past-expiry": PlantedFault(
         "errors",
         "1",
-        "a request's time is taken for longer than it is",
+        "a request's time budget is overestimated",
         (
             Edit(
                 "dispatch/dispatcher.py",
@@ -100,7 +100,7 @@
     "out-of-group": PlantedFault(
         "links",
         "2",
-        "a deduplicated request that may have run is sent out of its group",
+        "a deduplicated request that may have run is sent outside its deduplication group",
         (
             Edit(
                 "policy/safety_rules.py",
@@ -112,7 +112,7 @@
     "whole-as-unwritten": PlantedFault(
         "cut-answers",
         "2",
-        "an attempt that was written completely and cut counts as never run",
+        "an attempt whose connection was lost after it was fully written counts as never run",
         (
             Edit(
                 "dispatch/attempt_end.py",
@@ -124,7 +124,7 @@
     "declined-and-ran": PlantedFault(
         "errors",
         "2",
-        "what may have run is rejected",
+        "a request that may have run is rejected",
         (
             Edit(
                 "policy/safety_rules.py",
@@ -136,7 +136,7 @@
     "starts-unheeded": PlantedFault(
         "colds",
         "4",
-        "an endpoint that has started anew is taken for warm",
+        "a restarted endpoint is treated as warm",
         (
             Edit(
                 "policy/endpoint_table.py",
@@ -148,7 +148,7 @@
     "answered-twice": PlantedFault(
         "errors",
         "1",
-        "a failure is said twice",
+        "a 504 response is sent twice",
         (
             Edit(
                 "network/client_connection.py",
@@ -161,7 +161,7 @@
     "never-answered": PlantedFault(
         "errors",
         "1",
-        "one in forty responses is never given",
+        "one in forty responses is delayed by three seconds",
         (
             Edit(
                 "network/request_runner.py",
@@ -186,7 +186,7 @@
     "ends-at-once": PlantedFault(
         "deaths",
         "1",
-        "told to stop, it drops what it has",
+        "at SIGTERM the process drops its open requests",
         (
             Edit(
                 "lifecycle/proxy_process.py",
@@ -198,7 +198,7 @@
     "bad-file-ends-it": PlantedFault(
         "settings",
         "crash",
-        "a file that can't be read ends the program",
+        "an unreadable settings file ends the process at SIGHUP",
         (
             Edit(
                 "lifecycle/reload.py",
@@ -211,15 +211,17 @@
 
 
 def plant(name: str, folder: str) -> str:
-    """The folder of a tree that has that fault."""
+    """Create a source tree with that fault, and return its path."""
     if name not in PLANTED:
-        raise ScenarioError(f"--plant: {name!r} is none of {', '.join(PLANTED)}")
+        raise ScenarioError(f"--plant: {name!r} is unknown, expected one of {', '.join(PLANTED)}")
     tree = pathlib.Path(folder, "planted")
     shutil.copytree(PACKAGE, tree / "sloeferry", ignore=shutil.ignore_patterns(*NOT_COPIED))
     for edit in PLANTED[name].edits:
         path = tree / "sloeferry" / edit.path
         text = path.read_text()
         if text.count(edit.right) != 1:
-            raise ScenarioError(f"--plant: {name}: its line stands {text.count(edit.right)} times in {edit.path}")
+            raise ScenarioError(
+                f"--plant: {name}: the line to replace occurs {text.count(edit.right)} times, expected once, in {edit.path}"
+            )
         path.write_text(text.replace(edit.right, edit.wrong))
     return str(tree)
--- a/sloeferry/fault_testing/process_fleet.py
+++ b/sloeferry/fault_testing/process_fleet.py
@@ -1,7 +1,7 @@
-"""The proxies and everybody round them, in processes: started, wired, told to begin, and ended, each by its id.
+"""The processes of a run: the driver starts the proxies and workers, connects them, begins the run, and ends each by its id.
 
-The driver is also discovery, and the only one that starts, stops and signals proxies.  It has for the rest what a fleet has
-in a rehearsal (rehearsal/proxy_fleet.py), so that scenarios' faults strike here as they do there.
+The driver also runs discovery, and is the only process that starts, stops and signals proxies.  It has the interface of a
+rehearsal's fleet (rehearsal/proxy_fleet.py), so that scenario faults act on it unchanged.
 """
 
 import asyncio
@@ -34,16 +34,15 @@
 from sloeferry.stand_ins.platform import format_address
 from sloeferry.stand_ins.wire_protocol import BackendState
 
-SHUTDOWN_TIMEOUT_SECONDS = 5.0  # until proxies that were killed must have gone
+SHUTDOWN_TIMEOUT_SECONDS = 5.0  # for the exit of killed proxies
 POLL_SECONDS = 0.05
 OPERATOR_SETTINGS = "[versions]\ntell = true\ncarry = true\n"
 
 
 class ProcessFleet(ProxyFleet):
-    """Everybody who takes part in a run.
+    """The proxies, workers and discovery of a run.
 
-    The names without an underscore that are not explained here are those of a rehearsal's fleet: scenario faults, proxies and
-    stand-ins use them.
+    Public attributes without a comment are those of a rehearsal's fleet, which scenario faults, proxies and stand-ins use.
     """
 
     def __init__(self, options: RunOptions, host: ProcessHost, port: int):
@@ -53,8 +52,8 @@
         self.environment = host
         self.loop = host.loop
         self.port = port
-        self.tool_errors: list[str] = []  # of the tool's own processes
-        self.objective_ratios: dict[int, float] = {}  # proxy -> its latency objective, times what the plan says
+        self.tool_errors: list[str] = []  # errors of the driver and the workers
+        self.objective_ratios: dict[int, float] = {}  # proxy -> factor of the plan's latency objective
         self.judge = EventRecorder(plan, options.seed, pathlib.Path(host.folder, "driver.jsonl"), self.loop.time)
         self.places: list[ProxyPlace] = plan_places(plan, port)
         targets = TargetSelection(plan, port, host.rng)
@@ -72,7 +71,7 @@
         self._all_workers = [*self._backend_workers, *self._client_workers, *relays]
         self.balancer = SharedBalancer(self.loop, plan.balancer, self.places, self._broadcast_alive)
         self.backends: list[RemoteBackend] = []
-        self._backends_by_number: dict[int, RemoteBackend] = {}  # by number: all that ever were
+        self._backends_by_number: dict[int, RemoteBackend] = {}  # including replaced ones
         self.proxies = [host.make_proxy(self, number) for number in range(plan.proxies.count)]
 
     def _create_workers(self, role: WorkerRole, count: int) -> list[WorkerProcess]:
@@ -102,10 +101,10 @@
         return link.listen_address if link else self.places[proxy].address
 
     def record_paths(self) -> list[str]:
-        """The records of all processes, the driver's first."""
+        """Return the paths of all processes' records, the driver's first."""
         return [str(self.judge.path), *(str(worker.record_path) for worker in self._all_workers)]
 
-    # Reports and orders of workers
+    # Reports of workers, and commands to them
 
     def _on_report(self, report: WorkerReport) -> None:
         if report.kind is ReportKind.FAILED:
@@ -122,13 +121,13 @@
             worker.command("set_alive", proxy, is_alive)
 
     def is_busy(self) -> bool:
-        """Whether requests are open still, as far as clients have reported."""
+        """Return True while any worker of clients reports open calls, or has not reported yet."""
         return any(worker.open_calls != 0 for worker in self._client_workers)
 
-    # What scenario faults, proxies and stand-ins ask of a fleet
+    # Interface of a rehearsal's fleet for scenario faults, proxies and stand-ins
 
     def make_backend(self, settings: Backends, zone: str) -> RemoteBackend:
-        """Another backend of that group of the plan's; it does not listen yet."""
+        """Create a backend of that group of the plan, which does not listen yet."""
         number = len(self._backends_by_number)
         worker = self._backend_workers[number % len(self._backend_workers)]
         group = self.plan.backends.index(settings)
@@ -137,7 +136,7 @@
         return backend
 
     def settings(self, index: int) -> dict[str, Any]:
-        """The settings of the proxy of that number."""
+        """Return the settings of the proxy with that number."""
         settings = super().settings(index)
         ratio = self.objective_ratios.get(index, 1.0)
         for request_class in settings["schemes"]:
@@ -145,17 +144,17 @@
         return settings
 
     def instance_config(self, index: int, seed: int) -> dict[str, Any]:
-        """The configuration of the proxy of that number."""
+        """Return the configuration of the proxy with that number."""
         config = super().instance_config(index, seed)
         link = self._links.get(discovery_link(index))
         if link:
             config["discovery"] = format_address(link.listen_address)
         return config
 
-    # The course of a run
+    # Stages of a run
 
     async def open(self) -> None:
-        """Worker processes, links, warm backends, and discovery."""
+        """Start worker processes, links, warm backends, and discovery."""
         await asyncio.gather(*(worker.start() for worker in self._all_workers))
         for group, zone in plan_backends(self.plan):
             self.backends.append(self.make_backend(group, zone))
@@ -184,7 +183,7 @@
         return place.address if link.between == "callers" else self.discovery.addresses[place.name]
 
     def begin(self, now: float) -> None:
-        """Clients, scenario faults and process faults, from that loop time on."""
+        """Start clients and schedule scenario faults, process faults and the audit, relative to that loop time."""
         self.judge.began_at = now
         self.judge.note(now, Event.RUN_BEGAN)
         for worker in self._client_workers:
@@ -201,7 +200,7 @@
         self.judge.note(self.loop.time(), Event.AUDIT_ENDED, result)
 
     async def end(self) -> None:
-        """Ends all processes, and completes the records."""
+        """End all processes, and close the records."""
         for proxy in self.proxies:
             proxy.is_over = True
             proxy.send_signal()
--- a/sloeferry/fault_testing/process_host.py
+++ b/sloeferry/fault_testing/process_host.py
@@ -1,4 +1,4 @@
-"""How the processes of a run are started: on which cores, with which environment, of which source tree."""
+"""The host of a run's processes: their cores, environment variables and source tree."""
 
 import asyncio
 import contextlib
@@ -10,19 +10,19 @@
 
 SOURCE_TREE = str(pathlib.Path(__file__).resolve().parents[2])
 FLAKY_PROXY = "sloeferry.fault_testing.flaky_proxy"
-# Of three cores or more, processes that measure have three in eight to themselves.
+# On three cores or more, processes that measure have this share of the cores to themselves.
 MEASURING_CORES_OF_8 = 3
 
 
 class ProcessHost(LiveEnvironment):
-    """Where processes stand: measuring ones on cores of their own, proxies on the rest."""
+    """The environment of processes: those that measure run on cores of their own, proxies on the others."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, seed: int, folder: str, proxy_tree: str | None):
         super().__init__(loop, seed, folder)
         self.operator_file = pathlib.Path(folder, "operator.toml")
         self.clock_offsets_seconds: dict[int, float] = {}  # proxy -> seconds by which its wall clock is off
-        self.failing_call_proxies: set[int] = set()  # proxies whose system calls fail at times
-        self.started_at: dict[int, float] = {}  # proxy -> loop time of its newest process's start
+        self.failing_call_proxies: set[int] = set()  # proxies with intermittently failing system calls
+        self.started_at: dict[int, float] = {}  # proxy -> loop time of the start of its newest process
         self._proxy_tree = proxy_tree or SOURCE_TREE
         cores = sorted(os.sched_getaffinity(0))
         count = max(1, len(cores) * MEASURING_CORES_OF_8 // 8)
@@ -31,12 +31,12 @@
         os.sched_setaffinity(0, self.measuring_cores)
 
     def process_started(self, process: asyncio.subprocess.Process, cores: set[int] | None = None) -> None:
-        """A process has been started: a proxy where no cores are given."""
-        with contextlib.suppress(ProcessLookupError):  # it has ended already: whoever waits for it will say so
+        """Pin a new process to `cores`, or to those of proxies by default."""
+        with contextlib.suppress(ProcessLookupError):  # it has already ended, which its waiting task reports
             os.sched_setaffinity(process.pid, cores or self._proxy_cores)
 
     def command(self, proxy: LiveProxy) -> ProxyCommand:
-        """Arguments, environment and folder of a proxy: as `run` starts it, or with a clock or calls that misbehave."""
+        """Return how to start a proxy: as `sloeferry`, or as a flaky proxy if its clock or system calls are faulty."""
         number = proxy.index
         self.started_at[number] = self.loop.time()
         clock_offset = self.clock_offsets_seconds.get(number)
--- a/sloeferry/fault_testing/record_judge.py
+++ b/sloeferry/fault_testing/record_judge.py
@@ -1,4 +1,4 @@
-"""The rehearsal's judge, more lenient where faults between processes keep a proxy from what it owes."""
+"""The rehearsal's judge with exemptions for faults that prevent a proxy from keeping a rule."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 from sloeferry.rehearsal.scenario import Scenario
 from sloeferry.stand_ins.wire_protocol import RequestOutcome
 
-CUT_OFF = "apart"  # the outcome, in records, of a request whose link a fault had cut: nobody could have answered there
+CUT_OFF = "apart"  # outcome, in records, of a request without a response whose client link had a fault
 
 
 class Violation(NamedTuple):
@@ -21,48 +21,55 @@
 
 
 class RecordJudge(Judge):
-    """A judge that hears afterwards, from records, what a rehearsal's is told as it happens."""
+    """A judge that is fed afterwards from records instead of by stand-ins during the run."""
 
     def __init__(self, scenario: Scenario, planned_requests: Sequence[PlannedRequest]):
         super().__init__(scenario, planned_requests)
         self.violation_log: list[Violation] = []
-        self.clients_cut_off = ProxySpans()  # a fault was on the link to their clients
+        self.clients_cut_off = ProxySpans()  # by faults of the links to their clients
         self.discovery_unreachable = ProxySpans()
-        self.raced_idle_close: set[bytes] = set()  # requests whose connection ended as they were sent
+        self.raced_idle_close: set[bytes] = set()  # requests that may have raced an idle close
 
     def violation(self, rule: str, now: float, text: str) -> None:
-        """A broken rule; kept to be shown with its evidence."""
+        """Count a broken rule, and keep it for display with its evidence."""
         super().violation(rule, now, text)
         self.violation_log.append(Violation(rule, now, text))
 
-    def _was_cut_off(self, request: ClientTry, now: float) -> bool:
-        """Whether a fault was on the link between a request's client and its proxy while it was under way."""
-        return self.clients_cut_off.overlaps(request.proxy, request.sent_at, now)
+    def _was_cut_off(self, client_try: ClientTry, now: float) -> bool:
+        """Return True if the link between a request's client and its proxy had a fault between its sending and `now`."""
+        return self.clients_cut_off.overlaps(client_try.proxy, client_try.sent_at, now)
 
     def was_proxy_stopped(self, client_try: ClientTry) -> bool:
-        """Whether its proxy, or the link to it, stood still: nobody can answer then."""
+        """Return True if the proxy was stopped or its client link had a fault, so that it could not answer."""
         return super().was_proxy_stopped(client_try) or self._was_cut_off(client_try, client_try.deadline)
 
     def attempt_received(self, backend_id: str, zone: str, request_id: bytes, sent_at: float) -> None:
-        """An attempt came.  Held on its way to the proxy, a request had less time than the proxy could know."""
-        request = self.tries[request_id]
-        deadline = request.deadline
-        if self._was_cut_off(request, deadline):
-            request.deadline = float("inf")
+        """Judge an attempt at a backend.
+
+        A request that a link held on its way to the proxy has an earlier deadline than the proxy can know, so that its
+        deadline is not checked.
+        """
+        client_try = self.tries[request_id]
+        deadline = client_try.deadline
+        if self._was_cut_off(client_try, deadline):
+            client_try.deadline = float("inf")
         super().attempt_received(backend_id, zone, request_id, sent_at)
-        request.deadline = deadline
+        client_try.deadline = deadline
 
     def response_missing(self, request_id: bytes, now: float, reason: str) -> RequestOutcome | str:
-        """No response came; its outcome, or CUT_OFF."""
-        request = self.tries[request_id]
-        if self._was_cut_off(request, now):
+        """Return the outcome of a request without a response, or CUT_OFF if its client link had a fault."""
+        client_try = self.tries[request_id]
+        if self._was_cut_off(client_try, now):
             return CUT_OFF
-        if request_id in self.raced_idle_close and not request.attempt_count and not self.was_proxy_killed(request):
+        if request_id in self.raced_idle_close and not client_try.attempt_count and not self.was_proxy_killed(client_try):
             return RequestOutcome.NOT_ACCEPTED
         return super().response_missing(request_id, now, reason)
 
     def end_deemed_at(self, proxy: str, backend_id: str) -> float | None:
-        """What discovery could not notify a proxy of counts as notified so long after it could."""
+        """Return when a proxy counts as notified that a backend drains or has ended; None if the backend is ready.
+
+        While discovery is unreachable for a proxy, the delay starts only when it is reachable again.
+        """
         assumed_at = super().end_deemed_at(proxy, backend_id)
         if assumed_at is None:
             return None
--- a/sloeferry/fault_testing/record_replay.py
+++ b/sloeferry/fault_testing/record_replay.py
@@ -1,7 +1,7 @@
-"""The records of several processes, replayed to one judge in the order in which they were recorded.
+"""Replay of the records of several processes to one judge, in the order in which they were recorded.
 
-What a process of a run saw counts at the time when it saw it; one machine, one monotonic clock.  Nothing here is decided by
-how long anything took but where a rule itself sets a limit.
+An event counts at the time at which a process observed it; all processes share the monotonic clock of one machine.
+Durations decide nothing here, except where a rule itself sets a limit.
 """
 
 from collections import defaultdict
@@ -18,7 +18,7 @@
 
 
 class HeldNotification(NamedTuple):
-    """What discovery wrote into a link that holds it, as an event that counts once the link lets it go."""
+    """A notification that discovery wrote to a link which holds it; it counts when the link is released."""
 
     at: float
     proxy: str
@@ -28,22 +28,22 @@
 
 
 class RecordReplay:
-    """Calls the judge as a rehearsal's stand-ins do, and keeps what is no rule's: the audit, stale attempts, lateness."""
+    """Replays events to the judge, and collects what the rules don't cover: the audit, stale attempts, event-loop lag."""
 
     def __init__(self, judge: RecordJudge):
         self.audit = AuditCheck()
-        self.stale_attempts: list[str] = []  # that acted on an older list than their proxy had been notified of
-        self.max_lag_ms: defaultdict[str, float] = defaultdict(float)  # role -> the most
+        self.stale_attempts: list[str] = []  # attempts on an older list than their proxy was notified of
+        self.max_lag_ms: defaultdict[str, float] = defaultdict(float)  # by role
         self._judge = judge
-        self._link_entered_at: dict[tuple[str, str], float] = {}  # backend, id -> when its first byte went into the link
+        self._link_entered_at: dict[tuple[str, str], float] = {}  # backend, id -> arrival of the first byte
         self._lists_held = ProxySpans()
         self._stopped = ProxySpans()
         self._held_notifications: list[HeldNotification] = []
-        self._missing_outcomes: dict[int, str] = {}  # number of a call -> the outcome of its request without a response
-        self._list_history: defaultdict[str, list[WrittenList]] = defaultdict(list)  # proxy -> what was written to it
+        self._missing_outcomes: dict[int, str] = {}  # by number of the call, if it had no response
+        self._list_history: defaultdict[str, list[WrittenList]] = defaultdict(list)  # by proxy
 
     def replay(self, event: RecordedEvent) -> None:
-        """The next event; those that no rule is about are passed over."""
+        """Handle the next event; events without a handler are ignored."""
         at, event_name, *fields = event
         while self._held_notifications and self._held_notifications[0].at <= at:
             self._endpoint_notified(*self._held_notifications.pop(0))
@@ -52,10 +52,10 @@
             handler(self, at, *fields)
 
     def audit_failures(self) -> list[str]:
-        """Where the audit's result and the records contradict each other."""
+        """Return a text for each contradiction between the audit's result and the records."""
         return self.audit.failures(self._judge.killed_at, self._stopped, self._lists_held)
 
-    # Events of callers
+    # Events of clients
 
     def _run_began(self, at: float) -> None:
         self._judge.began_at = at
@@ -95,7 +95,7 @@
 
     def _link_refused(self, at: float, link: str) -> None:
         between, _, proxy_number = link.partition("/")
-        if between == "callers":  # a relay took the connection for a proxy that was not there
+        if between == "callers":  # the relay accepted a connection for a proxy that did not listen
             self._judge.clients_cut_off.add("p" + proxy_number, at - NOTICE_SECONDS / 4, at + NOTICE_SECONDS / 4)
 
     def _clients_cut_off(self, at: float, proxy: str, until: float) -> None:
@@ -110,7 +110,7 @@
     # Events of backends
 
     def _attempt_received(self, at: float, backend: str, zone: str, request_id: str, since: float) -> None:
-        # On its way through a link it may have waited: it was sent when its first byte went in.
+        # A link may have held the attempt: it was sent when its first byte entered the link.
         sent_at = self._link_entered_at.pop((backend, request_id), since)
         self._judge.attempt_received(backend, zone, request_id.encode(), sent_at)
 
@@ -118,7 +118,7 @@
         self._judge.request_ran(backend, request_id.encode(), at)
 
     def _attempt_versions(self, at: float, backend: str, request_id: str, versions: str) -> None:
-        """An attempt acts on no older list than its proxy was notified of a moment before."""
+        """Note an attempt that acted on an older list than its proxy was notified of NOTICE_SECONDS before."""
         proxy = self._judge.tries[request_id.encode()].proxy
         incarnation, _, revision = versions.partition("list=")[2].partition(":")[0].partition(".")
         settled = (written.revision for written in self._list_history[proxy] if written.at < at - NOTICE_SECONDS)
@@ -127,11 +127,11 @@
             return
         if not any(spans.covers(proxy, at, NOTICE_SECONDS) for spans in (self._stopped, self._lists_held)):
             self.stale_attempts.append(
-                f"{request_id} was posted to {backend} by {proxy} on revision {revision}, told of {notified} before"
+                f"{request_id} was sent to {backend} by {proxy} on revision {revision}, notified of {notified} before"
             )
 
-    def _backend_overloaded(self, at: float, backend: str, capacity_ratio: float, sent: list) -> None:
-        recent = [RecentWork(sent_at, work_ms, request_id.encode()) for sent_at, work_ms, request_id in sent]
+    def _backend_overloaded(self, at: float, backend: str, capacity_ratio: float, recent_work: list) -> None:
+        recent = [RecentWork(sent_at, work_ms, request_id.encode()) for sent_at, work_ms, request_id in recent_work]
         self._judge.backend_pushed_over(backend, at, capacity_ratio, recent)
 
     def _backend_congested(self, at: float, backend: str) -> None:
@@ -161,7 +161,7 @@
         self.audit.last_written[proxy] = written
         history = self._list_history[proxy]
         if history and revision < history[-1].revision:
-            history.clear()  # another count, or another replica: what came before says nothing of it
+            history.clear()  # revisions were reset, or an older replica answers: earlier revisions don't apply
         history.append(written)
 
     # Events of proxies and of the run
@@ -183,7 +183,7 @@
         self.audit.end(result)
 
     def _process_late(self, at: float, role: str, late_ms: float) -> None:
-        # What runs late while all is being started measures nothing yet.
+        # Event-loop lag before the start of the run has no effect on its measurements.
         if self._judge.began_at and at > self._judge.began_at:
             self.max_lag_ms[role] = max(self.max_lag_ms[role], late_ms)
 
--- a/sloeferry/fault_testing/record_text.py
+++ b/sloeferry/fault_testing/record_text.py
@@ -1,4 +1,4 @@
-"""The record of a run, as lines for people."""
+"""The text form of the record of a run."""
 
 from typing import Any
 
@@ -6,19 +6,19 @@
 
 
 def record_text(record: Record) -> str:
-    """Verdict, figures, and what was broken with its evidence."""
-    return "\n".join([*_summary(record), *_figures(record["figures"]), *_audit(record), *_broken(record)])
+    """Return the verdict, the figures, and the broken rules with their evidence, as lines of text."""
+    return "\n".join([*_summary(record), *_figures(record["figures"]), *_audit(record), *_violations(record)])
 
 
 def _summary(record: Record) -> list[str]:
     counts = (f"{value} {key.replace('_', ' ')}" for key, value in record["txns"].items() if value)
     service = record["service"]["whole"]
-    lateness = ", ".join(f"{role} {ms:g}" for role, ms in record["late_ms"].items())
+    lags = ", ".join(f"{role} {ms:g}" for role, ms in record["late_ms"].items())
     return [
         f"{record['plan']}, seed {record['seed']}: {record['verdict']}",
         "  txns: " + ", ".join(counts),
-        "  nobody asked" if service is None else f"  service {service:.3f}",
-        "  late by, ms: " + (lateness or "nobody"),
+        "  no requests" if service is None else f"  service {service:.3f}",
+        "  late by, ms: " + (lags or "nobody"),
     ]
 
 
@@ -26,8 +26,8 @@
     lines = []
     for name, values in figures.items():
         if isinstance(values, list):
-            least, mean, most = values
-            lines.append(f"  {name}: least {least:g}, mean {mean:g}, most {most:g}")
+            minimum, mean, maximum = values
+            lines.append(f"  {name}: min {minimum:g}, mean {mean:g}, max {maximum:g}")
     if "ready_s" in figures:
         lines.append(f"  {figures['ready']} ready after {figures['ready_s']:g} s")
     return lines
@@ -41,12 +41,12 @@
     return [f"  audit: {counts}; " + ", ".join(audit["causes"])]
 
 
-def _broken(record: Record) -> list[str]:
+def _violations(record: Record) -> list[str]:
     lines = [f"  VOID: {text}" for text in record["void"]]
     lines += [f"  FAILED: {text}" for text in record["failed"]]
     broken = ", ".join(f"{rule}: {count}" for rule, count in record["rules"].items() if count)
     lines.append(f"  RULES BROKEN: {broken}" if broken else "  rules kept")
-    for breach in record["evidence"]:
-        lines.append(f"    {breach['rule']}: {breach['text']}")
-        lines += [f"      {' '.join(map(str, event))}" for event in breach["events"]]
+    for violation in record["evidence"]:
+        lines.append(f"    {violation['rule']}: {violation['text']}")
+        lines += [f"      {' '.join(map(str, event))}" for event in violation["events"]]
     return lines
--- a/sloeferry/fault_testing/run_options.py
+++ b/sloeferry/fault_testing/run_options.py
@@ -1,4 +1,4 @@
-"""What a run is to be."""
+"""The options of a run."""
 
 from dataclasses import dataclass
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RunOptions:
-    """One run.  Workers read the plan's text by themselves, and resize it likewise."""
+    """The options of one run; workers parse `plan_text` and resize the plan themselves."""
 
     plan_text: str
     plan: Plan  # resized
     seed: int
-    proxy_count: int | None = None  # in place of the plan's own
-    backend_count: int | None = None  # in all
+    proxy_count: int | None = None  # None: the plan's own
+    backend_count: int | None = None  # in total; None: the plan's own
--- a/sloeferry/fault_testing/shared_balancer.py
+++ b/sloeferry/fault_testing/shared_balancer.py
@@ -1,4 +1,4 @@
-"""The front before the proxies, for callers in several processes."""
+"""The connection balancer in front of the proxies, for clients in several processes."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,11 +7,11 @@
 from sloeferry.stand_ins.connection_balancer import ConnectionBalancer, ProxyPlace
 
 MIN_POLL_INTERVAL_SECONDS = 0.05
-MAX_POLLS_PER_SECOND = 400  # of all proxies together
+MAX_POLLS_PER_SECOND = 400  # total for all proxies
 
 
 class ObservedLiveness(dict[str, bool]):
-    """Which proxies are held for alive; `on_change` is called with each that is set."""
+    """The liveness of each proxy by name; `on_change` is called with every value that is set."""
 
     def __init__(self, alive: dict[str, bool], on_change: Callable[[str, bool], None]):
         super().__init__(alive)
@@ -23,7 +23,7 @@
 
 
 class SharedBalancer(ConnectionBalancer):
-    """The driver asks who is ready, the callers' processes are told."""
+    """A connection balancer whose driver process polls the readiness of proxies; `on_change` informs the client workers."""
 
     def __init__(
         self,
--- a/sloeferry/fault_testing/verdict.py
+++ b/sloeferry/fault_testing/verdict.py
@@ -1,4 +1,4 @@
-"""The verdict of a run: all its records joined, and held against the four rules and the plan's own expectations."""
+"""The verdict of a run: its joined records, judged by the four safety rules and the plan's expectations."""
 
 import enum
 import pathlib
@@ -17,31 +17,31 @@
 from sloeferry.rehearsal.record import make_record
 from sloeferry.stand_ins.rules import Rule
 
-MAX_SHOWN_EVENTS = 14  # of a request that are shown beside a broken rule
+MAX_SHOWN_EVENTS = 14  # events of a request, per broken rule
 MAX_SHOWN_VIOLATIONS = 5
 MAX_SHOWN_STALE_ATTEMPTS = 5
 
 
 class Verdict(enum.StrEnum):
-    """What a run says of the proxies."""
+    """The verdict on the proxies of a run."""
 
     KEPT = "kept"
-    BROKEN = "broken"  # a rule, or what the plan expects
-    VOID = "void"  # who measures ran late: it says nothing
+    BROKEN = "broken"  # a rule or an expectation of the plan was violated
+    VOID = "void"  # a measuring process ran late, so that the run proves nothing
 
 
 @dataclass(slots=True)
 class RunResult:
-    """What a run left behind."""
+    """The output of a run: records, fault targets, figures and errors."""
 
     record_paths: Sequence[pathlib.Path | str]
-    targets: list[FaultTargets] = field(default_factory=list)  # of each fault of the plan
-    figures: dict[str, Any] = field(default_factory=dict)  # of the processes, as they go into the run's record
-    tool_errors: list[str] = field(default_factory=list)  # of the tool's own processes, and errors that proxies logged
+    targets: list[FaultTargets] = field(default_factory=list)  # by number of the fault
+    figures: dict[str, Any] = field(default_factory=dict)  # of the processes, copied into the run's record
+    tool_errors: list[str] = field(default_factory=list)  # of the driver and the workers, and errors that proxies logged
 
 
 def judge_run(plan: Plan, seed: int, result: RunResult) -> dict[str, Any]:
-    """The run's record, as it is written as JSON."""
+    """Return the run's record, as it is written as JSON."""
     judge = RecordJudge(plan, plan_requests(plan, Random(f"{seed}/arrivals")))
     zones = plan.network.zones
     judge.proxy_zones = {f"p{number}": zones[number % len(zones)] for number in range(plan.proxies.count)}
@@ -82,7 +82,7 @@
 
 
 def _failures(plan: Plan, replay: RecordReplay, record: dict[str, Any], result: RunResult) -> list[str]:
-    """What the plan expects beside the rules, and was not so."""
+    """Return a text for each expectation of the plan, other than the rules, that was not met."""
     failures = []
     service = record["service"]["whole"]
     if service is not None and service < plan.expect.service:
@@ -93,30 +93,30 @@
     failures += replay.audit_failures()
     failures += replay.stale_attempts[:MAX_SHOWN_STALE_ATTEMPTS]
     if plan.rig.audit_s and replay.audit.result is None:
-        failures.append("the audit never ended")
-    failures += [f"the rig itself: {fault}" for fault in result.tool_errors]
+        failures.append("the audit did not end before the run")
+    failures += [f"the rig itself: {error}" for error in result.tool_errors]
     proxies = plan.proxies.count
     ready = result.figures.get("ready", proxies)
     if ready < proxies:
-        failures.append(f"{proxies - ready} proxies were never ready")
+        failures.append(f"{proxies - ready} proxies did not become ready")
     return failures
 
 
 class Evidence:
-    """All events, and those of each request by its id."""
+    """All events, and the events of each request by its id."""
 
     def __init__(self, judge: RecordJudge, events: list[RecordedEvent]):
         self.events = events
         self._judge = judge
-        self._by_request_id: defaultdict[str, list[RecordedEvent]] = defaultdict(list)
+        self._events_by_request_id: defaultdict[str, list[RecordedEvent]] = defaultdict(list)
         for event in events:
-            for word in event[2:]:
-                if type(word) is str and len(word) == ID_CHARACTERS:
-                    self._by_request_id[word].append(event)
+            for value in event[2:]:
+                if type(value) is str and len(value) == ID_CHARACTERS:
+                    self._events_by_request_id[value].append(event)
 
     def for_violation(self, violation: Violation) -> dict[str, Any]:
-        """A broken rule, and what all processes recorded of its request."""
-        request_ids = (word for word in violation.text.replace(",", " ").split() if word in self._by_request_id)
-        events = self._by_request_id.get(next(request_ids, ""), [])
+        """Return a broken rule together with the events of its request in all records."""
+        request_ids = (value for value in violation.text.replace(",", " ").split() if value in self._events_by_request_id)
+        events = self._events_by_request_id.get(next(request_ids, ""), [])
         shown = [[round(at - self._judge.began_at, 4), event, *fields] for at, event, *fields in events[:MAX_SHOWN_EVENTS]]
         return {"rule": violation.rule, "text": violation.text, "events": shown}
--- a/sloeferry/fault_testing/worker.py
+++ b/sloeferry/fault_testing/worker.py
@@ -1,6 +1,6 @@
-"""A process of stand-ins: python -m sloeferry.fault_testing.worker, started by a driver (worker_protocol.py).
+"""A worker process of stand-ins: python -m sloeferry.fault_testing.worker, started by a driver (worker_protocol.py).
 
-What the driver has to know at once goes to standard output, what was seen goes into the process's record.
+It writes reports that the driver needs at once to standard output, and observed events to the process's record.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 
 
 class CommandReader(asyncio.Protocol):
-    """Commands, one after the other; with the end of the pipe this process ends."""
+    """A reader that runs the driver's commands one after the other, and stops the worker when the pipe closes."""
 
     def __init__(self, worker: Worker):
         self._worker = worker
@@ -28,13 +28,13 @@
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def data_received(self, data: bytes) -> None:
-        """Some bytes of the commands."""
+        """Queue the commands in these bytes, and keep an incomplete line."""
         *lines, self._unread = (self._unread + data).split(b"\n")
         for line in lines:
             self._commands.put_nowait(msgspec.json.decode(line))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The driver has gone."""
+        """Stop the worker, since the driver has exited."""
         self._worker.stop_requested.set()
 
     async def _run(self) -> None:
@@ -42,7 +42,7 @@
             name, *arguments = await self._commands.get()
             try:
                 await getattr(self._worker, name)(*arguments)
-            except Exception as error:  # a worker goes on: the driver has the run fail
+            except Exception as error:  # the worker goes on; the driver counts the run as failed
                 send_report(ReportKind.FAILED, f"{name} {arguments!r:.200}: {error!r}")
 
 
@@ -51,7 +51,7 @@
 
 
 async def run_worker(config: WorkerConfig) -> None:
-    """One worker, until it is told to end."""
+    """Run one worker until it is stopped."""
     loop = asyncio.get_running_loop()
     plan = resize(parse_plan(config.plan_text), config.proxy_count, config.backend_count)
     recorder = EventRecorder(plan, config.seed, config.record_path, loop.time)
@@ -66,7 +66,10 @@
 
 
 def main() -> None:
-    """Reads the configuration, unbuffered: what follows it on standard input is read by the loop."""
+    """Read the configuration from standard input and run the worker.
+
+    The read is unbuffered, because the event loop reads the commands that follow.
+    """
     with os.fdopen(os.dup(0), "rb", 0) as first_line:
         config = msgspec.json.decode(first_line.readline(), type=WorkerConfig)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/sloeferry/fault_testing/worker_processes.py
+++ b/sloeferry/fault_testing/worker_processes.py
@@ -1,4 +1,4 @@
-"""Worker processes as their driver sees them, and the backends in them."""
+"""The driver's handles of worker processes, and of the backends in them."""
 
 import asyncio
 import pathlib
@@ -16,11 +16,11 @@
 from sloeferry.rehearsal.proxy_fleet import make_backend_id
 from sloeferry.rehearsal.scenario_tables import Backends
 
-SHUTDOWN_TIMEOUT_SECONDS = 10.0  # until a worker that was told to end is killed
+SHUTDOWN_TIMEOUT_SECONDS = 10.0  # after which a worker that has not ended is killed
 
 
 class WorkerProcess:
-    """A process of stand-ins.  `on_report` is called with what the worker itself has no use for."""
+    """A worker process of stand-ins; `on_report` is called with each report that is not handled here."""
 
     def __init__(self, host: ProcessHost, config: WorkerConfig, on_report: Callable[[WorkerReport], None]):
         self.config = config
@@ -33,11 +33,11 @@
 
     @property
     def role(self) -> WorkerRole:
-        """What it stands for."""
+        """Return the role of the worker."""
         return self.config.role
 
     async def start(self) -> None:
-        """Returns once it takes commands; raises TimeoutError."""
+        """Start the process, and return when it accepts commands; raises TimeoutError."""
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -53,7 +53,7 @@
         await asyncio.wait_for(self._ready.wait(), READY_TIMEOUT_SECONDS)
 
     def command(self, name: str, *arguments: Any) -> None:
-        """Has the worker call the method of that name."""
+        """Make the worker call the method with that name."""
         self._write([name, *arguments])
 
     def _write(self, message: Any) -> None:
@@ -72,7 +72,7 @@
                 self._on_report(report)
 
     async def end(self) -> None:
-        """Its record is complete once it has ended by itself."""
+        """End the process, and kill it after SHUTDOWN_TIMEOUT_SECONDS; its record is complete unless it is killed."""
         if self._process is None or self._process.returncode is not None:
             return
         self.command("end")
@@ -84,9 +84,9 @@
 
 
 class RemoteBackend:
-    """A backend in a worker process; what scenarios' faults do to it is done there.
+    """A handle of a backend in a worker process, where scenario faults are applied.
 
-    It stands where a rehearsal's own backend stands: the names are those that scenario faults and discovery use.
+    It has the interface of a rehearsal's backend that scenario faults and discovery use.
     """
 
     def __init__(self, worker: WorkerProcess, number: int, address: Address, settings: Backends, group: int, zone: str):
@@ -107,7 +107,7 @@
         self._worker.command(name, self._number, *arguments)
 
     async def start(self, is_warm: bool = False) -> None:
-        """Returns once it listens."""
+        """Start the backend, and return when it listens."""
         self.is_up = True
         self.is_draining = False
         self._is_idle = False
@@ -117,39 +117,39 @@
         await self._started
 
     def has_started(self) -> None:
-        """Its process reports that it listens."""
+        """Handle the report that the backend listens."""
         self._started.set_result(None)
 
     def crash(self) -> None:
-        """At once, with all that it has."""
+        """Crash the backend; its open requests are lost."""
         self.is_up = False
         self._command("crash")
 
     def in_flight(self) -> bool:
-        """Whether it still has something to do; asked once it drains."""
+        """Return True while the draining backend has requests; the first call makes it report when it is idle."""
         if not self._is_drain_asked:
             self._is_drain_asked = True
             self._command("drain")
         return not self._is_idle
 
     def has_become_idle(self) -> None:
-        """Its process reports that it drains and has nothing left to do."""
+        """Handle the report that the draining backend is idle."""
         self._is_idle = True
 
     def change(self, **values: Any) -> None:
-        """Other values for what it is or does."""
+        """Set attributes of the backend."""
         self._command("change", values)
 
     def refuse_connections(self, is_refusing: bool) -> None:
-        """Its listener goes, or comes back."""
+        """Close the backend's listener, or open it again."""
         self._command("refuse_connections", is_refusing)
 
     def stall(self, seconds: float) -> None:
-        """It stands still."""
+        """Suspend the backend for that time."""
         self._command("stall", seconds)
 
     def refresh_report(self) -> None:
-        """Its load report is made now."""
+        """Update the backend's load report if it is out of date."""
         self._command("refresh_report")
 
     def _set_cut_off(self, is_cut_off: bool) -> None:
--- a/sloeferry/fault_testing/worker_protocol.py
+++ b/sloeferry/fault_testing/worker_protocol.py
@@ -1,7 +1,7 @@
-"""What a driver and its worker processes write to each other: a JSON line each.
+"""The protocol between a driver and its worker processes: one JSON document per line.
 
-The driver writes a WorkerConfig first, then commands, `[name, arguments...]`, each a method of the worker's role; the worker
-writes WorkerReports.
+The driver writes a WorkerConfig first, then commands `[name, arguments...]`, each of which names a method of the worker's
+class; the worker writes WorkerReports.
 """
 
 import enum
@@ -11,7 +11,7 @@
 
 
 class WorkerRole(enum.StrEnum):
-    """What a worker process stands for.  The value is the word in records."""
+    """The role of a worker process; the value is its name in records."""
 
     BACKENDS = "nodes"
     CLIENTS = "callers"
@@ -19,32 +19,32 @@
 
 
 class WorkerConfig(msgspec.Struct, frozen=True, kw_only=True):
-    """What a worker process is told first."""
+    """The configuration of a worker process, the first line that it reads."""
 
     role: WorkerRole
     number: int  # among the workers of its role
     plan_text: str
-    proxy_count: int | None  # in place of the plan's own
+    proxy_count: int | None  # None: the plan's own
     backend_count: int | None
     seed: int
     record_path: str
     client_workers: int
-    places: list[tuple[str, tuple[str, int], str]]  # proxies: name, address as callers see it, zone
+    places: list[tuple[str, tuple[str, int], str]]  # proxies: name, address for clients, zone
 
 
 class ReportKind(enum.Enum):
-    """What a worker reports; beside each, the report's value."""
+    """The kind of a report; the comments give the report's value."""
 
-    READY = "ready"  # none: it takes commands
-    FAILED = "failed"  # text: something that must not happen in a tool
-    OPEN_CALLS = "open-calls"  # how many calls have not ended
-    BACKEND_STARTED = "backend-started"  # its number
-    BACKEND_IDLE = "backend-idle"  # its number: it drains and has nothing left to do
+    READY = "ready"  # none: the worker accepts commands
+    FAILED = "failed"  # text: an internal error of the worker
+    OPEN_CALLS = "open-calls"  # number of calls that have not ended
+    BACKEND_STARTED = "backend-started"  # number of the backend
+    BACKEND_IDLE = "backend-idle"  # number of the backend, which drains and has no requests left
     LINKS_OPEN = "links-open"  # none
 
 
 class WorkerReport(msgspec.Struct, frozen=True):
-    """One line of a worker."""
+    """One line that a worker writes."""
 
     kind: ReportKind
     value: Any = None
--- a/sloeferry/fault_testing/worker_roles.py
+++ b/sloeferry/fault_testing/worker_roles.py
@@ -1,4 +1,4 @@
-"""What a worker process stands for: backends, clients or links.  A command of the driver calls the method of its name."""
+"""The roles of worker processes: backends, clients or links; a command of the driver calls the method of its name."""
 
 import asyncio
 import sys
@@ -21,13 +21,13 @@
 
 
 def send_report(kind: ReportKind, value: Any = None) -> None:
-    """Writes a report to the driver."""
+    """Write a report to the driver."""
     sys.stdout.buffer.write(msgspec.json.encode(WorkerReport(kind, value)) + b"\n")
     sys.stdout.buffer.flush()
 
 
 class Worker:
-    """What all roles have."""
+    """The base class of all roles."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: WorkerConfig, plan: Plan, recorder: EventRecorder):
         self.stop_requested = asyncio.Event()
@@ -37,12 +37,12 @@
         self._recorder = recorder
 
     async def end(self) -> None:
-        """Ends the process; its record is complete then."""
+        """Stop the worker; its record is closed before the process exits."""
         self.stop_requested.set()
 
 
 class BackendsWorker(Worker):
-    """Some of the backends, by their numbers."""
+    """A worker that runs some of the backends, by their numbers."""
 
     def __init__(self, *arguments: Any):
         super().__init__(*arguments)
@@ -50,7 +50,7 @@
         self._deduplication_stores = DeduplicationStores()
 
     async def create(self, number: int, backend_id: str, address: list, zone: str, group: int) -> None:
-        """A backend of that group of the plan's; it does not listen yet."""
+        """Create a backend of that group of the plan, which does not listen yet."""
         self._backends[number] = StandInBackend(
             self._loop,
             self._plan.backends[group],
@@ -64,32 +64,32 @@
         )
 
     async def start(self, number: int, is_warm: bool) -> None:
-        """It listens."""
+        """Start a backend, and report when it listens."""
         await self._backends[number].start(is_warm)
         send_report(ReportKind.BACKEND_STARTED, number)
 
     async def crash(self, number: int) -> None:
-        """At once, with all that it has."""
+        """Crash a backend; its open requests are lost."""
         self._backends[number].crash()
 
     async def refuse_connections(self, number: int, is_refusing: bool) -> None:
-        """Its listener goes, or comes back."""
+        """Close a backend's listener, or open it again."""
         self._backends[number].refuse_connections(is_refusing)
 
     async def stall(self, number: int, seconds: float) -> None:
-        """It stands still."""
+        """Suspend a backend for that time."""
         self._backends[number].stall(seconds)
 
     async def change(self, number: int, values: dict[str, Any]) -> None:
-        """Other values for what it is or does."""
+        """Set attributes of a backend."""
         self._backends[number].change(**values)
 
     async def refresh_report(self, number: int) -> None:
-        """Its load report is made now."""
+        """Update a backend's load report if it is out of date."""
         self._backends[number].refresh_report()
 
     async def drain(self, number: int) -> None:
-        """Reports once it has nothing left to do."""
+        """Report when a backend has no requests left."""
         backend = self._backends[number]
         if backend.is_up and backend.in_flight():
             self._loop.call_later(DRAIN_CHECK_SECONDS, lambda: self._loop.create_task(self.drain(number)))
@@ -98,7 +98,7 @@
 
 
 class ClientsWorker(Worker):
-    """A part of all clients, of each zone."""
+    """A worker that runs a share of the clients of each zone."""
 
     def __init__(self, *arguments: Any):
         super().__init__(*arguments)
@@ -118,7 +118,7 @@
         return StandInClients(self._loop, self._plan, zone, calls, self._balancer, self._recorder, rng)
 
     async def begin(self, now: float) -> None:
-        """The run began, in loop time: one clock for all processes of a machine."""
+        """Begin the run at that loop time, which is the same clock in all processes of a machine."""
         self._recorder.began_at = now
         for clients in self._clients:
             clients.begin(now)
@@ -129,29 +129,29 @@
         self._loop.call_later(OPEN_CALLS_REPORT_SECONDS, self._report_open_calls)
 
     async def set_alive(self, proxy: str, is_alive: bool) -> None:
-        """Whether connections are dealt out to that proxy."""
+        """Set whether new connections may be assigned to that proxy."""
         self._balancer.alive[proxy] = is_alive
 
 
 class RelayWorker(Worker):
-    """All links that faults strike."""
+    """A worker that relays all links that are targets of faults."""
 
     def __init__(self, *arguments: Any):
         super().__init__(*arguments)
         self._links: dict[str, Link] = {}
 
     async def add_link(self, name: str, listen: list, target: list, records_requests: bool) -> None:
-        """Opens a link."""
+        """Open a link."""
         link = Link(self._loop, name, tuple(listen), tuple(target), self._recorder, records_requests)
         self._links[name] = link
         await link.open()
 
     async def confirm_links(self) -> None:
-        """Reports that all commands before this one are done."""
+        """Report that all commands before this one are done."""
         send_report(ReportKind.LINKS_OPEN)
 
     async def set_condition(self, names: list[str], kind: str, keys: dict[str, Any]) -> None:
-        """From now on, for all those links, by the words of a plan."""
+        """Apply a condition, given by its kind and keys in plans, to all those links."""
         condition = LinkCondition.from_plan(kind, keys)
         await asyncio.gather(*(self._links[name].set_condition(condition) for name in names))
 
