--- a/sloeferry/fault_testing/record_replay.py
+++ b/sloeferry/fault_testing/record_replay.py
@@ -132,7 +132,7 @@
 
     def _backend_overloaded(self, at: float, backend: str, capacity_ratio: float, recent_work: list) -> None:
         recent = [RecentWork(sent_at, work_ms, request_id.encode()) for sent_at, work_ms, request_id in recent_work]
-        self._judge.backend_pushed_over(backend, at, capacity_ratio, recent)
+        self._judge.backend_overloaded(backend, at, capacity_ratio, recent)
 
     def _backend_congested(self, at: float, backend: str) -> None:
         self._judge.congestion_began(backend)
--- a/tests/lifecycle/test_reload.py
+++ b/tests/lifecycle/test_reload.py
@@ -12,7 +12,7 @@
 
 from tests.support.fake_backends import response
 from tests.support.instrumented_harness import InstrumentedHarness, wait_until
-from tests.support.proxy_harness import PlayStory, ProxyHarness
+from tests.support.proxy_harness import ProxyHarness, ScenarioChecker
 
 Reload = Callable[[Any], Awaitable[None]]  # takes the file's text, or a document to write as JSON
 
@@ -39,18 +39,18 @@
     return reload
 
 
-def test_reload_changes_discovery_address(play_story: PlayStory, reload: Reload, monkeypatch: pytest.MonkeyPatch):
+def test_reload_changes_discovery_address(check_scenario: ScenarioChecker, reload: Reload, monkeypatch: pytest.MonkeyPatch):
     """An unusable file changes nothing.  The previous discovery server is used until a watch of the new one is open, whose list
     is complete; the file takes precedence over the environment."""
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         discovery = harness.discovery
         monkeypatch.setenv("BALANCER_DISCOVERY", harness.config["discovery"])
-        discovery.list_endpoints("b")
+        discovery.publish_endpoints("b")
         await reload("no JSON")
         await reload(dict(harness.config, discovery="nowhere"))
         await harness.request("safe")
-        discovery.list_endpoints(("b", "leaving"), "c")
+        discovery.publish_endpoints(("b", "leaving"), "c")
         await reload(dict(harness.config, discovery="127.0.0.1:1"))
         await harness.request("safe")
         previous_watches = discovery.watches
@@ -65,14 +65,14 @@
         harness.lines.extend(discovery.polls)
         harness.backends.writers.extend(previous_watches)
 
-    play_story(story, "reload_discovery_address", ProxyHarness({"b": response(), "c": response(), "d": response()}))
+    check_scenario(scenario, "reload_discovery_address", ProxyHarness({"b": response(), "c": response(), "d": response()}))
 
 
-def test_reload_between_head_and_last_byte(play_story: PlayStory, config_file: Path):
+def test_reload_between_head_and_last_byte(check_scenario: ScenarioChecker, config_file: Path):
     """SIGHUP between a request's head and its last byte makes its class a deduplicated one, or removes it.  The request has no
     idempotency key, and is rejected without an attempt."""
 
-    async def story(harness: InstrumentedHarness) -> None:
+    async def scenario(harness: InstrumentedHarness) -> None:
         heads = [
             harness.request_head(body_bytes=4),
             harness.request_head("c1", "once", body_bytes=4),
@@ -81,7 +81,7 @@
         clients = [await harness.send_raw(head + b"bo") for head in heads]
 
         for client in clients:
-            await client.until(lambda connection: connection.stream.message.attributes)
+            await client.wait_for_connection(lambda connection: connection.stream.message.attributes)
         changed = json.loads(json.dumps(harness.config))
         deduplicated = changed["settings"]["schemes"][1]
         changed["settings"]["schemes"] = [dict(deduplicated, name=name) for name in ("safe", "keyed")]
@@ -93,14 +93,14 @@
             await client.record_received(28)
             client.close()
 
-    play_story(story, "reload_before_last_byte", InstrumentedHarness({"b": response()}))
+    check_scenario(scenario, "reload_before_last_byte", InstrumentedHarness({"b": response()}))
 
 
-def test_reload_adds_and_removes_request_classes(play_story: PlayStory, reload: Reload):
+def test_reload_adds_and_removes_request_classes(check_scenario: ScenarioChecker, reload: Reload):
     """SIGHUP adds a request class and removes another: an open request of the latter is answered, a new one is rejected."""
     release = asyncio.Event()
 
-    async def story(harness: ProxyHarness) -> None:
+    async def scenario(harness: ProxyHarness) -> None:
         open_request = asyncio.get_running_loop().create_task(harness.request("once"))
         await wait_until(lambda: harness.backends.requests_received)
         changed = json.loads(json.dumps(harness.config))
@@ -116,4 +116,4 @@
         release.set()
         await open_request
 
-    play_story(story, "reload_request_classes", ProxyHarness({"b": lambda number: release if number == 1 else response()}))
+    check_scenario(scenario, "reload_request_classes", ProxyHarness({"b": lambda number: release if number == 1 else response()}))
--- a/tests/lifecycle/test_snapshot.py
+++ b/tests/lifecycle/test_snapshot.py
@@ -40,7 +40,7 @@
 def recorder_with_endpoints() -> PolicyRecorder:
     """Return the recorder of a policy with three endpoints."""
     recorder = PolicyRecorder()
-    recorder.list_endpoints("a", "b", "c")
+    recorder.publish_endpoints("a", "b", "c")
     return recorder
 
 
@@ -126,7 +126,7 @@
     recorder = PolicyRecorder(**{key.replace(".", "__"): value for key, value in expected["settings"].items()})
     recorder.now = expected["now_ms"]
     endpoints = expected["endpoints"].items()
-    recorder.list_endpoints(*((name, each["zone"], EndpointState.READY, each["started_at"]) for name, each in endpoints))
+    recorder.publish_endpoints(*((name, each["zone"], EndpointState.READY, each["started_at"]) for name, each in endpoints))
     fresh = learned_state(recorder.policy)
     assert all(fresh[name] != expected[name] for name in LEARNED_NAMES)
     restore_snapshot(recorder.policy, snapshot.learned)
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -12,7 +12,7 @@
     in three of this proxy's requests to it are lost.  They go to the remote zone, which is busier and more expensive, except for
     occasional attempts on the bad path, and all return to the local zone once the path has recovered."""
     recorder = PolicyRecorder(tariffs__cross_zone=0.03, load_info__via="probe", limits__probing=False)
-    recorder.list_endpoints(*((name, 0) for name in LOCAL), *((name, 1) for name in REMOTE))
+    recorder.publish_endpoints(*((name, 0) for name in LOCAL), *((name, 1) for name in REMOTE))
     sent: list[tuple[int, str]] = []  # (sent at, endpoint id)
     lost: list[tuple[int, int]] = []  # (times out at, request id)
     for request_id, at in enumerate(range(0, 28000, 40)):
@@ -47,16 +47,16 @@
     """Guards against ejecting an endpoint at its connection limit: a accepts one connection and refuses a second, b to d refuse
     all.  The open connection is used although a has more requests in flight than the others report, and a is not ejected."""
     recorder = PolicyRecorder(tariffs__probe=0.0)
-    recorder.list_endpoints("a", "b", "c", "d")
+    recorder.publish_endpoints("a", "b", "c", "d")
     attempted: list[str] = []
     for request_id in range(60):
         recorder.request(request_id, class_index=2)
         attempted += end_attempts(recorder, request_id)
         recorder.advance_by(50.0)
     recorder.request(100)
-    first = recorder.last_word()
+    first = recorder.last_endpoint_id()
     recorder.request(101)
-    is_also_at_a = recorder.last_word() == "a"
+    is_also_at_a = recorder.last_endpoint_id() == "a"
     shares = [attempted[start : start + 10].count("a") for start in range(0, len(attempted) - 9, 10)]
     recorder.lines = [f"of each ten postings to a: {shares}"]
     recorder.record(f"then to {first}, and while that is out to {'a' if is_also_at_a else 'another or none'}")
@@ -71,7 +71,7 @@
     attempted: list[str] = []
     while recorder.was_sent(request_id):
         attempt_number = recorder.last_attempt[request_id]
-        attempted.append(recorder.last_word())
+        attempted.append(recorder.last_endpoint_id())
         if attempted[-1] == "a":
             recorder.end_attempt(request_id, attempt_number, AttemptOutcome.SERVED, 2, took_ms=40.0)
             break
@@ -93,7 +93,7 @@
     policy.endpoints_listed(0.0, ListScope.COMPLETE, entries)
     for request_id in range(60):
         policy.request_arrived(recorder.now, request_id, 0, 0, 0, 1000.0, 100.0, False)
-        endpoint_id = recorder.last_word()
+        endpoint_id = recorder.last_endpoint_id()
         if endpoint_id == without_report:
             recorder.end_attempt(request_id, 0, AttemptOutcome.UNKNOWN, is_answered=True)
         else:
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -2,19 +2,19 @@
 
 from sloeferry.policy.interface import AttemptOutcome
 from tests.support.golden import GoldenFiles
-from tests.support.policy_recorder import OUTCOME_WORDS, PolicyRecorder
+from tests.support.policy_recorder import OUTCOME_NAMES, PolicyRecorder
 
 
 def test_endpoint_with_fast_errors_is_ejected(golden: GoldenFiles):
     """Guards against an endpoint that attracts all requests by failing fast: a answers with errors at once and so looks least
     loaded.  It is soon ejected, and health-checked before it is used again."""
     recorder = PolicyRecorder()
-    recorder.list_endpoints("a", "b", "c")
+    recorder.publish_endpoints("a", "b", "c")
     for name, in_flight in (("a", 0), ("b", 1), ("c", 1)):
         recorder.report_load(name, in_flight)
     for request_id in range(5):
         recorder.request(request_id, class_index=2)
-        if recorder.last_word() == "a":
+        if recorder.last_endpoint_id() == "a":
             recorder.end_attempt(request_id, 0, AttemptOutcome.ERROR, 0)
         else:
             recorder.end_attempt(request_id, 0, AttemptOutcome.SERVED, 1)
@@ -26,7 +26,7 @@
     """Guards against ejecting an endpoint whose responses are corrupted on the path: the request is retried, and no endpoint is
     ejected."""
     recorder = PolicyRecorder()
-    recorder.list_endpoints("a", "b")
+    recorder.publish_endpoints("a", "b")
     for request_id in range(3):
         recorder.request(request_id)
         recorder.end_attempt(request_id, 0, AttemptOutcome.UNKNOWN)
@@ -41,7 +41,7 @@
     """Guards against waiting for an unresponsive endpoint: a never answers.  Its idempotent request is retried elsewhere, and no
     other request is sent to it."""
     recorder = PolicyRecorder(load_info__via="probe", limits__probing=False)
-    recorder.list_endpoints("a", "b", "c", "d")
+    recorder.publish_endpoints("a", "b", "c", "d")
     for name, in_flight in zip("abcd", (0, 1, 1, 1), strict=True):
         recorder.report_load(name, in_flight)
     recorder.request(1)
@@ -61,9 +61,9 @@
     lines: list[str] = []
     for outcome in (AttemptOutcome.NEVER_SENT, AttemptOutcome.UNREACHABLE):
         recorder = PolicyRecorder()
-        recorder.list_endpoints("a", "b", "c")
+        recorder.publish_endpoints("a", "b", "c")
         for _ in range(3):
             recorder.policy.health_check_ended(0.0, "a", outcome, 0.0, ())
         used = sorted(each.endpoint_id for each in recorder.policy.candidates.refresh(0.0))
-        lines.append(f"{OUTCOME_WORDS[outcome]}: uses {' '.join(used)}")
+        lines.append(f"{OUTCOME_NAMES[outcome]}: uses {' '.join(used)}")
     golden.check(lines, "unsent_health_checks")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,7 @@
 
 from sloeferry.errors import UsageError
 from sloeferry.fault_testing.link_relay import Link, LinkCondition, LinkState
-from sloeferry.fleet.admin_client import NoAnswer, call, parse_answer
+from sloeferry.fleet.admin_client import NoAnswer, parse_answer, request_json
 from sloeferry.fleet.audit import audit_fleet
 from sloeferry.fleet.cli import fleet
 from sloeferry.fleet.fleet_config import FleetConfig, ProxyAddress, read_fleet_config
@@ -23,7 +23,7 @@
 from sloeferry.stand_ins import platform, processes
 from sloeferry.stand_ins.discovery import StandInDiscovery
 from sloeferry.stand_ins.effect_log import EffectLog
-from tests.support.golden import Lines, compare
+from tests.support.golden import LineRecorder, compare
 
 ROOT = pathlib.Path(__file__).parents[1]
 SCHEMES = [platform.request_class_settings("pull", "repeatable", 300, 800, 1.0)]
@@ -71,7 +71,7 @@
         self.fail("it never came to that")
 
     async def holds(self, at, **what):
-        said = await call(("127.0.0.1", self.ops[at]), "/admin/versions")
+        said = await request_json(("127.0.0.1", self.ops[at]), "/admin/versions")
         if isinstance(said, NoAnswer):
             return False
         held = {
@@ -106,7 +106,7 @@
         for at in range(count):
             await self.until(lambda at=at: self.holds(at, revision=3))
         # The change, and what keeps some from it.
-        known = roster.last_list_of("p8")
+        known = roster.last_sent_list("p8")
         self.processes[8].kill()
         self.processes[8].wait()
         await link.set_condition(LinkCondition(LinkState.HOLD))
@@ -130,7 +130,7 @@
         await self.until(lambda: self.holds(8, revision=3))
 
         async def silent():  # as long as the audit takes to call it cut off
-            said = await call(("127.0.0.1", self.ops[4]), "/admin/versions")
+            said = await request_json(("127.0.0.1", self.ops[4]), "/admin/versions")
             return not isinstance(said, NoAnswer) and said["confirmed_ms"] > 5200
 
         await self.until(silent)
@@ -150,7 +150,7 @@
         roster.show_newest_list("p5", sends_missed_changes=False)  # its watch has missed a change, and only a new one brings it
         after = await self.verb("bring-up", path, "--pace", "0.05", "--patience", "2")
         garbage.close()
-        roster.go_down()
+        roster.stop()
         link.server.close()
         return before, after
 
@@ -179,7 +179,7 @@
 
     def test_causes(self):
         """Each straggler has its cause; who does not answer is unknown, never fine."""
-        self.processes, lines = {}, Lines()
+        self.processes, lines = {}, LineRecorder()
         with tempfile.TemporaryDirectory() as self.folder:
             self.operators = pathlib.Path(self.folder, "operator.toml")
             self.operators.write_text("[versions]\ntell = true\nbring_up = true\n")
@@ -202,7 +202,7 @@
 class Answers(unittest.TestCase):
     def test_no_answers(self):
         """What is no answer is unknown, with a word why."""
-        lines = Lines()
+        lines = LineRecorder()
         for said in (
             b"",
             b"nonsense",
@@ -218,7 +218,7 @@
         compare(self, lines, "fleet_answers")
 
     def test_bad_input(self):
-        lines = Lines()
+        lines = LineRecorder()
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, "fleet.toml")
             one = '[[proxy]]\nname = "a"\nat = "127.0.0.1:1"\n'
