--- a/sloeferry/fault_testing/audit_check.py
+++ b/sloeferry/fault_testing/audit_check.py
@@ -4,7 +4,7 @@
 
 from sloeferry.rehearsal.proxy_spans import NOTICE_SECONDS, ProxySpans
 
-RECENT_KILL_SECONDS = 30.0
+RECENT_KILL_SECONDS = 30.0  # a proxy killed within this time before the audit may be unknown
 SUMMARY_KEYS = ("current", "straggler", "unknown", "acts_after_bound", "reached")
 
 
@@ -31,8 +31,8 @@
         self._began_at = at
         self._newest_revision = newest_revision
         # A list written within NOTICE_SECONDS may not have been read yet when the audit query arrives.
-        settled = {proxy: written for proxy, written in self.last_written.items() if written.at < at - NOTICE_SECONDS}
-        self._notified_before = {proxy: written.revision for proxy, written in settled.items()}
+        delivered = {proxy: written for proxy, written in self.last_written.items() if written.at < at - NOTICE_SECONDS}
+        self._notified_before = {proxy: written.revision for proxy, written in delivered.items()}
 
     def end(self, result: dict[str, Any]) -> None:
         """Store the audit's result, and the revisions that proxies had been sent by then."""
@@ -43,8 +43,8 @@
         """Return a text for each proxy whose audit row contradicts the records."""
         if self.result is None:
             return []
-        found = (self._row_failure(row, killed_at, stopped, lists_held) for row in self.result["rows"])
-        return [text for text in found if text]
+        texts = (self._row_failure(row, killed_at, stopped, lists_held) for row in self.result["rows"])
+        return [text for text in texts if text]
 
     def _row_failure(
         self, row: dict[str, Any], killed_at: dict[str, float], stopped: ProxySpans, lists_held: ProxySpans
@@ -52,7 +52,7 @@
         name = row["name"]
         began_at = self._began_at
         is_reported_behind = "list" in row.get("behind", ())
-        newest = self._newest_revision
+        newest_revision = self._newest_revision
         if row["state"] == "unknown":
             was_killed = killed_at.get(name, -1.0) > began_at - RECENT_KILL_SECONDS
             if was_killed or stopped.covers(name, began_at, NOTICE_SECONDS):
@@ -60,11 +60,11 @@
             return f"audit: {name} is reported as unknown, {row['cause']}, but no fault kept it from answering"
         if lists_held.covers(name, began_at, 0.0, NOTICE_SECONDS):
             return None  # the list may still be held in the link, so either state is correct
-        after = self._notified_after.get(name, newest)
-        if after != newest and not is_reported_behind:
-            return f"audit: {name} was last sent revision {after}, the newest is {newest}, but it is reported as current"
-        if self._notified_before.get(name) == newest and is_reported_behind:
-            return f"audit: {name} was sent revision {newest} but is reported as a straggler: {row['cause']}"
+        notified_revision = self._notified_after.get(name, newest_revision)
+        if notified_revision != newest_revision and not is_reported_behind:
+            return f"audit: {name} was last sent revision {notified_revision} of {newest_revision} but is reported as current"
+        if self._notified_before.get(name) == newest_revision and is_reported_behind:
+            return f"audit: {name} was sent revision {newest_revision} but is reported as a straggler: {row['cause']}"
         return None
 
     def summary(self) -> dict[str, Any]:
--- a/sloeferry/fault_testing/fault_generator.py
+++ b/sloeferry/fault_testing/fault_generator.py
@@ -33,13 +33,13 @@
     def __init__(self, rng: Random, plan_seconds: float, target_ratios: list[float]):
         self.rng = rng
         self._plan_seconds = plan_seconds
-        self._struck_ratios = target_ratios
+        self._target_ratios = target_ratios
 
     def fault(self, kind: str, max_seconds: float, **keys: Any) -> PlanTable:
         """Return a fault of that kind that lasts at most `max_seconds`, with the given TOML keys."""
         lasts = round(self.rng.uniform(MIN_FAULT_SECONDS, max_seconds), 2)
         at = round(self.rng.uniform(FAULT_FREE_EDGE_SECONDS, self._plan_seconds - lasts - FAULT_FREE_EDGE_SECONDS), 2)
-        return {"at": at, "lasts": lasts, "part": self.rng.choice(self._struck_ratios), "what": kind, **keys}
+        return {"at": at, "lasts": lasts, "part": self.rng.choice(self._target_ratios), "what": kind, **keys}
 
     def link_fault(self, between: str) -> PlanTable:
         """Return a fault of the links between proxies and `between`."""
--- a/sloeferry/fault_testing/link_relay.py
+++ b/sloeferry/fault_testing/link_relay.py
@@ -142,7 +142,7 @@
         self.client_end: RelayEnd | None = None
         self.server_end: RelayEnd | None = None
         self.is_half_open = False
-        self._held: list[tuple[Direction, bytes | None]] = []
+        self._queued: list[tuple[Direction, bytes | None]] = []
         self._delivery_due_at = {Direction.TO_SERVER: 0.0, Direction.TO_CLIENT: 0.0}  # of the last delayed data
         self._forwarded_bytes = {Direction.TO_SERVER: 0, Direction.TO_CLIENT: 0}
         self._request_reader = MessageReader() if link.records_requests else None
@@ -182,9 +182,9 @@
     def _forward(self, direction: Direction, data: bytes | None) -> None:
         now = self.link.loop.time()
         condition = self.link.condition
-        is_behind_held = any(queued_direction is direction for queued_direction, _ in self._held)
-        if self._receiver(direction) is None or condition.is_holding(direction) or is_behind_held:
-            self._held.append((direction, data))
+        is_behind_queued = any(queued_direction is direction for queued_direction, _ in self._queued)
+        if self._receiver(direction) is None or condition.is_holding(direction) or is_behind_queued:
+            self._queued.append((direction, data))
         elif condition.state is LinkState.DELAY or self._delivery_due_at[direction] > now:  # data must not overtake delayed data
             self._delivery_due_at[direction] = max(self._delivery_due_at[direction], now + condition.delay_ms / 1000)
             self.link.loop.call_at(self._delivery_due_at[direction], self._deliver, direction, data)
@@ -210,9 +210,9 @@
 
     def flush(self) -> None:
         """Forward queued data, as far as the present condition allows."""
-        held = self._held
-        self._held = []
-        for direction, data in held:
+        queued = self._queued
+        self._queued = []
+        for direction, data in queued:
             self._forward(direction, data)
 
     def reset(self) -> None:
--- a/sloeferry/fault_testing/process_host.py
+++ b/sloeferry/fault_testing/process_host.py
@@ -10,8 +10,8 @@
 
 SOURCE_TREE = str(pathlib.Path(__file__).resolve().parents[2])
 FLAKY_PROXY = "sloeferry.fault_testing.flaky_proxy"
-# On three cores or more, processes that measure have this share of the cores to themselves.
-MEASURING_CORES_OF_8 = 3
+# On three cores or more, processes that measure get this many of every eight cores to themselves.
+MEASURING_CORES_PER_8 = 3
 
 
 class ProcessHost(LiveEnvironment):
@@ -25,7 +25,7 @@
         self.started_at: dict[int, float] = {}  # proxy -> loop time of the start of its newest process
         self._proxy_tree = proxy_tree or SOURCE_TREE
         cores = sorted(os.sched_getaffinity(0))
-        count = max(1, len(cores) * MEASURING_CORES_OF_8 // 8)
+        count = max(1, len(cores) * MEASURING_CORES_PER_8 // 8)
         self.measuring_cores = set(cores[:count]) if len(cores) > 2 else set(cores)
         self._proxy_cores = set(cores[count:]) if len(cores) > 2 else set(cores)
         os.sched_setaffinity(0, self.measuring_cores)
@@ -39,12 +39,12 @@
         """Return how to start a proxy: as `sloeferry`, or as a flaky proxy if its clock or system calls are faulty."""
         number = proxy.index
         self.started_at[number] = self.loop.time()
-        clock_offset = self.clock_offsets_seconds.get(number)
+        clock_offset_seconds = self.clock_offsets_seconds.get(number)
         has_failing_calls = number in self.failing_call_proxies
-        is_flaky = clock_offset is not None or has_failing_calls
+        is_flaky = clock_offset_seconds is not None or has_failing_calls
         arguments, environment = processes.proxy_command(FLAKY_PROXY if is_flaky else "sloeferry")
-        if clock_offset is not None:
-            environment["SLOEFERRY_RIG_CLOCK"] = repr(clock_offset)
+        if clock_offset_seconds is not None:
+            environment["SLOEFERRY_RIG_CLOCK"] = repr(clock_offset_seconds)
         if has_failing_calls:
             environment["SLOEFERRY_RIG_CALLS"] = "yes"
         if proxy.fleet.plan.rig.audit_s:
--- a/sloeferry/fault_testing/record_replay.py
+++ b/sloeferry/fault_testing/record_replay.py
@@ -121,8 +121,8 @@
         """Note an attempt that acted on an older list than its proxy was notified of NOTICE_SECONDS before."""
         proxy = self._judge.tries[request_id.encode()].proxy
         incarnation, _, revision = versions.partition("list=")[2].partition(":")[0].partition(".")
-        settled = (written.revision for written in self._list_history[proxy] if written.at < at - NOTICE_SECONDS)
-        notified = max(settled, default=0)
+        delivered = (written.revision for written in self._list_history[proxy] if written.at < at - NOTICE_SECONDS)
+        notified = max(delivered, default=0)
         if incarnation != "1" or int(revision) >= notified:
             return
         if not any(spans.covers(proxy, at, NOTICE_SECONDS) for spans in (self._stopped, self._lists_held)):
--- a/sloeferry/fault_testing/verdict.py
+++ b/sloeferry/fault_testing/verdict.py
@@ -52,7 +52,7 @@
         replay.replay(event)
     for planned in judge.planned_requests:
         if not planned.outcome:
-            judge.violation(Rule.ONE_ANSWER, last_at, f"txn {planned.number} had no end")
+            judge.violation(Rule.ONE_ANSWER, last_at, f"call {planned.number} has no recorded end")
     record = make_record(judge)
     failures = _failures(plan, replay, record, result)
     max_lag_ms = {role: round(ms, 1) for role, ms in sorted(replay.max_lag_ms.items())}
@@ -86,7 +86,7 @@
     failures = []
     service = record["service"]["whole"]
     if service is not None and service < plan.expect.service:
-        failures.append(f"service {service:.3f}, at least {plan.expect.service:g} was to be")
+        failures.append(f"service {service:.3f} is below the {plan.expect.service:g} that the plan expects")
     lost = record["txns"]["lost"]
     if lost > plan.expect.lost:
         failures.append(f"{lost} txns lost, {plan.expect.lost} at the most were to be")
@@ -94,7 +94,7 @@
     failures += replay.stale_attempts[:MAX_SHOWN_STALE_ATTEMPTS]
     if plan.rig.audit_s and replay.audit.result is None:
         failures.append("the audit did not end before the run")
-    failures += [f"the rig itself: {error}" for error in result.tool_errors]
+    failures += [f"internal error of the rig: {error}" for error in result.tool_errors]
     proxies = plan.proxies.count
     ready = result.figures.get("ready", proxies)
     if ready < proxies:
