--- a/sloeferry/fault_testing/event_recorder.py
+++ b/sloeferry/fault_testing/event_recorder.py
@@ -39,7 +39,7 @@
 
 
 class EventRecorder(EffectLog):
-    """Writes the record of one process; `clock` returns its loop time in seconds."""
+    """A recorder that writes the events of one process to a file; `clock` returns its loop time in seconds."""
 
     def __init__(self, plan: Plan, seed: int, path: pathlib.Path | str, clock: Callable[[], float]):
         self.plan = plan
--- a/sloeferry/fault_testing/fault_generator.py
+++ b/sloeferry/fault_testing/fault_generator.py
@@ -28,7 +28,7 @@
 
 
 class FaultGenerator:
-    """Generates the faults of one plan of `plan_seconds`; `target_ratios` are the possible ratios of affected proxies."""
+    """A generator of the faults of a plan that lasts `plan_seconds`; `target_ratios` are the possible ratios of targets."""
 
     def __init__(self, rng: Random, plan_seconds: float, target_ratios: list[float]):
         self.rng = rng
--- a/sloeferry/fault_testing/record_replay.py
+++ b/sloeferry/fault_testing/record_replay.py
@@ -28,7 +28,7 @@
 
 
 class RecordReplay:
-    """Replays events to the judge, and collects what the rules don't cover: the audit, stale attempts, event-loop lag."""
+    """A replay that passes events to the judge, and collects the audit, stale attempts and event-loop lag itself."""
 
     def __init__(self, judge: RecordJudge):
         self.audit = AuditCheck()
--- a/sloeferry/fault_testing/run_options.py
+++ b/sloeferry/fault_testing/run_options.py
@@ -10,7 +10,7 @@
     """The options of one run; workers parse `plan_text` and resize the plan themselves."""
 
     plan_text: str
-    plan: Plan  # resized
+    plan: Plan  # after resizing
     seed: int
     proxy_count: int | None = None  # None: the plan's own
     backend_count: int | None = None  # in total; None: the plan's own
--- a/sloeferry/fault_testing/short_plan_generator.py
+++ b/sloeferry/fault_testing/short_plan_generator.py
@@ -1,6 +1,6 @@
 """Generator of short plans from a seed: `drawn-17` is the same plan everywhere.
 
-A plan has exactly one fault that keeps proxies from the endpoint list, shorter than the time after which a proxy counts as
+At most one fault of a plan keeps proxies from the endpoint list, for less than the time after which a proxy counts as
 notified (`deemed_s`): two consecutive faults could withhold a drain from a proxy for longer, and it could not keep rule 3.
 """
 
