--- a/sloeferry/stand_ins/__init__.py
+++ b/sloeferry/stand_ins/__init__.py
@@ -1,4 +1,5 @@
-"""Stand-ins for everything round real proxies, shared by all tools: backends, discovery, clients, and proxy processes.
+"""Stand-ins for the environment of real proxies: backends, discovery, clients, and control of proxy processes.
 
-Written from the platform's protocol; loopback only.  The proxy imports none of it.
+All test tools share them.  They implement the platform's protocol independently of the proxy, which imports none of them, and
+use loopback addresses only.
 """
--- a/sloeferry/stand_ins/backend_connection.py
+++ b/sloeferry/stand_ins/backend_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a stand-in backend, from the backend's side."""
+"""The server side of one connection to a stand-in backend."""
 
 import asyncio
 from typing import TYPE_CHECKING
@@ -11,10 +11,10 @@
 
 
 class BackendConnection(asyncio.Protocol):
-    """Reads requests and writes their responses; closes itself when it has been idle for long enough."""
+    """Reads requests and writes their responses; closes itself after the idle timeout of the settings."""
 
     def __init__(self, backend: "StandInBackend"):
-        self.is_gone = False  # the other side has ended it
+        self.is_gone = False  # closed by the peer
         self._backend = backend
         self._reader = MessageReader()
         self._transport: asyncio.Transport | None = None
@@ -23,29 +23,29 @@
         self._idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """As asyncio calls it."""
+        """Accept the connection, or reset it if the backend is down or has too many; called by the event loop."""
         self._transport = transport
         backend = self._backend
         if not backend.is_up or len(backend.connections) >= backend.settings.max_connections:
             transport.abort()
             return
         backend.connections[self] = None
-        self._become_idle()
+        self._mark_idle()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """As asyncio calls it."""
+        """Remove the connection from the backend; called by the event loop."""
         self.is_gone = True
         self._backend.connections.pop(self, None)
         if self._idle_timer:
             self._idle_timer.cancel()
 
     def eof_received(self) -> bool:
-        """As asyncio calls it: what is being worked on may still be answered."""
+        """Keep the connection open while a request is in progress, so that its response can be sent; called by the event loop."""
         self.is_gone = True
         return self._is_busy
 
     def data_received(self, data: bytes) -> None:
-        """As asyncio calls it."""
+        """Pass each complete request to the backend; called by the event loop."""
         backend = self._backend
         if backend.is_cut_off:
             return
@@ -61,27 +61,27 @@
                 backend.request_received(self, message, began_at)
 
     def respond(self, data: bytes) -> None:
-        """Writes a complete response."""
+        """Write a complete response."""
         if not self._transport.is_closing():
             self._transport.write(data)
-            self._become_idle()
+            self._mark_idle()
 
     def truncate(self, data: bytes) -> None:
-        """Writes a part of a response and ends the connection."""
+        """Write a part of a response and close the connection."""
         if not self._transport.is_closing():
             self._transport.write(data)
             self._transport.close()
 
     def abort(self) -> None:
-        """Resets it."""
+        """Reset the connection."""
         self._transport.abort()
 
-    def _become_idle(self) -> None:
+    def _mark_idle(self) -> None:
         self._is_busy = False
         if self._idle_timer:
             self._idle_timer.cancel()
-        self._idle_timer = self._backend.loop.call_later(self._backend.settings.idle_timeout_seconds, self._idle_too_long)
+        self._idle_timer = self._backend.loop.call_later(self._backend.settings.idle_timeout_seconds, self._close_if_idle)
 
-    def _idle_too_long(self) -> None:
+    def _close_if_idle(self) -> None:
         if not self._is_busy and not self._reader.has_partial_message:
             self._transport.close()
--- a/sloeferry/stand_ins/backend_list.py
+++ b/sloeferry/stand_ins/backend_list.py
@@ -1,6 +1,6 @@
-"""The list of backends that stand-in discovery publishes: its entries, its revisions, and what it was at earlier times.
+"""The endpoint list that stand-in discovery publishes, with its revisions and its history.
 
-Entries and documents are as the platform writes them.
+Entries and documents have the platform's JSON format.
 """
 
 from collections.abc import Mapping
@@ -9,22 +9,22 @@
 
 from sloeferry.stand_ins.wire_protocol import BackendState
 
-Entry = dict[str, Any]
-Document = dict[str, Any]
+BackendEntry = dict[str, Any]
+ListDocument = dict[str, Any]
 
 
-class Change(NamedTuple):
-    """One publication."""
+class ListChange(NamedTuple):
+    """One published revision of the list."""
 
     revision: int
-    published_at: float  # seconds of discovery's loop
-    entry: Entry
+    published_at: float  # seconds, time of discovery's event loop
+    entry: BackendEntry
 
 
 def make_backend_entry(
     backend_id: str, address: tuple[str, int], zone: str, machine_kind: str, state: str, started_at_ms: int
-) -> Entry:
-    """One backend's entry; `started_at_ms` is Unix time."""
+) -> BackendEntry:
+    """Return the list entry of one backend; `started_at_ms` is Unix time."""
     return {
         "id": backend_id,
         "host_port": "{}:{}".format(*address),
@@ -37,47 +37,47 @@
     }
 
 
-def with_addresses(document: Document, addresses: Mapping[str, str]) -> Document:
-    """The same document, with other addresses for some backends."""
+def with_addresses(document: ListDocument, addresses: Mapping[str, str]) -> ListDocument:
+    """Return a copy of a document with the given addresses (host:port by backend id) in place of the original ones."""
     entries = [entry | {"host_port": addresses.get(entry["id"], entry["host_port"])} for entry in document["members"]]
     return document | {"members": entries}
 
 
 class BackendList:
-    """All that was ever published."""
+    """The current entries and all revisions published so far."""
 
     def __init__(self):
         self.revision = 0
-        self._entries: dict[str, Entry] = {}
-        self._changes: list[Change] = []  # published since revisions were last reset, without what stood there at the reset
-        self._history: list[Change] = []
+        self._entries: dict[str, BackendEntry] = {}
+        self._changes: list[ListChange] = []  # since revisions were last reset, without the entries listed at the reset
+        self._history: list[ListChange] = []
 
     def started_at_ms(self, backend_id: str) -> int:
-        """When a backend was last listed as started; 0 for one that was never listed."""
+        """Return the start time (Unix time, ms) that a backend is listed with; 0 if it was never listed."""
         entry = self._entries.get(backend_id)
         return entry["up_since_ms"] if entry else 0
 
-    def publish(self, entry: Entry, now: float) -> None:
-        """An entry is added or changed."""
+    def publish(self, entry: BackendEntry, now: float) -> None:
+        """Publish a new or changed entry as the next revision."""
         self.revision += 1
-        change = Change(self.revision, now, entry)
+        change = ListChange(self.revision, now, entry)
         self._entries[entry["id"]] = entry
         self._changes.append(change)
         self._history.append(change)
 
     def reset_revisions(self, now: float) -> None:
-        """The count is lost: what stands in the list is its revision 1."""
+        """Restart the revision count: the current list becomes revision 1."""
         self.revision = 1
         self._changes = []
         self._entries = {backend_id: entry for backend_id, entry in self._entries.items() if entry["phase"] != BackendState.GONE}
-        self._history = [Change(1, now, entry) for entry in self._entries.values()]
+        self._history = [ListChange(1, now, entry) for entry in self._entries.values()]
 
     def revision_at(self, until: float) -> int:
-        """The newest revision at that time; 0 if there was none."""
+        """Return the newest revision published at or before a time; 0 if there was none."""
         return max((change.revision for change in self._history if change.published_at <= until), default=0)
 
-    def document(self, since: int | None, revision: int) -> Document:
-        """The list as of a revision: all of it, or what changed after `since`, with the latest entry of each backend."""
+    def document(self, since: int | None, revision: int) -> ListDocument:
+        """Return the list as of a revision: all of it, or the latest entry of each backend that changed after `since`."""
         entries = self._entries
         if revision != self.revision:
             entries = {change.entry["id"]: change.entry for change in self._history if change.revision <= revision}
@@ -90,7 +90,7 @@
 
 
 class ListView(NamedTuple):
-    """What of the list a proxy is shown instead of the newest."""
+    """The older state of the list that one proxy is shown instead of the current one."""
 
-    delay_seconds: float = 0.0  # it is shown the list as it was so long ago
-    until: float = inf  # and nothing that was published after this time
+    delay_seconds: float = 0.0  # age of the list that it is shown
+    until: float = inf  # changes published after this time are hidden
--- a/sloeferry/stand_ins/backends.py
+++ b/sloeferry/stand_ins/backends.py
@@ -1,6 +1,6 @@
-"""Stand-in backends: cores, a queue, a slow start, and all that goes wrong with them.  Figures are models.
+"""Stand-in backends that model cores, a request queue, a warm-up, and faults.
 
-They stand on asyncio's protocols, so that they run on a rehearsal's simulated loop and on a real one.
+They use asyncio protocols, so that they run on the simulated event loop of a rehearsal as well as on a real one.
 """
 
 import asyncio
@@ -14,19 +14,19 @@
 from sloeferry.stand_ins.effect_log import EffectLog
 from sloeferry.stand_ins.http_messages import Message
 from sloeferry.stand_ins.request_handler import LinkFault, RequestHandler
-from sloeferry.stand_ins.warm_up import WarmUp
+from sloeferry.stand_ins.warm_up import WarmUpModel
 from sloeferry.stand_ins.work_queue import Job, WorkQueue
 
 if TYPE_CHECKING:
     from sloeferry.rehearsal.scenario_tables import Backends, Obligations
 
-LOOK_SECONDS = 0.1  # between two looks at what changes by itself
+CAPACITY_UPDATE_INTERVAL_SECONDS = 0.1  # for warm-up and congestion
 STALL_TOLERANCE_SECONDS = 1e-9
 LISTEN_BACKLOG = 1024
 
 
-class DelayedRequest(NamedTuple):
-    """A request that came while the backend stood still; the time is that of its last byte, in seconds."""
+class StalledRequest(NamedTuple):
+    """A request received while the backend was stalled; `received_at` is the time of its last byte, in seconds."""
 
     connection: BackendConnection
     message: Message
@@ -34,7 +34,7 @@
 
 
 class StandInBackend:
-    """One backend."""
+    """One backend: its listener, its capacity and the faults injected into it."""
 
     def __init__(
         self,
@@ -48,45 +48,45 @@
         obligations: "Obligations | None",
         rng: Random,
     ):
-        """`deduplication_stores` by the group that a request class names."""
+        """Create a stopped backend; `deduplication_stores` are keyed by the deduplication group that a request class names."""
         self.loop = loop
         self.settings = settings
         self.backend_id = backend_id
         self.address = address
         self.zone = zone
         self.effect_log = effect_log
-        self.connections: dict[BackendConnection, None] = {}  # a set in the order of their coming
+        self.connections: dict[BackendConnection, None] = {}  # an ordered set
         self.is_up = False
         self.is_draining = False
         self.served_count = 0
-        # What may be wrong with it, set by `change`.
-        self.is_cut_off = False  # from the network: it hears and says nothing
-        self.neighbour_cpu_ratio = 0.0  # of its machine, that another program takes
+        # Faults, set by `change`.
+        self.is_cut_off = False  # from the network: it ignores what it receives
+        self.neighbour_cpu_ratio = 0.0  # of its machine's CPU time, used by another program
         self.slowdown = 1.0
         self.error_odds = 0.0
         self.truncation_odds = 0.0
-        self.report_override = ""  # "idle": it reports that it is; "stuck": it repeats its last report
+        self.report_override = ""  # "idle": it always reports no load; "stuck": it repeats its last report
         self.link_faults: dict[str, LinkFault] = {}  # by proxy
         self.work = WorkQueue(loop, settings.cores, self)
-        self.warm_up = WarmUp(settings, obligations)
+        self.warm_up = WarmUpModel(settings, obligations)
         self._requests = RequestHandler(self, deduplication_stores, rng)
         self._congestion = CongestionModel(settings.congestion, settings.cores)
         self._server: asyncio.AbstractServer | None = None
-        self._look_timer: asyncio.TimerHandle | None = None
+        self._capacity_timer: asyncio.TimerHandle | None = None
         self._stalled_until = 0.0
-        self._delayed: list[DelayedRequest] = []
+        self._stalled_requests: list[StalledRequest] = []
 
-    # Start and end
+    # Start and stop
 
     async def start(self, is_warm: bool = False) -> None:
-        """Its process starts; a warm one has its whole capacity at once."""
+        """Start the backend and listen; with `is_warm` it has its full capacity at once."""
         self.is_up = True
         self.is_draining = False
         self.warm_up.start(self.loop.time(), is_warm)
         self.work.start()
         await self._listen()
-        if not self._look_timer:
-            self._look_timer = self.loop.call_later(LOOK_SECONDS, self._look)
+        if not self._capacity_timer:
+            self._capacity_timer = self.loop.call_later(CAPACITY_UPDATE_INTERVAL_SECONDS, self._update_capacity)
 
     async def _listen(self) -> None:
         self._server = await self.loop.create_server(lambda: BackendConnection(self), *self.address, backlog=LISTEN_BACKLOG)
@@ -97,33 +97,33 @@
             self._server = None
 
     def crash(self) -> None:
-        """At once: what is open is reset, what it worked on is gone."""
+        """Stop the backend at once: reset all connections and drop all requests."""
         self.is_up = False
         self._stop_listening()
         for connection in list(self.connections):
             connection.abort()
         self.connections.clear()
         self.work.clear()
-        self._delayed.clear()
+        self._stalled_requests.clear()
         self.warm_up.clear()
-        self._congestion.clear()
+        self._congestion.reset()
 
     # Faults
 
     def refuse_connections(self, is_refusing: bool) -> None:
-        """New connections are refused, or taken again."""
+        """Refuse new connections, or accept them again."""
         if is_refusing:
             self._stop_listening()
         else:
-            self.loop.create_task(self._listen_again())
+            self.loop.create_task(self._resume_listening())
 
-    async def _listen_again(self) -> None:
+    async def _resume_listening(self) -> None:
         if self.is_up and self._server is None:
             await self._listen()
 
     def stall(self, seconds: float) -> None:
-        """It stands still: nothing is read, nothing worked on; the machine still takes what comes."""
-        self.work.settle()
+        """Stall the process for a time: it handles no requests and does no work, but still receives connections and data."""
+        self.work.record_progress()
         self._stalled_until = max(self._stalled_until, self.loop.time() + seconds)
         self.work.schedule()
         self.loop.call_later(seconds, self._stall_ended)
@@ -134,71 +134,73 @@
     def _stall_ended(self) -> None:
         if self._is_stalled() or not self.is_up:
             return
-        self.work.settle()
-        delayed = self._delayed
-        self._delayed = []
-        for request in delayed:
+        self.work.record_progress()
+        stalled_requests = self._stalled_requests
+        self._stalled_requests = []
+        for request in stalled_requests:
             self._requests.handle(*request)
         self.work.schedule()
 
     def change(self, **values: object) -> None:
-        """Sets what may be wrong with it, by attribute."""
-        self.work.settle()
+        """Set fault attributes by name."""
+        self.work.record_progress()
         for name, value in values.items():
             setattr(self, name, value)
         self.work.schedule()
 
-    # Its capacity
+    # Capacity
 
     def in_flight(self) -> int:
-        """Requests that run or wait."""
+        """Return the number of requests that run or wait."""
         return len(self.work)
 
     def work_rate(self) -> float:
-        """The work (ms) that a core does in a millisecond."""
+        """Return the work (ms) that one core does in a millisecond."""
         if self._is_stalled():
             return 0.0
         capacity_ratio = self.warm_up.capacity_ratio(self.loop.time())
-        undisturbed = self.settings.speed * capacity_ratio * (1 - self.neighbour_cpu_ratio)
-        return undisturbed / self.slowdown / self._congestion.slowdown()
-
-    def _look(self) -> None:
-        """Warming up goes on, and long queues have their price."""
-        self._look_timer = self.loop.call_later(LOOK_SECONDS, self._look) if self.is_up else None
+        rate = self.settings.speed * capacity_ratio * (1 - self.neighbour_cpu_ratio)
+        return rate / self.slowdown / self._congestion.slowdown()
+
+    def _update_capacity(self) -> None:
+        """Apply the progress of the warm-up, and start or end congestion."""
+        self._capacity_timer = (
+            self.loop.call_later(CAPACITY_UPDATE_INTERVAL_SECONDS, self._update_capacity) if self.is_up else None
+        )
         now = self.loop.time()
         if self.warm_up.capacity_ratio(now) < 1.0 and self.work.running:
-            self.work.settle()
+            self.work.record_progress()
             self.work.schedule()
-        if not self._congestion.is_due_to_change(now, len(self.work.waiting), self.in_flight()):
+        if not self._congestion.should_toggle(now, len(self.work.waiting), self.in_flight()):
             return
         if not self._congestion.is_active:
             self.effect_log.congestion_began(self.backend_id)
-        self.work.settle()
-        self._congestion.change(now)
+        self.work.record_progress()
+        self._congestion.toggle(now)
         self.work.schedule()
 
     # Requests
 
     def request_received(self, connection: BackendConnection, message: Message, began_at: float) -> None:
-        """A complete request has come; `began_at` is when its first byte came, in seconds."""
+        """Process a complete request whose first byte was received at `began_at`, in seconds."""
         self._requests.received(connection, message, began_at)
 
     def request_arrived(self, connection: BackendConnection, message: Message) -> None:
-        """It has come all the way, over a link that may have delayed it."""
+        """Handle a request after the delay of its link, if any; keep it for later while the backend is stalled."""
         now = self.loop.time()
         if not self.is_up:
             return
         if self._is_stalled():
-            self._delayed.append(DelayedRequest(connection, message, now))
+            self._stalled_requests.append(StalledRequest(connection, message, now))
         else:
             self._requests.handle(connection, message, now)
 
     def refresh_report(self) -> None:
-        """Takes its load for its next report, if the last one is old."""
+        """Update the load report if the last one has expired."""
         self._requests.load_report()
 
-    def is_still_wanted(self, job: Job) -> bool:
-        """Whether a request that has waited is run; one whose deadline has passed may be rejected."""
+    def should_run(self, job: Job) -> bool:
+        """Return whether to run a request that has waited; reject it if expired requests are dropped and it has expired."""
         if not self.settings.drops_expired:
             return True
         if job.connection.is_gone or self.effect_log.is_expired(job.request_id, self.loop.time()):
@@ -207,13 +209,13 @@
         return True
 
     def job_began(self, job: Job) -> None:
-        """A request begins to run."""
+        """Log that a request begins to run."""
         self.effect_log.request_ran(self.backend_id, job.request_id, self.loop.time())
 
     def job_done(self, job: Job) -> None:
-        """A request is done: it is answered, and the repeats that have waited for it."""
+        """Answer a request that is done, and the repeats that have waited for it."""
         self._requests.job_done(job)
 
     def work_done(self, work_ms: float) -> None:
-        """So much work has been settled."""
+        """Log an amount of work done."""
         self.effect_log.work_done(work_ms)
--- a/sloeferry/stand_ins/call_failures.py
+++ b/sloeferry/stand_ins/call_failures.py
@@ -1,7 +1,7 @@
-"""The ways in which a call for the list of backends fails, as the stand-in discovery plays them.
+"""The ways in which calls to stand-in discovery can be made to fail.
 
-The protocol names them: a call that fails ends with 503 or a reset, connections are refused, watches fall silent, and
-answers may not come whole.
+They are the failures that the platform's protocol allows: a 503, a reset, a refused connection, a watch that sends nothing,
+and a truncated response.
 """
 
 import asyncio
@@ -9,43 +9,45 @@
 
 from sloeferry.stand_ins.http_messages import make_response
 
-LATE_REFUSAL_SECONDS = 1.0  # that a call waits in vain before discovery ends it
+LATE_REFUSAL_SECONDS = 1.0  # delay of the 503
 
 
 class CallFailure(enum.Enum):
-    """How each call of a proxy ends.  The value is the word that plans use."""
+    """The way in which each call of a proxy fails; the values are those of plan files."""
 
-    REFUSED = "refused"  # 503 at once: discovery is there, and has no time
-    LATE_REFUSED = "late-refused"  # 503 after a wait, as while discovery is down
-    RESET = "reset"  # let in, and reset
-    SILENT = "silent"  # let in, and no answer
-    HALF = "half"  # half a list, then the end
-    UNREACHABLE = "unreachable"  # no connection comes up
+    REFUSED = "refused"  # 503 at once, as from an overloaded discovery
+    LATE_REFUSED = "late-refused"  # 503 after a delay, as while discovery is down
+    RESET = "reset"  # accepted, then reset
+    SILENT = "silent"  # accepted, but not answered
+    TRUNCATED = "half"  # a truncated list, then the connection is closed
+    UNREACHABLE = "unreachable"  # connections are refused
 
     @property
     def is_reachable(self) -> bool:
-        """Whether discovery counts as reachable meanwhile: if so, what it has to tell counts as told in time."""
+        """Return whether discovery counts as reachable: if so, its changes count as notified in time."""
         return self not in (CallFailure.LATE_REFUSED, CallFailure.UNREACHABLE)
 
 
-HALF_A_LIST = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n" + b'{"revision": 1, "members": [{"id"'[:32] + b"\r\n"
+TRUNCATED_LIST_RESPONSE = (
+    b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n" + b'{"revision": 1, "members": [{"id"'[:32] + b"\r\n"
+)
 
 
-def fail(loop: asyncio.AbstractEventLoop, transport: asyncio.Transport, failure: CallFailure) -> None:
-    """Ends a call whose request has come, or leaves it without an answer."""
+def inject_failure(loop: asyncio.AbstractEventLoop, transport: asyncio.Transport, failure: CallFailure) -> None:
+    """Make a call whose request has been received fail; a silent failure does nothing."""
     if failure is CallFailure.REFUSED:
         transport.write(make_response(503))
         transport.close()
     elif failure is CallFailure.LATE_REFUSED:
-        loop.call_later(LATE_REFUSAL_SECONDS, _refuse_late, transport)
-    elif failure is CallFailure.HALF:
-        transport.write(HALF_A_LIST)
+        loop.call_later(LATE_REFUSAL_SECONDS, _send_late_refusal, transport)
+    elif failure is CallFailure.TRUNCATED:
+        transport.write(TRUNCATED_LIST_RESPONSE)
         transport.close()
     elif failure is not CallFailure.SILENT:
         transport.abort()
 
 
-def _refuse_late(transport: asyncio.Transport) -> None:
+def _send_late_refusal(transport: asyncio.Transport) -> None:
     if not transport.is_closing():
         transport.write(make_response(503))
         transport.close()
--- a/sloeferry/stand_ins/client_connection.py
+++ b/sloeferry/stand_ins/client_connection.py
@@ -1,4 +1,4 @@
-"""A stand-in client's connection to a proxy: one request at a time."""
+"""A stand-in client's connection to a proxy, with one request in flight at a time."""
 
 import asyncio
 import enum
@@ -9,7 +9,7 @@
 
 
 class Response(NamedTuple):
-    """What came; names of fields are in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     fields: dict[bytes, bytes]
@@ -17,14 +17,14 @@
 
 
 class NoResponse(enum.Enum):
-    """Why none came."""
+    """The reason why there is no response."""
 
     CONNECTION_ENDED = enum.auto()
     TIMED_OUT = enum.auto()
 
 
 class ClientConnection(asyncio.Protocol):
-    """`response` is the future of what is outstanding, None before the first request."""
+    """One connection; `response` is the future of the last request's response, or None before the first request."""
 
     def __init__(
         self,
@@ -45,11 +45,11 @@
         self._idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """As asyncio calls it."""
+        """Store the transport; called by the event loop."""
         self.transport = transport
 
     def send_request(self, data: bytes) -> None:
-        """Writes a request, or the first part of one."""
+        """Write a request, or the first part of one."""
         self.response = self._loop.create_future()
         self.has_response_begun = False
         self.request_count += 1
@@ -59,7 +59,7 @@
             self.transport.write(data)
 
     async def wait_for_response(self, seconds: float) -> Response | NoResponse:
-        """The response to what was sent last, if it comes in that time."""
+        """Return the response to the last request; stop waiting after `seconds`."""
         timer = self._loop.call_later(seconds, self._resolve, NoResponse.TIMED_OUT)
         try:
             return await self.response
@@ -67,7 +67,7 @@
             timer.cancel()
 
     def data_received(self, data: bytes) -> None:
-        """As asyncio calls it."""
+        """Deliver complete responses, and reset the connection on an unexpected one; called by the event loop."""
         self.has_response_begun = True
         for message in self._reader.feed(data):
             status = int(message.first_line.split(b" ")[1])
@@ -76,26 +76,26 @@
                 self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """As asyncio calls it."""
+        """End the outstanding request, and remove the connection from its pool; called by the event loop."""
         self.is_closed = True
         self._resolve(NoResponse.CONNECTION_ENDED)
         self.leave_pool()
 
     def _resolve(self, result: Response | NoResponse) -> bool:
-        """Whether somebody waits for it."""
+        """Set the result of the outstanding request; return False if there is none."""
         if self.response is None or self.response.done():
             return False
         self.response.set_result(result)
         return True
 
     def enter_pool(self, pool: list["ClientConnection"], idle_timeout_seconds: float) -> None:
-        """It is kept for the next request, for so long."""
+        """Add the idle connection to a pool, and close it after the idle timeout."""
         self._pool = pool
         pool.append(self)
         self._idle_timer = self._loop.call_later(idle_timeout_seconds, self.transport.close)
 
     def leave_pool(self) -> None:
-        """It is in use again, or has ended."""
+        """Remove the connection from its pool, if it is in one."""
         if self._pool is not None:
             self._pool.remove(self)
             self._pool = None
--- a/sloeferry/stand_ins/client_requests.py
+++ b/sloeferry/stand_ins/client_requests.py
@@ -1,4 +1,4 @@
-"""What stand-in clients write: one request as bytes."""
+"""Encodes the requests of stand-in clients."""
 
 from random import Random
 from typing import TYPE_CHECKING
@@ -11,24 +11,24 @@
     from sloeferry.rehearsal.scenario import Scenario
 
 METHODS = {RequestKind.IDEMPOTENT: b"GET", RequestKind.DEDUPLICATED: b"POST", RequestKind.NON_IDEMPOTENT: b"POST"}
-UNNAMED_TENANT = b"anyone"
-CHUNK_SIZES = 4  # drawn for a chunked body
+DEFAULT_TENANT = b"anyone"
+CHUNK_SIZE_COUNT = 4  # random chunk sizes per chunked body
 
 
 def make_request_id(planned: "PlannedRequest", try_number: int) -> bytes:
-    """The id of one try: 16 characters."""
+    """Return the id of one try, 16 characters long."""
     return b"%012x%04x" % (planned.number, try_number)
 
 
 def make_request(
     scenario: "Scenario", planned: "PlannedRequest", try_number: int, time_left_ms: float, body_bytes: int, rng: Random
 ) -> bytes:
-    """One try as bytes; `rng` decides whether its body comes in chunks, and in which."""
+    """Return one try as bytes; `rng` decides whether its body is chunked, and the chunk sizes."""
     request_class = scenario.request_classes[planned.class_index]
     request_id = make_request_id(planned, try_number)
     class_name = request_class.name.encode()
     tenants = scenario.tenants
-    tenant_name = tenants[planned.tenant_index].name.encode() if tenants else UNNAMED_TENANT
+    tenant_name = tenants[planned.tenant_index].name.encode() if tenants else DEFAULT_TENANT
     head = [
         b"%b /api/%b HTTP/1.1" % (METHODS[request_class.kind], class_name),
         b"Host: backend.local",
@@ -44,7 +44,7 @@
     if request_class.kind != RequestKind.IDEMPOTENT:
         if chunked_ratio and rng.random() < chunked_ratio:
             head.append(b"Transfer-Encoding: chunked")
-            body = encode_chunked(body, [rng.randint(1, 1 + len(body)) for _ in range(CHUNK_SIZES)])
+            body = encode_chunked(body, [rng.randint(1, 1 + len(body)) for _ in range(CHUNK_SIZE_COUNT)])
         else:
             head.append(b"Content-Length: %d" % request_class.body_bytes)
     if request_class.kind == RequestKind.DEDUPLICATED:
--- a/sloeferry/stand_ins/clients.py
+++ b/sloeferry/stand_ins/clients.py
@@ -1,4 +1,7 @@
-"""Stand-in clients: they keep connections, send one request at a time on each, open more when all are busy, give up, retry."""
+"""Stand-in clients that keep connections alive, send one request at a time on each, time out and retry.
+
+A client opens a further connection when all of its connections are busy.
+"""
 
 import asyncio
 from collections.abc import Sequence
@@ -18,20 +21,20 @@
     from sloeferry.rehearsal.arrivals import PlannedRequest
     from sloeferry.rehearsal.scenario import Scenario
 
-RECONNECT_SECONDS = 0.03  # until another connection is tried
-MIN_CONNECT_SECONDS = 0.001
-BACKOFF_SPREAD = (0.75, 1.25)
+RECONNECT_DELAY_SECONDS = 0.03
+MIN_CONNECT_TIMEOUT_SECONDS = 0.001
+BACKOFF_JITTER_RANGE = (0.75, 1.25)
 
 
 class TryResult(NamedTuple):
-    """How one try ended, and what it was told to wait before the next."""
+    """The outcome of one try, and the Retry-After time of its response."""
 
     outcome: RequestOutcome
     retry_after_seconds: float = 0.0
 
 
 class StandInClients:
-    """All clients of one zone."""
+    """All clients of one zone, with their connections and their planned requests."""
 
     def __init__(
         self,
@@ -44,7 +47,7 @@
         rng: Random,
     ):
         self.planned_requests = planned_requests
-        self.open_request_count = 0  # requests whose client is not done with them
+        self.open_request_count = 0  # requests that have started and are not finished
         self.pools: dict[int, list[ClientConnection]] = {}  # idle connections by client
         self._loop = loop
         self._scenario = scenario
@@ -55,16 +58,16 @@
         self._rng = rng
 
     def schedule_requests(self, now: float) -> None:
-        """The play begins, at that time of the loop."""
+        """Schedule all planned requests, relative to the time `now` of the event loop."""
         for planned in self.planned_requests:
-            self._loop.call_at(now + planned.starts_at, self._start, planned)
+            self._loop.call_at(now + planned.starts_at, self._start_request, planned)
 
-    def _start(self, planned: "PlannedRequest") -> None:
+    def _start_request(self, planned: "PlannedRequest") -> None:
         self.open_request_count += 1
-        self._loop.create_task(self._carry(planned))
+        self._loop.create_task(self._send_with_retries(planned))
 
-    async def _carry(self, planned: "PlannedRequest") -> None:
-        """One request, with all the tries that its client gives it."""
+    async def _send_with_retries(self, planned: "PlannedRequest") -> None:
+        """Send a request and its retries, and log its final outcome."""
         settings, kind = self._settings, self._scenario.request_classes[planned.class_index].kind
         planned.first_sent_at = self._loop.time()
         for try_number in range(settings.max_retries + 1):
@@ -76,7 +79,7 @@
             never_ran = result.outcome in (RequestOutcome.REJECTED, RequestOutcome.NOT_ACCEPTED)
             if kind == RequestKind.NON_IDEMPOTENT and not never_ran:
                 break
-            pause_seconds = settings.backoff_ms / 1000 * self._rng.uniform(*BACKOFF_SPREAD)
+            pause_seconds = settings.backoff_ms / 1000 * self._rng.uniform(*BACKOFF_JITTER_RANGE)
             if planned.honours_retry_after:
                 pause_seconds = max(pause_seconds, result.retry_after_seconds)
             await asyncio.sleep(pause_seconds)
@@ -84,77 +87,83 @@
         self.open_request_count -= 1
 
     async def _try(self, planned: "PlannedRequest", try_number: int) -> TryResult:
-        """One try; a request that may have crossed the closing of an idle connection is sent once more, on a new one."""
+        """Send one try and return its result.
+
+        A request that was sent while the proxy may have been closing an idle connection is sent once more, on a new connection.
+        """
         request_id = make_request_id(planned, try_number)
         deadline_ms = self._scenario.request_classes[planned.class_index].deadline_ms
-        patience_seconds = planned.patience_ratio * deadline_ms / 1000
+        timeout_seconds = planned.patience_ratio * deadline_ms / 1000
         is_sent_again = False
         while True:
-            connection = await self._connect(planned.client, self._loop.time() + patience_seconds, is_sent_again)
+            connection = await self._connect(planned.client, self._loop.time() + timeout_seconds, is_sent_again)
             if connection is None:
                 return TryResult(RequestOutcome.NOT_ACCEPTED)
-            was_kept = connection.request_count > 0
-            answer = await self._exchange(connection, planned, try_number, patience_seconds)
-            if answer is None:
+            was_reused = connection.request_count > 0
+            response = await self._exchange(connection, planned, try_number, timeout_seconds)
+            if response is None:
                 return TryResult(RequestOutcome.NOT_ACCEPTED)
-            if isinstance(answer, Response):
-                return self._answered(connection, planned, request_id, answer)
-            if answer is NoResponse.TIMED_OUT:
-                return self._timed_out(connection, planned, request_id)
-            may_have_crossed = was_kept and not connection.has_response_begun and not is_sent_again
-            if not (may_have_crossed and self._log.may_send_again(request_id)):
+            if isinstance(response, Response):
+                return self._handle_response(connection, planned, request_id, response)
+            if response is NoResponse.TIMED_OUT:
+                return self._handle_timeout(connection, planned, request_id)
+            may_be_closing_race = was_reused and not connection.has_response_begun and not is_sent_again
+            if not (may_be_closing_race and self._log.may_send_again(request_id)):
                 outcome = self._log.response_missing(request_id, self._loop.time(), "its connection ended")
                 return TryResult(outcome)
             is_sent_again = True
 
-    async def _connect(self, client: int, until: float, is_new_wanted: bool) -> ClientConnection | None:
-        """A connection: one that is kept, or a new one while there is time."""
+    async def _connect(self, client: int, until: float, needs_new_connection: bool) -> ClientConnection | None:
+        """Return an idle connection of the client, or open one; return None if none could be opened until the given time."""
         pool = self.pools.setdefault(client, [])
-        if pool and not is_new_wanted:
+        if pool and not needs_new_connection:
             connection = pool[-1]
             connection.leave_pool()
             return connection
         while self._loop.time() < until:
-            place = self._balancer.pick(self._zone)
-            connection = await self._open_connection(place, until) if place else None
+            listener = self._balancer.pick(self._zone)
+            connection = await self._open_connection(listener, until) if listener else None
             if connection:
                 return connection
-            await asyncio.sleep(RECONNECT_SECONDS)
+            await asyncio.sleep(RECONNECT_DELAY_SECONDS)
         return None
 
-    async def _open_connection(self, place: ProxyListener, until: float) -> ClientConnection | None:
-        """A new connection to a proxy; None if it does not come up in time."""
-        make = partial(ClientConnection, self._loop, place.name, self._unexpected_response)
-        seconds_left = max(MIN_CONNECT_SECONDS, until - self._loop.time())
+    async def _open_connection(self, listener: ProxyListener, until: float) -> ClientConnection | None:
+        """Open a connection to a proxy; return None if it fails or takes too long."""
+        protocol_factory = partial(ClientConnection, self._loop, listener.name, self._unexpected_response)
+        seconds_left = max(MIN_CONNECT_TIMEOUT_SECONDS, until - self._loop.time())
         try:
             async with asyncio.timeout(min(CONNECT_TIMEOUT_SECONDS, seconds_left)):
-                _, connection = await self._loop.create_connection(make, *place.address)
+                _, connection = await self._loop.create_connection(protocol_factory, *listener.address)
                 return connection
         except (OSError, TimeoutError):
             return None
 
     def _unexpected_response(self, connection: ClientConnection) -> None:
-        self._log.violation(Rule.ONE_ANSWER, self._loop.time(), f"{connection.proxy} sent an answer more than it was asked for")
+        self._log.violation(Rule.ONE_ANSWER, self._loop.time(), f"{connection.proxy} sent a response without a request")
 
     async def _exchange(
-        self, connection: ClientConnection, planned: "PlannedRequest", try_number: int, patience_seconds: float
+        self, connection: ClientConnection, planned: "PlannedRequest", try_number: int, timeout_seconds: float
     ) -> Response | NoResponse | None:
-        """Sends one request and waits; None if the connection ended before its last byte was written: nobody has taken it."""
+        """Send one request and wait for its response.
+
+        Return None if the connection ended before the last byte was written: no proxy has accepted the request then.
+        """
         request_id = make_request_id(planned, try_number)
         now = self._loop.time()
-        self._log.request_started(request_id, planned, connection.proxy, now, now + patience_seconds)
+        self._log.request_started(request_id, planned, connection.proxy, now, now + timeout_seconds)
         body_bytes = self._log.body_bytes(request_id)
-        data = make_request(self._scenario, planned, try_number, patience_seconds * 1000, body_bytes, self._rng)
+        data = make_request(self._scenario, planned, try_number, timeout_seconds * 1000, body_bytes, self._rng)
         if not await self._write(connection, data, planned.sends_slowly):
             return None
         now = self._loop.time()
-        self._log.request_written(request_id, now, now + patience_seconds)
+        self._log.request_written(request_id, now, now + timeout_seconds)
         if planned.leaves_early:
-            return await connection.wait_for_response(patience_seconds / 2)
-        return await connection.wait_for_response(patience_seconds + self._log.slack_seconds)
+            return await connection.wait_for_response(timeout_seconds / 2)
+        return await connection.wait_for_response(timeout_seconds + self._log.slack_seconds)
 
     async def _write(self, connection: ClientConnection, data: bytes, is_slow: bool) -> bool:
-        """Whether all of it was written before the connection ended."""
+        """Write a request, byte by byte if slow; return False if the connection ended before all of it was written."""
         if not is_slow:
             connection.send_request(data)
             return True
@@ -166,7 +175,7 @@
             connection.transport.write(data[position : position + 1])
         return True
 
-    def _timed_out(self, connection: ClientConnection, planned: "PlannedRequest", request_id: bytes) -> TryResult:
+    def _handle_timeout(self, connection: ClientConnection, planned: "PlannedRequest", request_id: bytes) -> TryResult:
         now = self._loop.time()
         if planned.leaves_early:
             connection.transport.abort()
@@ -174,7 +183,7 @@
         connection.transport.close()
         return TryResult(self._log.response_missing(request_id, now, "its time was over"))
 
-    def _answered(
+    def _handle_response(
         self, connection: ClientConnection, planned: "PlannedRequest", request_id: bytes, response: Response
     ) -> TryResult:
         now = self._loop.time()
--- a/sloeferry/stand_ins/deduplication.py
+++ b/sloeferry/stand_ins/deduplication.py
@@ -1,4 +1,4 @@
-"""What a group of stand-in backends remembers of idempotency keys: a repeat does not run, it waits for the first."""
+"""Idempotency keys shared by a group of stand-in backends: a repeat does not run, it waits for the first request's response."""
 
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, NamedTuple
@@ -8,7 +8,7 @@
 
 
 class WaitingRepeat(NamedTuple):
-    """A repeat that waits for the first request of its key to be done."""
+    """A repeat that waits until the first request of its key is done."""
 
     connection: "BackendConnection"
     request_id: bytes
@@ -16,18 +16,18 @@
 
 @dataclass(slots=True)
 class KeyEntry:
-    """One idempotency key; `seen_at` in seconds."""
+    """The state of one idempotency key; `seen_at` is in seconds."""
 
     seen_at: float
     is_done: bool = False
     _waiting: list[WaitingRepeat] = field(default_factory=list)
 
     def wait(self, connection: "BackendConnection", request_id: bytes) -> None:
-        """A repeat waits for the first request."""
+        """Add a repeat that waits for the first request."""
         self._waiting.append(WaitingRepeat(connection, request_id))
 
     def finish(self) -> list[WaitingRepeat]:
-        """The first request is done; who has waited for it."""
+        """Mark the first request as done and return the repeats that have waited for it."""
         self.is_done = True
         waiting = self._waiting
         self._waiting = []
@@ -35,7 +35,7 @@
 
 
 class KeyLookup(NamedTuple):
-    """The entry of a key, and whether it was known already."""
+    """The entry of a key; `is_repeat` is True if it existed already."""
 
     entry: KeyEntry
     is_repeat: bool
@@ -48,7 +48,7 @@
         self._entries: dict[bytes | None, KeyEntry] = {}
 
     def look_up(self, key: bytes | None, now: float, window_seconds: float) -> KeyLookup:
-        """The entry of a key; a first one, or one whose window has ended, is entered anew."""
+        """Return the entry of a key; create it if there is none or its window has ended."""
         entry = self._entries.get(key)
         if entry is not None and now - entry.seen_at <= window_seconds:
             return KeyLookup(entry, True)
@@ -57,12 +57,12 @@
 
 
 class DeduplicationStores:
-    """The stores of a whole fleet of backends: one that all share, and one for each zone."""
+    """The stores of all backends: one that all of them share, and one for each zone."""
 
     def __init__(self):
         self._for_all = DeduplicationStore()
         self._by_zone: dict[str, DeduplicationStore] = {}
 
     def for_zone(self, zone: str) -> dict[str, DeduplicationStore]:
-        """Those of a backend there, by the group that a request class names: all backends, or those of its zone."""
+        """Return the stores of a backend in a zone, keyed by deduplication group: all backends, or those of its zone."""
         return {"all": self._for_all, "zone": self._by_zone.setdefault(zone, DeduplicationStore())}
--- a/sloeferry/stand_ins/effect_log.py
+++ b/sloeferry/stand_ins/effect_log.py
@@ -1,6 +1,7 @@
-"""What stand-ins ask and tell whoever keeps the record of a play.
+"""Interfaces through which stand-ins look up planned requests and report events to the recorder or judge of a run.
 
-`EffectLog` is what backends and discovery need, and by itself knows and keeps nothing; `ClientLog` is what clients need.
+Backends and discovery use `EffectLog`, whose default implementation knows no requests and records nothing.  Clients use
+`ClientLog`.
 """
 
 from collections.abc import Sequence
@@ -13,7 +14,7 @@
 
 
 class RecentWork(NamedTuple):
-    """Work that came to a backend that warms up."""
+    """Work received by a backend during its warm-up."""
 
     received_at: float  # seconds
     work_ms: float
@@ -21,99 +22,99 @@
 
 
 class EffectLog:
-    """Request ids are bytes; times are seconds of the stand-in's own loop."""
+    """Base class for recorders of what backends and discovery do; times are seconds of the stand-in's event loop."""
 
-    # What backends ask of a request
+    # Properties of requests, looked up by backends
 
     def request_class(self, request_id: bytes | None) -> Any:
-        """Its request class, as scenarios have it (`RequestClass`); None for an id that no client has used."""
+        """Return the request class (the scenario's `RequestClass`) of a request; None for an id that no client has used."""
 
     def work_ms(self, request_id: bytes) -> float:
-        """What it costs an idle backend of one core."""
+        """Return the work that a request costs an idle backend of one core."""
         return 0.0
 
     def always_fails(self, request_id: bytes) -> bool:
-        """Whether any backend answers it with an error."""
+        """Return whether every backend answers the request with an error."""
         return False
 
     def proxy_of(self, request_id: bytes) -> str:
-        """The proxy that has it, where that is known."""
+        """Return the proxy that the request was sent to, or an empty string if that is unknown."""
         return ""
 
     def is_expired(self, request_id: bytes, now: float) -> bool:
-        """Whether its deadline has passed."""
+        """Return whether the deadline of the request has passed."""
         return False
 
     def response_bytes(self, request_id: bytes) -> int:
-        """The size of its response's body."""
+        """Return the size of the response's body."""
         return self.request_class(request_id).response_bytes
 
-    # What backends tell
+    # Events of backends
 
     def body_received(self, backend_id: str, request_id: bytes | None, body: bytes, now: float) -> None:
-        """A request has come whole."""
+        """Record that a backend received a complete request with this body."""
 
     def attempt_received(self, backend_id: str, zone: str, request_id: bytes, sent_at: float) -> None:
-        """An attempt has come; its first byte came at `sent_at`."""
+        """Record that a backend received an attempt, its first byte at `sent_at`."""
 
     def acted_on_received(self, backend_id: str, request_id: bytes, versions: bytes, now: float) -> None:
-        """An attempt says which versions of settings and endpoint list it acts on."""
+        """Record the versions of settings and endpoint list that an attempt states it was sent under."""
 
     def request_ran(self, backend_id: str, request_id: bytes, now: float) -> None:
-        """A backend begins to run a request."""
+        """Record that a backend begins to run a request."""
 
     def work_done(self, work_ms: float) -> None:
-        """So much work has been done."""
+        """Record an amount of work done."""
 
     def health_check_received(self, backend_id: str, work_ms: float) -> None:
-        """A health check has come, and costs so much."""
+        """Record that a backend received a health check, and the work that it costs."""
 
     def congestion_began(self, backend_id: str) -> None:
-        """A backend is slowed down by its long queue."""
+        """Record that a long queue begins to slow a backend down."""
 
     def backend_overloaded(self, backend_id: str, now: float, capacity_ratio: float, recent: Sequence[RecentWork]) -> None:
-        """A backend that warms up got more work than it can do; `recent` is what came in the span that counts."""
+        """Record that a backend received more work in its warm-up than it can do; `recent` is the work of the overload window."""
 
     def violation(self, rule: str, now: float, text: str) -> None:
-        """A rule is broken."""
+        """Record that a rule was broken."""
 
-    # What discovery tells
+    # Events of discovery
 
     def proxy_notified(self, proxy: str, backend_id: str, state: str, now: float, started_at_ms: int = 0) -> None:
-        """A proxy is being told a backend's state."""
+        """Record that a proxy is notified of a backend's state."""
 
     def list_sent(self, proxy: str, revision: int, now: float) -> None:
-        """A list of that revision, or what changed up to it, is being written to a proxy."""
+        """Record that the list of a revision, or the changes up to it, is sent to a proxy."""
 
     def state_published(self, backend_id: str, state: str, now: float) -> None:
-        """A backend's state has changed in the list."""
+        """Record that a backend's state has changed in the list."""
 
 
 class ClientLog(Protocol):
-    """As `EffectLog`, for clients."""
+    """The interface through which clients look up requests and report events; times are as for `EffectLog`."""
 
-    slack_seconds: float  # that a limit may be exceeded by
+    slack_seconds: float  # tolerance of time limits
 
     def body_bytes(self, request_id: bytes) -> int:
-        """The size of a request's body."""
+        """Return the size of a request's body."""
 
     def request_started(self, request_id: bytes, planned: "PlannedRequest", proxy: str, now: float, deadline: float) -> None:
-        """A request is being written; `request_written` tells when its last byte was."""
+        """Record that a client begins to write a request."""
 
     def request_written(self, request_id: bytes, now: float, deadline: float) -> None:
-        """The last byte of a request has been written."""
+        """Record that the last byte of a request has been written."""
 
     def response_received(self, request_id: bytes, now: float, status: int, body: bytes) -> RequestOutcome:
-        """A complete response has come; what it means."""
+        """Record a complete response and return the outcome that it stands for."""
 
     def may_send_again(self, request_id: bytes) -> bool:
-        """Whether a request may have crossed the closing of an idle connection, so that its client sends it once more."""
+        """Return whether a client may send a request once more because the proxy may have been closing the idle connection."""
 
     def response_missing(self, request_id: bytes, now: float, reason: str) -> RequestOutcome:
-        """No response came; what that counts as."""
+        """Record that a request got no response and return the outcome that it counts as."""
 
     def request_ended(self, planned: "PlannedRequest", outcome: RequestOutcome, now: float) -> None:
-        """A client is done with a request, all its tries included."""
+        """Record that a client is done with a request, including all retries."""
 
     def violation(self, rule: str, now: float, text: str) -> None:
-        """A rule is broken."""
+        """Record that a rule was broken."""
--- a/sloeferry/stand_ins/http_messages.py
+++ b/sloeferry/stand_ins/http_messages.py
@@ -1,4 +1,4 @@
-"""As much of HTTP/1.1 as stand-ins need: whole messages, with a content length or chunked, out of bytes as they come."""
+"""Parses and encodes the subset of HTTP/1.1 that stand-ins need: complete messages, with a content length or chunked."""
 
 import re
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 
 
 class Message(NamedTuple):
-    """One request or response; names of fields are in lower case."""
+    """One request or response; header names are in lower case."""
 
     first_line: bytes
     fields: dict[bytes, bytes]
@@ -20,9 +20,9 @@
 
 
 class ChunkedBody(NamedTuple):
-    """A chunked body, or None while it is not complete.
+    """A decoded chunked body, or None if it is incomplete.
 
-    `position` is where a complete body ends, else how many bytes it takes at least to see more.
+    `position` is the end of a complete body, or else the minimum length of the data at which decoding can make progress.
     """
 
     body: bytes | None
@@ -30,21 +30,21 @@
 
 
 class MessageReader:
-    """Bytes in, messages out."""
+    """Splits a stream of bytes into messages."""
 
     __slots__ = ("_unread", "_bytes_needed")
 
     def __init__(self):
         self._unread = b""
-        self._bytes_needed = 0  # before it is worth looking again
+        self._bytes_needed = 0  # minimum length of the unread bytes to parse again
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether a message has begun and is not complete."""
+        """Return whether a message has begun and is incomplete."""
         return bool(self._unread)
 
     def feed(self, data: bytes) -> list[Message]:
-        """All messages that are complete now."""
+        """Add received bytes and return all messages that are now complete."""
         self._unread += data
         messages = []
         while len(self._unread) >= self._bytes_needed and (head_end := self._unread.find(HEAD_END)) >= 0:
@@ -55,7 +55,7 @@
         return messages
 
     def _take(self, head_end: int) -> Message | None:
-        """The message whose head ends there; None while it is not complete."""
+        """Remove and return the message whose head ends at `head_end`; return None if it is incomplete."""
         body_start = head_end + len(HEAD_END)
         if CHUNKED.search(self._unread, 0, head_end + len(LINE_END)):
             body, end = decode_chunked(self._unread, body_start)
@@ -77,13 +77,13 @@
 
 
 def decode_chunked(data: bytes, start: int) -> ChunkedBody:
-    """The body of the chunks that begin at `start`."""
+    """Decode the chunked body that begins at `start`."""
     chunks = []
     position = start
     while (size_end := data.find(LINE_END, position)) >= 0:
         size = int(data[position:size_end].partition(b";")[0], 16)
         if not size:
-            return _after_last_chunk(data, size_end, b"".join(chunks))
+            return _skip_trailers(data, size_end, b"".join(chunks))
         position = size_end + len(LINE_END) + size + len(LINE_END)
         if len(data) < position:
             return ChunkedBody(None, position)
@@ -91,8 +91,8 @@
     return ChunkedBody(None, 0)
 
 
-def _after_last_chunk(data: bytes, line_end: int, body: bytes) -> ChunkedBody:
-    """Skips trailers; `line_end` is the end of the last chunk's size line."""
+def _skip_trailers(data: bytes, line_end: int, body: bytes) -> ChunkedBody:
+    """Skip the trailers; `line_end` is the end of the last chunk's size line."""
     while (next_end := data.find(LINE_END, line_end + len(LINE_END))) > line_end + len(LINE_END):
         line_end = next_end
     if next_end == line_end + len(LINE_END):
@@ -101,7 +101,10 @@
 
 
 def encode_chunked(body: bytes, sizes: Sequence[int]) -> bytes:
-    """A body in chunks of those sizes, over and over, with an extension and a trailer that would do harm as a header."""
+    """Encode a body in chunks, cycling through `sizes`.
+
+    Chunk extensions and a trailer are added; a proxy that took the trailer for a header would change the request class.
+    """
     encoded = b""
     position = 0
     chunk_count = 0
@@ -115,10 +118,10 @@
 
 
 def make_request_body(request_id: bytes, size_bytes: int) -> bytes:
-    """The body of one request: its own, so that another's, or a part of it, is known for what it is."""
+    """Return the body of one request, made from its id, so that a truncated or another request's body is detected."""
     return (request_id * (size_bytes // len(request_id) + 1))[:size_bytes]
 
 
 def make_response(status: int, body: bytes = b"", header_lines: bytes = b"") -> bytes:
-    """A complete response; `header_lines` end in CRLF each."""
+    """Encode a complete response; each of the `header_lines` ends in CRLF."""
     return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n%b\r\n%b" % (status, len(body), header_lines, body)
--- a/sloeferry/stand_ins/platform.py
+++ b/sloeferry/stand_ins/platform.py
@@ -1,4 +1,4 @@
-"""What the platform writes for a proxy: its settings and its configuration, times in microseconds."""
+"""Builds the settings and the configuration of a proxy in the platform's format, with times in microseconds."""
 
 from collections.abc import Collection, Mapping, Sequence
 from dataclasses import dataclass
@@ -6,8 +6,8 @@
 
 from sloeferry.stand_ins.wire_protocol import RequestKind
 
-# On the platform's wire.
-KIND_WORDS = {
+# Values of `idempotency` in the platform's settings.
+IDEMPOTENCY_VALUES = {
     RequestKind.IDEMPOTENT: "retryable",
     RequestKind.DEDUPLICATED: "dedup",
     RequestKind.NON_IDEMPOTENT: "fragile",
@@ -23,17 +23,17 @@
 
 @dataclass(frozen=True)
 class ObligationTerms:
-    """What a proxy owes backends and discovery."""
+    """Limits that a proxy has to respect towards backends and discovery."""
 
-    slow_start_seconds: float = 0.0  # for which a backend that has started warms up
-    slow_start_initial_ratio: float = 1.0  # of its capacity, that it has at its start
+    slow_start_seconds: float = 0.0  # warm-up of a backend after its start
+    slow_start_initial_ratio: float = 1.0  # of its capacity, at the start of the warm-up
     drain_grace_ms: float = 250.0
     overload_window_ms: float = 1500.0
     overload_multiple: float = 3.0
     poll_within_seconds: float = 10.0
 
     def as_settings(self) -> dict[str, float]:
-        """As the platform writes them."""
+        """Return them in the platform's format."""
         return {
             "drain_grace": self.drain_grace_ms * US_PER_MS,
             "cold": self.slow_start_seconds * US_PER_SECOND,
@@ -56,10 +56,10 @@
     deduplication_group: str = "all",
     deduplication_window_ms: float = 0.0,
 ) -> dict[str, Any]:
-    """The settings of one request class."""
+    """Return the settings of one request class."""
     return {
         "name": name,
-        "idempotency": KIND_WORDS[kind],
+        "idempotency": IDEMPOTENCY_VALUES[kind],
         "group": deduplication_group,
         "sla_time": latency_objective_ms * US_PER_MS,
         "expiry": deadline_ms * US_PER_MS,
@@ -82,9 +82,9 @@
     cross_zone_cost: float = 0.005,
     health_check_cost: float = 0.002,
 ) -> dict[str, Any]:
-    """The settings of the proxy of that ordinal.
+    """Return the settings of the proxy with that ordinal.
 
-    `request_classes` as `request_class_settings` makes them, `tenants` are (name, share).
+    `request_classes` are made by `request_class_settings`; `tenants` are pairs of name and share.
     """
     return {
         "instances": instance_count,
@@ -124,7 +124,7 @@
     admin: Address | None = None,
     known_list: Mapping[str, Any] | None = None,
 ) -> dict[str, Any]:
-    """The configuration of one proxy; `known_list` is the endpoint list that an earlier process had."""
+    """Return the configuration of one proxy; `known_list` is the endpoint list that its previous process had."""
     config = {
         "name": name,
         "listen": format_address(listen),
@@ -141,5 +141,5 @@
 
 
 def format_address(address: Address) -> str:
-    """An address as configurations spell it."""
+    """Return an address in the format of the configuration: host:port, or text as it is."""
     return address if isinstance(address, str) else "{}:{}".format(*address)
--- a/sloeferry/stand_ins/processes.py
+++ b/sloeferry/stand_ins/processes.py
@@ -1,4 +1,4 @@
-"""Proxies as processes: how one is started, held to a share of a core, and ended.  No special rights."""
+"""Starts proxy processes, limits their CPU time and terminates them, without special privileges."""
 
 import contextlib
 import os
@@ -11,23 +11,23 @@
 from time import clock_gettime, monotonic, sleep
 from typing import IO, NamedTuple
 
-THROTTLE_SECONDS = 0.002  # between two looks of the throttle
-MAX_SAVED_CPU_SECONDS = 0.01
-END_TIMEOUT_SECONDS = 3.0  # from SIGTERM to SIGKILL
-# What a proxy must not inherit from whoever starts it.
-NOT_INHERITED = ("BALANCER_", "PYTHON", "SLOEFERRY")
+THROTTLE_INTERVAL_SECONDS = 0.002  # between two checks of the CPU time
+MAX_CPU_BURST_SECONDS = 0.01
+TERMINATION_TIMEOUT_SECONDS = 3.0  # between SIGTERM and SIGKILL
+# Prefixes of environment variables that a proxy must not inherit from its parent process.
+NOT_INHERITED_PREFIXES = ("BALANCER_", "PYTHON", "SLOEFERRY")
 KB_PER_MB = 1024
 
 
 class Command(NamedTuple):
-    """How a program is started."""
+    """The arguments and the environment of a process to start."""
 
-    words: list[str]
-    environ: dict[str, str]
+    arguments: list[str]
+    environment: dict[str, str]
 
 
 def free_ports(host: str, count: int) -> list[int]:
-    """Ports of a loopback address that nobody holds now."""
+    """Return ports of a loopback address that are currently unused."""
     sockets = [socket.socket() for _ in range(count)]
     try:
         for sock in sockets:
@@ -39,41 +39,44 @@
 
 
 def proxy_command(module: str = "sloeferry") -> Command:
-    """A module as the platform's `run` starts it; the environment may be added to."""
-    environ = {name: value for name, value in os.environ.items() if not name.startswith(NOT_INHERITED)}
+    """Return the command that runs a module as the platform's `run` does; callers may extend the environment."""
+    environ = {name: value for name, value in os.environ.items() if not name.startswith(NOT_INHERITED_PREFIXES)}
     return Command([sys.executable, "-m", module], environ)
 
 
 def start(
     config_path: str | os.PathLike,
     log: int | IO = subprocess.DEVNULL,
-    tree: str | os.PathLike | None = None,
+    working_directory: str | os.PathLike | None = None,
     fds: Collection[int] = (),
     module: str = "sloeferry",
     **environ: str,
 ) -> subprocess.Popen:
-    """A proxy in a process group of its own, with that configuration; `tree`: whose code it runs (None: this folder's)."""
-    words, inherited = proxy_command(module)
+    """Start a proxy in a process group of its own.
+
+    It runs the code in the folder `working_directory`, or with None in the current one.
+    """
+    arguments, inherited_environment = proxy_command(module)
     return subprocess.Popen(
-        words,
-        cwd=tree,
+        arguments,
+        cwd=working_directory,
         stdin=subprocess.DEVNULL,
         stdout=log,
         stderr=log,
         start_new_session=True,
         pass_fds=fds,
-        env={**inherited, "BALANCER_CONFIG": str(config_path), **environ},
+        env={**inherited_environment, "BALANCER_CONFIG": str(config_path), **environ},
     )
 
 
 def send_signal(process: subprocess.Popen, number: int) -> None:
-    """A signal to a proxy's process group, if it is there still."""
+    """Send a signal to a proxy's process group, if it still exists."""
     with contextlib.suppress(ProcessLookupError):
         os.killpg(process.pid, number)
 
 
-def terminate(process: subprocess.Popen, timeout_seconds: float = END_TIMEOUT_SECONDS) -> None:
-    """Asks a process to end, and kills it if it does not."""
+def terminate(process: subprocess.Popen, timeout_seconds: float = TERMINATION_TIMEOUT_SECONDS) -> None:
+    """Terminate a process, and kill it if it does not end in time."""
     if process.poll() is not None:
         return
     send_signal(process, signal.SIGCONT)
@@ -86,25 +89,26 @@
 
 
 def memory_mb(pid: int, field: str = "VmRSS") -> float:
-    """Memory of a process: VmRSS now, VmHWM at its largest."""
+    """Return the memory use of a process: VmRSS is the current, VmHWM the largest value."""
     with open(f"/proc/{pid}/status") as status:
         return next(int(line.split()[1]) / KB_PER_MB for line in status if line.startswith(field))
 
 
 def cpu_seconds(pid: int) -> float:
-    """CPU time of a process so far."""
+    """Return the CPU time that a process has used."""
     return clock_gettime(_cpu_clock(pid))
 
 
 def _cpu_clock(pid: int) -> int:
-    """The clock of a process's CPU time, as clock_gettime wants it (Linux: ~pid << 3 | 2)."""
+    """Return the clock id of a process's CPU time for clock_gettime (on Linux: ~pid << 3 | 2)."""
     return (~pid << 3) | 2
 
 
 class Throttle(threading.Thread):
-    """Holds a process group to a share of one core, by stopping and continuing it in slices as short as the machine allows.
+    """Limits a process group to a part of one core, by a token bucket of CPU time: it is stopped while the bucket is empty.
 
-    `cpu_ratio` may be changed at any time; None holds nothing.  Set `stop_requested` to end it.
+    The process is stopped and continued in time slices that are as short as the machine allows.  `cpu_ratio` may be changed
+    at any time; None means no limit.  Set `stop_requested` to end the thread.
     """
 
     def __init__(self, pid: int, cpu_ratio: float | None):
@@ -116,15 +120,15 @@
         self._is_stopped = False
 
     def cpu_seconds(self) -> float:
-        """CPU time of the process so far."""
+        """Return the CPU time that the process has used."""
         return cpu_seconds(self._pid)
 
     def pause(self, seconds: float) -> None:
-        """Stands for a machine that stalls."""
+        """Stop the process for a time, like a stall of its machine."""
         self._paused_until = monotonic() + seconds
 
     def run(self) -> None:
-        """Throttles until it is to stop, or the process has ended."""
+        """Throttle the process until it ends or `stop_requested` is set."""
         try:
             self._throttle()
         except OSError:
@@ -135,16 +139,18 @@
                     os.killpg(self._pid, signal.SIGCONT)
 
     def _throttle(self) -> None:
-        saved_seconds, looked_at, used_seconds = 0.0, monotonic(), cpu_seconds(self._pid)
+        available_seconds, measured_at, used_seconds = 0.0, monotonic(), cpu_seconds(self._pid)
         while not self.stop_requested.is_set():
-            sleep(THROTTLE_SECONDS)
-            now, used_now = monotonic(), cpu_seconds(self._pid)
+            sleep(THROTTLE_INTERVAL_SECONDS)
+            now, used_now_seconds = monotonic(), cpu_seconds(self._pid)
             if self.cpu_ratio is not None:
-                earned_seconds = (now - looked_at) * self.cpu_ratio
-                saved_seconds = min(MAX_SAVED_CPU_SECONDS, saved_seconds + earned_seconds) - (used_now - used_seconds)
-            looked_at, used_seconds = now, used_now
-            has_used_up = self.cpu_ratio is not None and saved_seconds <= 0
-            self._set_stopped(now < self._paused_until or has_used_up)
+                added_seconds = (now - measured_at) * self.cpu_ratio
+                available_seconds = min(MAX_CPU_BURST_SECONDS, available_seconds + added_seconds) - (
+                    used_now_seconds - used_seconds
+                )
+            measured_at, used_seconds = now, used_now_seconds
+            is_exhausted = self.cpu_ratio is not None and available_seconds <= 0
+            self._set_stopped(now < self._paused_until or is_exhausted)
 
     def _set_stopped(self, is_stopped: bool) -> None:
         if is_stopped != self._is_stopped:
--- a/sloeferry/stand_ins/request_handler.py
+++ b/sloeferry/stand_ins/request_handler.py
@@ -1,6 +1,6 @@
-"""What a stand-in backend does with a request: takes it in, has it run, and answers it.
+"""Handles the requests of a stand-in backend, from their arrival to their response.
 
-Errors, losses and truncated responses are drawn here.
+Errors, lost messages and truncated responses are drawn here at random.
 """
 
 import json
@@ -21,24 +21,25 @@
     from sloeferry.stand_ins.backend_connection import BackendConnection
     from sloeferry.stand_ins.backends import StandInBackend
 
-MAX_WORK_MULTIPLE = 2.0  # of its class's mean, that one request counts in slow start: nobody knew that it was heavier
+# Multiple of its class's mean work that one request counts for at most in warm-up: proxies cannot know that it is heavier.
+MAX_WORK_MULTIPLE = 2.0
 HEALTH_CHECK_WORK_MS = 0.04
 TRUNCATED_RESPONSE = b"HTTP/1.1 200 X\r\nContent-Le"
 IDLE_REPORT = b'{"inflight":0,"queue":0,"util":0.0}'
 
 
 class LinkFault(NamedTuple):
-    """What is wrong between a backend and a proxy."""
+    """The fault of the link between a backend and a proxy."""
 
-    loss_odds: float = 0.0  # of a request; half of them are lost on their way, half of them with their response
-    delay_seconds: float = 0.0  # more, each way
+    loss_odds: float = 0.0  # probability that a request is lost; in half of the cases its response is lost instead
+    delay_seconds: float = 0.0  # added in each direction
 
 
 NO_LINK_FAULT = LinkFault()
 
 
 class RequestHandler:
-    """The requests of one backend."""
+    """Handles the requests of one backend and makes its load reports."""
 
     def __init__(self, backend: "StandInBackend", deduplication_stores: Mapping[str, DeduplicationStore], rng: Random):
         self._backend = backend
@@ -49,10 +50,10 @@
         self._report = b""
         self._reported_at = 0.0
 
-    # A request's way in
+    # Arrival
 
     def received(self, connection: "BackendConnection", message: Message, began_at: float) -> None:
-        """A complete request has come; `began_at` is when its first byte came, in seconds."""
+        """Process a complete request whose first byte was received at `began_at`, in seconds; apply the fault of its link."""
         backend = self._backend
         request_id = message.fields.get(wire_protocol.REQUEST_ID)
         if request_id is not None and self._effect_log.request_class(request_id):
@@ -69,7 +70,7 @@
         backend.request_arrived(connection, message)
 
     def handle(self, connection: "BackendConnection", message: Message, received_at: float) -> None:
-        """A request's turn to be looked at; its last byte came earlier if the backend stood still."""
+        """Handle a request; its last byte was received at `received_at`, which is in the past if the backend was stalled."""
         backend = self._backend
         path = message.first_line.split(b" ")[1]
         if path in (wire_protocol.LOAD_PATH, wire_protocol.HEALTH_PATH):
@@ -79,16 +80,16 @@
         request_id = message.fields.get(wire_protocol.REQUEST_ID, b"")
         request_class = self._effect_log.request_class(request_id)
         if request_class is None:
-            text = f"{backend.backend_id} was sent an id that nobody asked: {request_id!r}"
+            text = f"{backend.backend_id} received a request with an unknown id: {request_id!r}"
             self._effect_log.violation(Rule.PROTOCOL, backend.loop.time(), text)
             connection.respond(make_response(400))
             return
-        # An error says nothing of what ran: half of them come at once, half when all has been done.
+        # An error response does not tell whether the request ran: half of the errors are sent at once, half after all the work.
         if self._effect_log.always_fails(request_id) or backend.error_odds and self._rng.random() < backend.error_odds / 2:
             connection.respond(make_response(500, b"", self._report_header()))
             return
         work_ms = self._effect_log.work_ms(request_id)
-        if self._is_pushed_over(request_id, min(work_ms, MAX_WORK_MULTIPLE * request_class.work_ms)):
+        if self._crash_if_overloaded(request_id, min(work_ms, MAX_WORK_MULTIPLE * request_class.work_ms)):
             return
         if self._backend.in_flight() >= self._settings.cores * (1 + self._settings.queue_per_core):
             self.reject(connection)
@@ -97,11 +98,11 @@
         if not self._is_repeat(job, message, request_class, received_at):
             backend.work.add(job)
 
-    def _is_pushed_over(self, request_id: bytes, work_ms: float) -> bool:
-        """Sent more than it can do for a while, a backend that warms up falls over and stays down."""
+    def _crash_if_overloaded(self, request_id: bytes, work_ms: float) -> bool:
+        """Crash the backend if it gets more work in its warm-up than it can do; return whether it crashed."""
         backend = self._backend
         now = backend.loop.time()
-        if not backend.warm_up.is_pushed_over(RecentWork(now, work_ms, request_id)):
+        if not backend.warm_up.is_overloaded(RecentWork(now, work_ms, request_id)):
             return False
         capacity_ratio = backend.warm_up.capacity_ratio(now)
         self._effect_log.backend_overloaded(backend.backend_id, now, capacity_ratio, backend.warm_up.recent_work())
@@ -109,10 +110,10 @@
         return True
 
     def _is_repeat(self, job: Job, message: Message, request_class: "RequestClass", received_at: float) -> bool:
-        """Whether its idempotency key is known: then it gets its answer with the first of that key."""
+        """Return whether the idempotency key is known; a repeat is answered together with the first request of its key."""
         if request_class.kind != RequestKind.DEDUPLICATED:
             return False
-        # By when it came: for how long a backend then stands still is no fault of who sent it in time.
+        # The window is measured at the time of arrival, so that a stall of the backend does not make a repeat too late.
         job.key_entry, is_repeat = self._deduplication_stores[request_class.deduplication_group].look_up(
             message.fields.get(wire_protocol.IDEMPOTENCY_KEY), received_at, request_class.deduplication_window_ms / 1000
         )
@@ -122,21 +123,21 @@
             job.key_entry.wait(job.connection, job.request_id)
         return is_repeat
 
-    # Its way out
+    # Response
 
     def reject(self, connection: "BackendConnection") -> None:
-        """Rejects a request that has not run."""
+        """Reject a request that has not run."""
         connection.respond(make_response(503, b"", wire_protocol.REJECTED_HEADER + self._report_header()))
 
     def job_done(self, job: Job) -> None:
-        """Answers a request that is done, and the repeats that have waited for it."""
+        """Answer a request that is done, and the repeats that have waited for it."""
         if job.key_entry is not None:
             for waiting in job.key_entry.finish():
                 self._respond(waiting.connection, waiting.request_id)
         self._respond(job.connection, job.request_id)
 
     def _link_fault(self, request_id: bytes) -> LinkFault:
-        """Of the link to the proxy that has this request."""
+        """Return the fault of the link to the proxy that sent the request."""
         link_faults = self._backend.link_faults
         if not link_faults:
             return NO_LINK_FAULT
@@ -145,7 +146,7 @@
     def _respond(self, connection: "BackendConnection", request_id: bytes) -> None:
         fault = self._link_fault(request_id)
         if fault.loss_odds and self._rng.random() < fault.loss_odds / 2:
-            return  # done, and nobody hears of it
+            return  # the request ran, but its response is lost
         if fault.delay_seconds:
             self._backend.loop.call_later(fault.delay_seconds, self._respond_now, connection, request_id)
         else:
@@ -166,13 +167,13 @@
         return b"X-Load-Report: %b\r\n" % self.load_report()
 
     def load_report(self) -> bytes:
-        """Its load as it was lately."""
+        """Return the load report; it is updated once per report interval."""
         backend = self._backend
         now = backend.loop.time()
         if backend.report_override == "idle":
             return IDLE_REPORT
-        is_old = backend.report_override != "stuck" and now - self._reported_at >= self._settings.report_interval_ms / 1000
-        if not self._report or is_old:
+        is_expired = backend.report_override != "stuck" and now - self._reported_at >= self._settings.report_interval_ms / 1000
+        if not self._report or is_expired:
             values = {
                 "inflight": backend.in_flight(),
                 "queue": len(backend.work.waiting),
--- a/sloeferry/stand_ins/rules.py
+++ b/sloeferry/stand_ins/rules.py
@@ -1,15 +1,17 @@
-"""The rules that a play or run is held to, by the words that records have for them."""
+"""Defines the rules that are checked in rehearsals and test runs, by the names that records use."""
 
 import enum
 
 
 class Rule(enum.StrEnum):
-    """A rule of the platform, or one of the tools' own checks."""
+    """A numbered rule of the platform, or a further check of the test tools."""
 
-    ONE_ANSWER = "1"  # each request taken gets one answer, its own, before its deadline; nothing is sent for it after
-    NO_REPEATED_EFFECT = "2"  # nothing runs twice that must not; what was rejected never ran
-    NO_SEND_AFTER_DRAIN = "3"  # nothing new to a backend past the drain grace, once its proxy was notified
-    NO_OVERLOAD_IN_WARM_UP = "4"  # a backend that warms up is not pushed over, by all proxies together
+    ONE_ANSWER = (
+        "1"  # each accepted request gets exactly one response, its own, before its deadline; no attempt is sent afterwards
+    )
+    NO_REPEATED_EFFECT = "2"  # no request runs twice that must not; no rejected request has run
+    NO_SEND_AFTER_DRAIN = "3"  # no new request to a backend later than the drain grace after the proxy was notified
+    NO_OVERLOAD_IN_WARM_UP = "4"  # all proxies together do not overload a backend in its warm-up
     PROTOCOL = "protocol"
-    DRAIN = "drain"  # a proxy that operators drain sends its clients away, and comes back when told
-    CRASH = "crash"  # no proxy ends by itself
+    DRAIN = "drain"  # a proxy that operators drain makes its clients reconnect elsewhere, and serves again on resume
+    CRASH = "crash"  # no proxy process ends unexpectedly
--- a/sloeferry/stand_ins/wire_protocol.py
+++ b/sloeferry/stand_ins/wire_protocol.py
@@ -1,14 +1,14 @@
-"""The platform's protocol as stand-ins speak it: header and path names, and the words for kinds, states and outcomes.
+"""Names and values of the platform's protocol as stand-ins use it: headers, paths, kinds, states and outcomes.
 
-Spelt here and not taken from the proxy, so that a fault in the proxy's own spelling shows.  Names of fields received are in
-lower case, as they are looked up.
+They are defined here instead of imported from the proxy, so that a misspelling in the proxy is detected.  Names of received
+headers are in lower case, as `Message.fields` has them.
 """
 
 import enum
 
 REQUEST_ID = b"x-call-id"
 IDEMPOTENCY_KEY = b"idempotency-key"
-ACTED_ON = b"x-acted-on"  # which settings and which endpoint list an attempt acts on
+ACTED_ON = b"x-acted-on"  # the versions of settings and endpoint list that an attempt was sent under
 RETRY_AFTER = b"retry-after"
 CONNECTION = b"connection"
 
@@ -17,7 +17,7 @@
 HEALTH_PATH = b"/health"
 ENDPOINTS_PATH = b"/v1/endpoints"
 
-ADMIN_PORT_OFFSET = 1000  # a proxy's admin port is so far above its clients' port
+ADMIN_PORT_OFFSET = 1000  # from a proxy's client port to its admin port
 REJECTED_HEADER = b"X-Rejected: 1\r\n"
 
 STATUS_OK = 200
@@ -25,7 +25,7 @@
 
 
 class RequestKind(enum.StrEnum):
-    """What running a request twice does; the values are the words of scenarios and plans."""
+    """The idempotency of a request class; the values are those of scenarios and plans."""
 
     IDEMPOTENT = "repeatable"
     DEDUPLICATED = "referenced"
@@ -33,7 +33,7 @@
 
 
 class BackendState(enum.StrEnum):
-    """What discovery lists a backend as; the values are the words on the wire."""
+    """The state in which discovery lists a backend; the values are those on the wire."""
 
     READY = "active"
     DRAINING = "leaving"
@@ -41,20 +41,20 @@
 
 
 class RequestOutcome(enum.StrEnum):
-    """How a request ended for its client; the values are the words of records."""
+    """The outcome of a request for its client; the values are those of records."""
 
     SERVED = "settled"
     REJECTED = "declined"
     FAILED = "reversed"
     UNANSWERED = "lost"
-    PROXY_KILLED = "killed"  # unanswered, because its proxy was killed
+    PROXY_KILLED = "killed"  # unanswered because its proxy was killed
     CLIENT_LEFT = "left"
-    NOT_ACCEPTED = "untaken"  # no proxy took it
-    PROXY_STOPPED = "late"  # unanswered in time, because its proxy's machine stood still
+    NOT_ACCEPTED = "untaken"  # no proxy accepted it
+    PROXY_STOPPED = "late"  # unanswered in time because its proxy's machine was stalled
 
 
 def outcome_of_status(status: int) -> RequestOutcome:
-    """What a response's status means to its client."""
+    """Return the outcome that the status of a response stands for."""
     if status == STATUS_OK:
         return RequestOutcome.SERVED
     return RequestOutcome.REJECTED if status in REJECTED_STATUSES else RequestOutcome.FAILED
