--- a/tests/network/test_connection_end.py
+++ b/tests/network/test_connection_end.py
@@ -1,4 +1,4 @@
-"""Connections that end from the proxy's side as another event comes.  docs/race-conditions.md names the two of each test."""
+"""Connections that the proxy ends while another event occurs. docs/race-conditions.md lists the two events of each test."""
 
 import asyncio
 import contextlib
@@ -17,33 +17,33 @@
 LONG_BODY_BYTES = 900_000
 
 
-def test_ended_while_its_task_sends(check_scenario: ScenarioChecker):
-    """A client gives no more of its body and is ended by the sweep, while its own task carries the attempt; another is ended with
-    a command that nobody has begun.  Nothing of either is left behind."""
+def test_closed_during_inline_attempt(check_scenario: ScenarioChecker):
+    """One client stops in the middle of its body and is closed by the sweeper while its own task runs the attempt; another is
+    closed while a command for its request is pending. Both leave nothing behind."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         with mock.patch("sloeferry.network.connection_sweeper.READ_TIMEOUT_SECONDS", 0.1):
             client = await harness.send_raw(harness.request_head(body_bytes=200000) + b"x" * 100000)
-            swept = await client.until(lambda connection: connection.reader.receiving_body_since)
+            swept = await client.wait_for_connection(lambda connection: connection.reader.receiving_body_since)
             await wait_until(lambda: swept not in harness.clients.connections)
         await wait_until(lambda: not harness.dispatcher.requests)
-        harness.record(f"in its body: {harness.remaining()}")
+        harness.record(f"in its body: {harness.residual_state()}")
         client.close()
         gate = Gate()
-        with mock.patch.object(RequestRunner, "run", lambda *_: gate.passed()):
+        with mock.patch.object(RequestRunner, "run", lambda *_: gate.wait_until_open()):
             client = await harness.send_raw(harness.request_head())
-            await gate.held.wait()  # taken, and its attempt commanded
+            await gate.reached.wait()  # the request is accepted, and its attempt is commanded
             connection = client.connection()
             connection.close()
             await asyncio.wait([connection.task])
-        harness.record(f"with an order: {harness.remaining()}")
+        harness.record(f"with an order: {harness.residual_state()}")
         client.close()
 
-    check_scenario(scenario, "crossing_ended", InstrumentedHarness({"b": response()}))
+    check_scenario(scenario, "closed_during_inline_attempt", InstrumentedHarness({"b": response()}))
 
 
-def test_timed_out_while_it_writes(check_scenario: ScenarioChecker):
-    """Half a request's time is over just as 100 Continue is written.  That is not broken off, and the rest of it counts."""
+def test_timeout_during_write(check_scenario: ScenarioChecker):
+    """A partial request times out while 100 Continue is being written. The write is completed, and the rest is still read."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         gate = Gate()
@@ -51,12 +51,12 @@
 
         async def send_behind_gate(connection: ClientConnection, data: bytes) -> None:
             if b"100" in data:
-                await gate.passed()
+                await gate.wait_until_open()
             await send(connection, data)
 
         with mock.patch.object(ClientConnection, "send", send_behind_gate):
             client = await harness.send_raw(harness.request_head(headers="Expect: 100-continue\r\n", body_bytes=4))
-            await gate.held.wait()
+            await gate.reached.wait()
             client.connection().reader.time_out()
             gate.opened.set()
             await client.record_received(999)
@@ -65,11 +65,11 @@
             await client.record_received(15)
             client.close()
 
-    check_scenario(scenario, "crossing_hurried", InstrumentedHarness({"b": response()}))
+    check_scenario(scenario, "timeout_during_write", InstrumentedHarness({"b": response()}))
 
 
 async def receive_slowly(client_socket: socket.socket) -> bytes:
-    """What comes until the end, with a turn of the loop between two pieces."""
+    """Return all bytes until the end of the stream, reading one piece per loop iteration."""
     loop = asyncio.get_running_loop()
     received = b""
     with contextlib.suppress(OSError):
@@ -79,21 +79,21 @@
     return received
 
 
-def test_response_over_unread_bytes(check_scenario: ScenarioChecker):
-    """A client that wants its connection closed sent more behind its request, and reads slowly.  Closed over what is unread the
-    connection would be reset, and the rest of the response lost."""
+def test_response_is_complete_despite_unread_bytes(check_scenario: ScenarioChecker):
+    """A client asks for the connection to be closed, sends more bytes after its request and reads slowly. Closing the socket with
+    unread bytes would reset the connection, and the rest of the response would be lost."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         gate = Gate()
         send = ClientConnection.send
 
         async def send_behind_gate(connection: ClientConnection, data: bytes) -> None:
-            await gate.passed()
+            await gate.wait_until_open()
             await send(connection, data)
 
         with mock.patch.object(ClientConnection, "send", send_behind_gate):
             client = await harness.send_raw(harness.request_head(headers="Connection: close\r\n"))
-            await gate.held.wait()
+            await gate.reached.wait()
             connection = client.connection()
             await client.send(b"more")
             gate.opened.set()
@@ -102,12 +102,12 @@
         client.close()
         harness.record(f"client gets all: {received.endswith(b'x' * LONG_BODY_BYTES)}")
 
-    check_scenario(scenario, "crossing_unread", InstrumentedHarness({"b": response("x" * LONG_BODY_BYTES)}))
+    check_scenario(scenario, "response_despite_unread_bytes", InstrumentedHarness({"b": response("x" * LONG_BODY_BYTES)}))
 
 
-def test_half_a_request_is_rejected(check_scenario: ScenarioChecker):
-    """Half a request, and its descriptor is needed, or the rest of its body stays out.  It is told so, since its last byte may be
-    on its way.  What has its response under way is not told another."""
+def test_partial_request_gets_408(check_scenario: ScenarioChecker):
+    """A partial request whose descriptor is needed, or whose body stalls, gets a 408, because its last byte may be in transit. A
+    request whose response has started gets no second one."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         budget = harness.clients.budget
@@ -115,7 +115,7 @@
         budget.limit = 1
         with mock.patch("sloeferry.network.descriptor_budget.DescriptorBudget.MIN_PARTIAL_SECONDS", 0.0):
             client = await harness.send_raw(harness.request_head("c1", body_bytes=4) + b"bo")
-            await client.until(lambda connection: connection in budget.partial)
+            await client.wait_for_connection(lambda connection: connection in budget.partial)
             await harness.request("safe", X_Call_Id="c2")
             await client.record_received(28)
             client.close()
@@ -125,11 +125,11 @@
             await client.record_received(28)
         client.close()
 
-    check_scenario(scenario, "crossing_turned_out", InstrumentedHarness({"b": response()}))
+    check_scenario(scenario, "partial_request_gets_408", InstrumentedHarness({"b": response()}))
 
 
-def test_broken_as_it_is_accepted(check_scenario: ScenarioChecker):
-    """A socket breaks as it is accepted.  Its descriptor is free again, and the next one is admitted."""
+def test_socket_error_on_accept(check_scenario: ScenarioChecker):
+    """A socket fails while it is being accepted. Its descriptor is released, and the next connection is accepted."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         await wait_until(lambda: not harness.clients.connections)
@@ -152,21 +152,21 @@
         await wait_until(lambda: not harness.clients.connections)
         harness.record(f"seats taken: {harness.clients.budget.in_use}")
 
-    check_scenario(scenario, "crossing_let_in", InstrumentedHarness({"b": response()}))
+    check_scenario(scenario, "socket_error_on_accept", InstrumentedHarness({"b": response()}))
 
 
-def test_timed_out_as_its_last_byte_comes(check_scenario: ScenarioChecker):
-    """Half a request's time is over, and its last byte is there.  There is a final answer, and nothing was forwarded."""
+def test_timeout_as_last_byte_arrives(check_scenario: ScenarioChecker):
+    """A partial request times out when its last byte has arrived but is unread. It gets a final reply and is not forwarded."""
 
     async def scenario(harness: InstrumentedHarness) -> None:
         client = await harness.send_raw(harness.request_head(body_bytes=4) + b"bod")
-        connection = await client.until(
+        connection = await client.wait_for_connection(
             lambda connection: connection.stream.message.body_bytes == 3 and connection.reader.is_reading
         )
         client.sock.send(b"y")
-        select.select([connection.sock], [], [])  # it is there, and not read: not one turn of the loop in between
+        select.select([connection.sock], [], [])  # the byte has arrived, and the loop cannot read it before the timeout
         connection.reader.time_out()
         await client.record_received(28)
         client.close()
 
-    check_scenario(scenario, "crossing_last_byte", InstrumentedHarness({"b": response()}))
+    check_scenario(scenario, "timeout_as_last_byte_arrives", InstrumentedHarness({"b": response()}))
--- a/tests/network/test_descriptor_budget.py
+++ b/tests/network/test_descriptor_budget.py
@@ -1,4 +1,4 @@
-"""The descriptors of clients: which connections keep one where they are short."""
+"""The descriptor budget for clients: which connections are kept when descriptors are short."""
 
 import asyncio
 from unittest import mock
@@ -6,11 +6,11 @@
 from tests.support.fake_backends import response
 from tests.support.proxy_harness import READY_REQUEST, ProxyHarness, ScenarioChecker
 
-POLL_INTERVAL_SECONDS = 0.05  # between two looks at what has ended
+POLL_INTERVAL_SECONDS = 0.05
 
 
-def test_clients_that_ask_once_and_stay(check_scenario: ScenarioChecker):
-    """Clients that ask once and keep their connection leave three quarters of the descriptors to others, oldest first."""
+def test_excess_idle_connections_are_closed(check_scenario: ScenarioChecker):
+    """Idle connections of clients that have sent one request are closed beyond a quarter of the descriptors, oldest first."""
 
     async def scenario(harness: ProxyHarness) -> None:
         with mock.patch("sloeferry.network.connection_sweeper.SHORT_IDLE_TIMEOUT_SECONDS", 60.0):
@@ -21,11 +21,11 @@
                 await harness.send(READY_REQUEST, connection, is_recorded=False)
             harness.record(f"the first one ends: {await first[0].read() == b''}")
 
-    check_scenario(scenario, "sockets_ask_once", ProxyHarness({"b": response()}, descriptors=64))
+    check_scenario(scenario, "excess_idle_connections", ProxyHarness({"b": response()}, descriptors=64))
 
 
-def test_client_whose_first_request_is_slow(check_scenario: ScenarioChecker):
-    """Beside many clients that have had a response and stay, one whose first request is slow to come keeps its place."""
+def test_slow_first_request_keeps_its_connection(check_scenario: ScenarioChecker):
+    """A connection whose first request is slow is kept in preference to many idle ones that have had a response."""
 
     async def scenario(harness: ProxyHarness) -> None:
         slow = await harness.connect()
@@ -37,31 +37,31 @@
             await harness.request("safe")
         await harness.request("safe", connection=slow)
 
-    check_scenario(scenario, "sockets_never_asked", ProxyHarness({"b": response()}, descriptors=64))
+    check_scenario(scenario, "slow_first_request", ProxyHarness({"b": response()}, descriptors=64))
 
 
-def test_crowd_of_silent_connections(check_scenario: ScenarioChecker):
-    """200 connections that say nothing cost no kept connection to a backend, and clients that ask get in."""
+def test_silent_connections_do_not_block_clients(check_scenario: ScenarioChecker):
+    """200 silent connections do not cause backend connections to be closed, and requests of other clients are served."""
 
     async def scenario(harness: ProxyHarness) -> None:
         await harness.request("safe")
-        crowd = [await harness.connect() for _ in range(200)]
+        silent = [await harness.connect() for _ in range(200)]
         await harness.request("safe")
-        harness.record(f"{len(crowd)} connections that say nothing")
+        harness.record(f"{len(silent)} connections that say nothing")
 
-    check_scenario(scenario, "sockets_crowd", ProxyHarness({"b": response()}, descriptors=64))
+    check_scenario(scenario, "silent_connections", ProxyHarness({"b": response()}, descriptors=64))
 
 
-def test_idle_connections_give_way(check_scenario: ScenarioChecker):
-    """All descriptors are taken.  Idle connections give way to those that ask."""
+def test_full_budget_closes_idle_connections(check_scenario: ScenarioChecker):
+    """When all descriptors are in use, idle connections are closed for clients with requests."""
 
     async def scenario(harness: ProxyHarness) -> None:
         idle = [await harness.connect() for _ in range(30)]
         while not any(reader.at_eof() for reader, _ in idle):
-            await harness.connect()  # until those that came first have been idle for long enough
+            await harness.connect()  # until the first ones have been idle long enough to be closed
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
         for _ in range(3):
             await harness.request("safe")
         harness.record(f"some idle ones were ended: {any(reader.at_eof() for reader, _ in idle)}")
 
-    check_scenario(scenario, "sockets_full_table", ProxyHarness({"b": response()}, descriptors=64))
+    check_scenario(scenario, "full_descriptor_budget", ProxyHarness({"b": response()}, descriptors=64))
--- a/tests/network/test_mixed_fleet.py
+++ b/tests/network/test_mixed_fleet.py
@@ -42,7 +42,7 @@
             draining = results["new"][-1].partition(" ")[2]
             lines.append(f"begun at backends: {len(attempts)}")
             for harness in (old, new):
-                harness.discovery.list_endpoints((draining, "leaving"), is_complete=False)
+                harness.discovery.publish_endpoints((draining, "leaving"), is_complete=False)
             await asyncio.sleep(0.1)  # until the list has arrived and is applied
             attempts.clear()
             for number in range(10):
