--- a/sloeferry/fleet/__init__.py
+++ b/sloeferry/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""The whole fleet seen at its admin addresses: which proxy acts on which version, which ones lag and why.
+"""Audits a fleet over its admin addresses: which proxy uses which version, which proxies are outdated, and why.
 
-Only `bring_up` changes anything; the rest asks.
+Only `bring_up` changes anything; all other modules are read-only.
 """
--- a/sloeferry/fleet/admin_cli.py
+++ b/sloeferry/fleet/admin_cli.py
@@ -1,4 +1,4 @@
-"""`sloeferry ops`: admin calls to one proxy from a shell.  Exit 0 where the answer is yes, 1 where it is no."""
+"""The command `sloeferry ops`: admin calls to one proxy; the exit status is 0 if it succeeds, else 1."""
 
 import http.client
 import json
@@ -11,18 +11,18 @@
 from sloeferry.config.instance import parse_address
 from sloeferry.errors import UsageError
 
-CALL_TIMEOUT_SECONDS = 5.0  # an answer is due within one
+CALL_TIMEOUT_SECONDS = 5.0  # a proxy answers within one second
 
 
 class AdminAnswer(NamedTuple):
-    """Whether a proxy says yes, and the line to print."""
+    """The answer of a proxy: success or failure, and the line to print."""
 
-    is_yes: bool
+    is_success: bool
     line: str
 
 
 def call_proxy(method: str, path: str, at: str) -> AdminAnswer:
-    """One call to the proxy whose admin address that is; raises UsageError where it is no address."""
+    """Send one call to the proxy with the admin address `at`; raise UsageError if that is not a valid address."""
     try:
         host, port = parse_address("--at", at)
     except ConfigError as error:
@@ -35,28 +35,28 @@
     except (OSError, http.client.HTTPException) as error:
         return AdminAnswer(False, f"{at}: no answer: {error}")
     except ValueError:
-        return AdminAnswer(False, f"{at}: answered {response.status}, and not in JSON: no proxy's operators' address")
+        return AdminAnswer(False, f"{at}: answered {response.status} without JSON: not the admin address of a proxy")
     finally:
         connection.close()
-    is_yes = 200 <= response.status < 300
-    figures = ", ".join(f"{name} {figure}" for name, figure in document.items())
-    return AdminAnswer(is_yes, f"{at}: {'yes' if is_yes else 'no'}: {figures}")
+    is_success = 200 <= response.status < 300
+    values = ", ".join(f"{name} {value}" for name, value in document.items())
+    return AdminAnswer(is_success, f"{at}: {'yes' if is_success else 'no'}: {values}")
 
 
 @click.group()
 def ops() -> None:
-    """Asks a proxy at its operators' address (`ops` in its configuration)."""
+    """Control a proxy through its admin address (`ops` in its configuration)."""
 
 
 def _add_command(name: str, method: str, description: str) -> None:
     @ops.command(name, help=description)
-    @click.option("--at", required=True, metavar="HOST:PORT", help="The operators' address.")
+    @click.option("--at", required=True, metavar="HOST:PORT", help="The admin address of the proxy.")
     def command(at: str) -> None:
         answer = call_proxy(method, f"/admin/{name}", at)
         click.echo(answer.line)
-        sys.exit(not answer.is_yes)
+        sys.exit(not answer.is_success)
 
 
-_add_command("health", "GET", "Whether it is ready to serve.")
-_add_command("quiesce", "POST", "Send its clients away; it goes on answering those who come.")
-_add_command("resume", "POST", "Take clients in again.")
+_add_command("health", "GET", "Show whether it is ready to serve.")
+_add_command("quiesce", "POST", "Make its clients reconnect elsewhere; it still answers requests that arrive.")
+_add_command("resume", "POST", "Accept clients again.")
--- a/sloeferry/fleet/admin_client.py
+++ b/sloeferry/fleet/admin_client.py
@@ -1,4 +1,4 @@
-"""One call to an admin address or to discovery, bounded in time and in bytes."""
+"""Sends calls to admin addresses and to discovery, with limits of time and response size."""
 
 import asyncio
 import json
@@ -8,10 +8,10 @@
 
 from sloeferry.config.instance import Address
 
-CALL_TIMEOUT_SECONDS = 2.0  # for a whole call
+CALL_TIMEOUT_SECONDS = 2.0  # including the connection
 MAX_ANSWER_BYTES = 1 << 20
 READ_BYTES = 65536
-MAX_SHOWN_BYTES = 40  # of an answer that cannot be understood
+MAX_SHOWN_BYTES = 40  # of a malformed answer
 MAX_SHOWN_STATUS_CHARACTERS = 20
 ACCEPTED_STATUSES = (b"200", b"202")
 CONTENT_LENGTH = re.compile(rb"(?i)\r\ncontent-length: *(\d{1,9})(?=\r\n)")
@@ -20,11 +20,11 @@
 
 
 class NoAnswerKind(Enum):
-    """Why nothing is known of a proxy.  The value is the cause that the audit tells."""
+    """The reason why the state of a proxy is unknown; the value is the cause that the audit reports."""
 
     NOT_LISTENING = "nobody listens there"
     UNREACHABLE = "its machine does not answer"
-    SILENT = "stopped, or hung"  # its machine took the connection, the process says nothing
+    SILENT = "stopped, or hung"  # the connection was accepted, but the process sends nothing
     MALFORMED = "answers what can't be understood"
     WRONG_PROXY = "another proxy answers there"
     NOT_PERMITTED = "does not tell its versions"
@@ -32,14 +32,14 @@
 
 
 class NoAnswer(NamedTuple):
-    """A call without an answer that can be used."""
+    """A call without a usable answer."""
 
     kind: NoAnswerKind
     evidence: str
 
 
 async def request_json(address: Address, path: str, method: str = "GET") -> JsonObject | NoAnswer:
-    """One call: the JSON object that came with 200 or 202, or why there is none."""
+    """Send one request; return the JSON object of an answer with status 200 or 202, or the reason why there is none."""
     writer = None
     kind = NoAnswerKind.UNREACHABLE
     try:
@@ -52,7 +52,7 @@
             while len(data) <= MAX_ANSWER_BYTES and not _is_complete(data) and (more := await reader.read(READ_BYTES)):
                 data += more
     except TimeoutError:
-        return NoAnswer(kind, f"no whole answer in {CALL_TIMEOUT_SECONDS:g} s")
+        return NoAnswer(kind, f"no complete answer within {CALL_TIMEOUT_SECONDS:g} s")
     except OSError as error:
         return NoAnswer(NoAnswerKind.NOT_LISTENING if writer is None else kind, error.strerror or str(error))
     finally:
@@ -62,14 +62,14 @@
 
 
 def _is_complete(data: bytes) -> bool:
-    """Whether that is all of an answer, by the length that it states."""
+    """Return whether the answer is complete according to its Content-Length."""
     head, separator, body = data.partition(b"\r\n\r\n")
     length = CONTENT_LENGTH.search(head + b"\r\n")
     return bool(separator and length and len(body) >= int(length[1]))
 
 
 def parse_answer(data: bytes) -> JsonObject | NoAnswer:
-    """An answer's JSON object, if it is complete and has an accepted status."""
+    """Return the JSON object of an answer, if it is complete and has an accepted status."""
     head, separator, body = data.partition(b"\r\n\r\n")
     status_line = head.partition(b"\r\n")[0].split()
     length = CONTENT_LENGTH.search(head + b"\r\n")
--- a/sloeferry/fleet/audit.py
+++ b/sloeferry/fleet/audit.py
@@ -1,8 +1,8 @@
-"""What the answers of a fleet amount to: which proxy holds which version, which ones lag, and why.  Free of I/O.
+"""Evaluates the answers of a fleet: which proxy holds which version, which proxies are outdated, and why.  Free of I/O.
 
-The newest list is discovery's own where it could be asked, else the highest revision that any proxy holds.  The newest
-settings are those that any proxy accepted last (generations count within one process alone).  A cause is named by
-elimination; where none is left, that is said.  Two answers that contradict each other are shown side by side.
+The newest list is that of discovery if discovery was queried, else the highest revision that any proxy holds.  The newest
+settings are the ones that a proxy accepted last; generations cannot be compared, as each process has its own count.  Causes
+are found by elimination and may remain unknown.  Contradicting answers are reported side by side.
 """
 
 from sloeferry.fleet.admin_client import NoAnswer
@@ -14,31 +14,31 @@
     ProxyRow,
     ProxyState,
     ReachTimes,
-    Subject,
+    VersionedItem,
 )
 from sloeferry.fleet.fleet_config import FleetConfig, ProxyAddress
 from sloeferry.fleet.fleet_query import FleetAnswers, ProxyAnswer
 from sloeferry.fleet.straggler_cause import find_cause
 
-DEFAULT_BOUND_MS = 6000.0  # after which what discovery has to tell counts as told
+DEFAULT_BOUND_MS = 6000.0  # time after which a change counts as notified by discovery
 REACHED_PERCENTS = (50, 90, 99, 100)
 
 
 def audit_fleet(fleet: FleetConfig, answers: FleetAnswers, bound_ms: float) -> FleetAudit:
-    """The audit of a fleet; acts on an old version count once a newer one is known for longer than `bound_ms`."""
+    """Audit a fleet; acts on an old version count once a newer one has been known for longer than `bound_ms`."""
     return _Auditor(answers, bound_ms).audit(fleet)
 
 
 def _newest_settings(known: list[ProxyAnswer]) -> str | None:
-    """The digest that any proxy accepted last; with no change ever, the one that appeared last."""
+    """Return the digest that any proxy accepted last on SIGHUP, or without any SIGHUP the one that appeared last."""
     entries = [entry for answer in known for entry in answer.acts["settings"]]
     changes = [entry for entry in entries if entry["by"] == "SIGHUP"]
     if changes:
         return min(changes, key=lambda entry: entry["heard_ms"])["digest"]
-    first_heard_ms: dict[str, float] = {}
+    oldest_age_ms: dict[str, float] = {}
     for entry in entries:
-        first_heard_ms[entry["digest"]] = max(first_heard_ms.get(entry["digest"], 0.0), entry["heard_ms"])
-    return min(first_heard_ms, key=first_heard_ms.__getitem__) if first_heard_ms else None
+        oldest_age_ms[entry["digest"]] = max(oldest_age_ms.get(entry["digest"], 0.0), entry["heard_ms"])
+    return min(oldest_age_ms, key=oldest_age_ms.__getitem__) if oldest_age_ms else None
 
 
 def _newest_versions(answers: FleetAnswers) -> NewestVersions:
@@ -52,36 +52,36 @@
 
 
 class _Auditor:
-    """One audit: the answers, and what they say of the newest versions."""
+    """One audit of the answers against the newest versions."""
 
     def __init__(self, answers: FleetAnswers, bound_ms: float):
         self._answers = answers
         self._bound_ms = bound_ms
         self._newest = _newest_versions(answers)
-        # How long ago the newest was first met by any proxy: the change cannot be younger.
-        self._ages_ms = {subject: self._age_ms(subject) for subject in Subject}
+        # Time since any proxy first received the newest version, a lower bound of the age of the change.
+        self._ages_ms = {item: self._newest_age_ms(item) for item in VersionedItem}
 
-    def _age_ms(self, subject: Subject) -> float:
-        ages_ms = [age_ms for answer in self._answers.known() for age_ms in self._heard_ms(answer, subject)]
+    def _newest_age_ms(self, item: VersionedItem) -> float:
+        ages_ms = [age_ms for answer in self._answers.known() for age_ms in self._ages_of_newest_ms(answer, item)]
         return max(ages_ms, default=0.0)
 
-    def _heard_ms(self, answer: ProxyAnswer, subject: Subject) -> list[float]:
-        """How long ago a proxy heard of the newest version, each time that it did."""
-        newest = self._newest.of(subject)
-        return [entry["heard_ms"] for entry in answer.acts[subject.log_key] if entry[subject.version_key] == newest]
+    def _ages_of_newest_ms(self, answer: ProxyAnswer, item: VersionedItem) -> list[float]:
+        """Return the time since each occasion on which a proxy received the newest version."""
+        newest = self._newest.of(item)
+        return [entry["heard_ms"] for entry in answer.acts[item.log_key] if entry[item.version_key] == newest]
 
     def audit(self, fleet: FleetConfig) -> FleetAudit:
-        """All that the answers say."""
+        """Return the complete audit."""
         rows = [self._row(proxy, answer) for proxy, answer in zip(fleet.proxies, self._answers.proxies, strict=True)]
-        reached = {subject: self._reached(subject) for subject in Subject}
+        reached = {item: self._reached(item) for item in VersionedItem}
         return FleetAudit(self._newest, reached, rows, self._contradictions(fleet))
 
-    def _reached(self, subject: Subject) -> ReachTimes:
-        """After how many ms, since any proxy first had it, so many percent of the fleet had the newest version."""
+    def _reached(self, item: VersionedItem) -> ReachTimes:
+        """Return the time (ms) from when any proxy first had the newest version to when given percentages of the fleet had it."""
         delays_ms = []
         for answer in self._answers.known():
-            if heard_ms := self._heard_ms(answer, subject):
-                delays_ms.append(self._ages_ms[subject] - max(heard_ms))
+            if ages_ms := self._ages_of_newest_ms(answer, item):
+                delays_ms.append(self._ages_ms[item] - max(ages_ms))
         delays_ms.sort()
         times: ReachTimes = {}
         for percent in REACHED_PERCENTS:
@@ -93,36 +93,36 @@
         address = "{}:{}".format(*proxy.address)
         if isinstance(answer, NoAnswer):
             return ProxyRow(proxy.name, address, ProxyState.UNKNOWN, answer.kind.value, answer.evidence)
-        behind = self._behind(answer)
-        state = ProxyState.STRAGGLER if behind else ProxyState.CURRENT
-        cause, evidence = find_cause(answer.versions, behind) if behind else ("", "")
-        held = _held_versions(answer, behind)
-        return ProxyRow(proxy.name, address, state, cause, evidence, self._acts_after_bound(answer), held)
-
-    def _behind(self, answer: ProxyAnswer) -> list[Subject]:
-        behind = []
+        outdated = self._outdated_items(answer)
+        state = ProxyState.STRAGGLER if outdated else ProxyState.CURRENT
+        cause, evidence = find_cause(answer.versions, outdated) if outdated else ("", "")
+        held = _held_versions(answer, outdated)
+        return ProxyRow(proxy.name, address, state, cause, evidence, self._count_acts_after_bound(answer), held)
+
+    def _outdated_items(self, answer: ProxyAnswer) -> list[VersionedItem]:
+        outdated = []
         if answer.versions["settings"]["digest"] != self._newest.settings:
-            behind.append(Subject.SETTINGS)
+            outdated.append(VersionedItem.SETTINGS)
         held = answer.versions.get("list")
         revision = self._newest.list_revision
         if revision is not None and (not held or held["revision"] != revision):
-            behind.append(Subject.ENDPOINT_LIST)
-        return behind
+            outdated.append(VersionedItem.ENDPOINT_LIST)
+        return outdated
 
-    def _acts_after_bound(self, answer: ProxyAnswer) -> int:
-        """Acts on versions that had been replaced for longer than the bound when the last of them was done."""
+    def _count_acts_after_bound(self, answer: ProxyAnswer) -> int:
+        """Return the number of acts on versions that had been replaced for longer than the bound at the time of the last act."""
         acts = 0
-        for subject in Subject:
-            counts_from_ms = self._ages_ms[subject] - self._bound_ms
-            for entry in answer.acts[subject.log_key]:
-                is_old = entry[subject.version_key] != self._newest.of(subject)
-                if is_old and entry["last_ms"] is not None and counts_from_ms > entry["last_ms"]:
+        for item in VersionedItem:
+            bound_age_ms = self._ages_ms[item] - self._bound_ms
+            for entry in answer.acts[item.log_key]:
+                is_old = entry[item.version_key] != self._newest.of(item)
+                if is_old and entry["last_ms"] is not None and bound_age_ms > entry["last_ms"]:
                     acts += entry["acts"]
         return acts
 
     def _contradictions(self, fleet: FleetConfig) -> list[Contradiction]:
-        """Revisions of the list with more contents among the proxies than settings."""
-        # revision -> (settings' digest, list's digest) -> names
+        """Return the list revisions that proxies hold with more different contents than their different settings explain."""
+        # revision -> (digest of settings, digest of list) -> proxy names
         holders: dict[int, dict[tuple[str, str], list[str]]] = {}
         for proxy, answer in zip(fleet.proxies, self._answers.proxies, strict=True):
             if isinstance(answer, NoAnswer) or not (held := answer.versions.get("list")):
@@ -139,11 +139,11 @@
         return contradictions
 
 
-def _held_versions(answer: ProxyAnswer, behind: list[Subject]) -> HeldVersions:
+def _held_versions(answer: ProxyAnswer, outdated: list[VersionedItem]) -> HeldVersions:
     versions = answer.versions
     held = versions.get("list")
     return HeldVersions(
-        behind,
+        outdated,
         versions["settings"]["digest"],
         versions["settings"]["generation"],
         [held["incarnation"], held["revision"]] if held else None,
--- a/sloeferry/fleet/audit_record.py
+++ b/sloeferry/fleet/audit_record.py
@@ -1,4 +1,4 @@
-"""What an audit finds, typed, and the JSON record that it makes.  Times in ms."""
+"""Typed results of an audit, and their JSON record; times are in ms."""
 
 from dataclasses import dataclass
 from enum import Enum, StrEnum
@@ -9,23 +9,24 @@
 EXIT_CURRENT, EXIT_STRAGGLERS, EXIT_UNKNOWN = 0, 1, 3
 
 
-class Subject(Enum):
-    """What has versions.
+class VersionedItem(Enum):
+    """An item that has versions.
 
-    `word` names it in the record, `log_key` in the proxies' log of acts, and `version_key` what tells two versions apart.
+    `record_name` is its name in the record, `log_key` its key in the decision logs of proxies, and `version_key` the field that
+    identifies a version.
     """
 
     SETTINGS = ("settings", "settings", "digest")
     ENDPOINT_LIST = ("list", "lists", "revision")
 
-    def __init__(self, word: str, log_key: str, version_key: str):
-        self.word = word
+    def __init__(self, record_name: str, log_key: str, version_key: str):
+        self.record_name = record_name
         self.log_key = log_key
         self.version_key = version_key
 
 
 class ProxyState(StrEnum):
-    """How a proxy stands to the newest versions."""
+    """The state of a proxy relative to the newest versions."""
 
     CURRENT = "current"
     STRAGGLER = "straggler"
@@ -34,12 +35,12 @@
 
 @dataclass(frozen=True)
 class HeldVersions:
-    """What a proxy that answered holds, and what of it is not the newest."""
+    """The versions that a proxy holds, and which items of them are outdated."""
 
-    behind: list[Subject]
+    outdated: list[VersionedItem]
     settings_digest: str
     settings_generation: int
-    list_incarnation_and_revision: list[int] | None  # None: it has no list
+    list_incarnation_and_revision: list[int] | None  # None if it has no list
     confirmed_ms: float | None
     program: str
     up_ms: float
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True)
 class ProxyRow:
-    """One proxy; `held` is None where it is unknown."""
+    """The audit of one proxy; `held` is None if its state is unknown."""
 
     name: str
     address: str
@@ -57,15 +58,15 @@
     acts_after_bound: int = 0
     held: HeldVersions | None = None
 
-    def behind(self) -> list[Subject]:
-        """What it holds that is not the newest, as far as that is known."""
-        return self.held.behind if self.held else []
+    def outdated_items(self) -> list[VersionedItem]:
+        """Return the items of which the proxy is known to hold an outdated version."""
+        return self.held.outdated if self.held else []
 
     def as_json(self) -> dict[str, Any]:
-        """The row of the record."""
+        """Return the row of the record."""
         row: dict[str, Any] = {"name": self.name, "at": self.address, "state": self.state}
         if self.held:
-            row["behind"] = [subject.word for subject in self.held.behind]
+            row["behind"] = [item.record_name for item in self.held.outdated]
         row |= {"cause": self.cause, "evidence": self.evidence}
         if self.held:
             row |= {
@@ -80,66 +81,66 @@
 
 
 class NewestVersions(NamedTuple):
-    """The newest of the fleet; the list's is `by_discovery` where that could be asked."""
+    """The newest versions of the fleet; `by_discovery` is True if the list revision was queried from discovery."""
 
     settings: str | None  # digest
     list_revision: int | None
     by_discovery: bool
 
-    def of(self, subject: Subject) -> str | int | None:
-        """The newest version of a subject."""
-        return self.settings if subject is Subject.SETTINGS else self.list_revision
+    def of(self, item: VersionedItem) -> str | int | None:
+        """Return the newest version of an item."""
+        return self.settings if item is VersionedItem.SETTINGS else self.list_revision
 
 
 @dataclass(frozen=True)
 class Contradiction:
-    """One revision of the list that proxies hold differently, and not for their settings alone."""
+    """A revision of the list that proxies hold with different contents, which their settings do not explain."""
 
     revision: int
-    proxies_by_content: dict[str, list[str]]  # digest of the list, under which settings -> names
+    proxies_by_content: dict[str, list[str]]  # digest of the list and digest of the settings -> proxy names
 
     def as_json(self) -> dict[str, Any]:
-        """The entry of the record."""
+        """Return the entry of the record."""
         return {"revision": self.revision, "said": self.proxies_by_content}
 
 
-# After how many ms so many percent of the fleet had a version; None: not yet.
+# Time (ms) after which a percentage of the fleet had a version; None if it has not been reached.
 ReachTimes = dict[str, float | None]
 
 
 @dataclass(frozen=True)
 class FleetAudit:
-    """All that an audit finds."""
+    """The result of an audit."""
 
     newest: NewestVersions
-    reached: dict[Subject, ReachTimes]
+    reached: dict[VersionedItem, ReachTimes]
     rows: list[ProxyRow]
     contradictions: list[Contradiction]
 
     def count(self, state: ProxyState) -> int:
-        """Proxies in that state."""
+        """Return the number of proxies in a state."""
         return sum(row.state is state for row in self.rows)
 
     def acts_after_bound(self) -> int:
-        """Acts on an old version, all proxies together."""
+        """Return the number of acts of all proxies on an old version after the bound."""
         return sum(row.acts_after_bound for row in self.rows)
 
-    def asked(self) -> int:
-        """Proxies that were asked before an interruption."""
+    def queried_count(self) -> int:
+        """Return the number of proxies that were queried before an interruption."""
         return sum(row.cause != NoAnswerKind.NOT_ASKED.value for row in self.rows)
 
     def stragglers(self) -> list[ProxyRow]:
-        """The proxies that are not on the newest versions."""
+        """Return the proxies that do not hold the newest versions."""
         return [row for row in self.rows if row.state is ProxyState.STRAGGLER]
 
     def exit_status(self) -> int:
-        """Of the command line."""
+        """Return the exit status of the command line."""
         if self.count(ProxyState.STRAGGLER) or self.acts_after_bound():
             return EXIT_STRAGGLERS
         return EXIT_UNKNOWN if self.count(ProxyState.UNKNOWN) else EXIT_CURRENT
 
     def as_json(self) -> dict[str, Any]:
-        """The record."""
+        """Return the record."""
         return {
             "proxies": len(self.rows),
             **{state.value: self.count(state) for state in ProxyState},
@@ -148,10 +149,10 @@
                 "list": self.newest.list_revision,
                 "by_discovery": self.newest.by_discovery,
             },
-            "reached": {subject.log_key: times for subject, times in self.reached.items()},
+            "reached": {item.log_key: times for item, times in self.reached.items()},
             "acts_after_bound": self.acts_after_bound(),
             "rows": [row.as_json() for row in self.rows],
             "contradictions": [contradiction.as_json() for contradiction in self.contradictions],
-            "asked": self.asked(),
+            "asked": self.queried_count(),
             "exit": self.exit_status(),
         }
--- a/sloeferry/fleet/bring_up.py
+++ b/sloeferry/fleet/bring_up.py
@@ -1,8 +1,8 @@
-"""Has stragglers ask for the endpoint list, or read their file, again; the load of it is bounded over the whole fleet.
+"""Makes outdated proxies poll the endpoint list, or reread their file, at a limited rate over the whole fleet.
 
-A proxy that lags with its list is told to ask for it anew, one that lags with its settings to read its file anew: one call
-after the other, at a pace and in random order, so that discovery gets no more calls a second than that, however many lag.
-What a call does not mend is left to whoever replaces processes, and said.
+A proxy with an outdated list is requested to poll the complete list, one with outdated settings to reread its file.  The calls
+are sent one after the other, at fixed intervals and in random order, so that discovery gets no more calls per second than that,
+however many proxies are outdated.  Proxies that remain outdated are reported; replacing their processes is left to the operators.
 """
 
 import asyncio
@@ -13,65 +13,65 @@
 
 from sloeferry.fleet.admin_client import NoAnswer, request_json
 from sloeferry.fleet.audit import audit_fleet
-from sloeferry.fleet.audit_record import FleetAudit, Subject
+from sloeferry.fleet.audit_record import FleetAudit, VersionedItem
 from sloeferry.fleet.fleet_config import FleetConfig
 from sloeferry.fleet.fleet_query import query_fleet
 
-AUDIT_SECONDS = 0.5  # between two audits while something may still come
-PATHS = {Subject.ENDPOINT_LIST: "/admin/relist", Subject.SETTINGS: "/admin/reread"}
+AUDIT_INTERVAL_SECONDS = 0.5  # while waiting for proxies to update
+ADMIN_PATHS = {VersionedItem.ENDPOINT_LIST: "/admin/relist", VersionedItem.SETTINGS: "/admin/reread"}
 
 
 class BringUpCall(NamedTuple):
-    """One call that was made, and what came of it: yes, or why not."""
+    """A call to a proxy; `answer` is "yes", or the reason for its failure."""
 
     name: str
-    subject: Subject
+    item: VersionedItem
     answer: str
 
     def as_json(self) -> dict[str, str]:
-        """The entry of the record."""
-        return {"name": self.name, "step": self.subject.word, "answer": self.answer}
+        """Return the entry of the record."""
+        return {"name": self.name, "step": self.item.record_name, "answer": self.answer}
 
 
 @dataclass(frozen=True)
 class BringUpResult:
-    """The last audit, and the calls made."""
+    """The last audit, and the calls that were sent."""
 
     audit: FleetAudit
     calls: list[BringUpCall]
 
     def as_json(self) -> dict[str, Any]:
-        """The record."""
-        return self.audit.as_json() | {"calls": [each.as_json() for each in self.calls]}
+        """Return the record."""
+        return self.audit.as_json() | {"calls": [sent_call.as_json() for sent_call in self.calls]}
 
 
 async def bring_up(
     fleet: FleetConfig,
-    pace_seconds: float,
-    patience_seconds: float,
+    call_interval_seconds: float,
+    timeout_seconds: float,
     bound_ms: float,
     seed: int = 0,
-    report: Callable[[str], None] = lambda text: None,
+    on_call: Callable[[str], None] = lambda text: None,
 ) -> BringUpResult:
-    """Calls all stragglers, `pace_seconds` apart, and waits `patience_seconds` at most until none is left."""
+    """Call all stragglers at the given interval, then wait until none is left or the timeout has passed."""
 
     async def audit() -> FleetAudit:
         return audit_fleet(fleet, await query_fleet(fleet), bound_ms)
 
     loop = asyncio.get_running_loop()
     last_audit = await audit()
-    due = [(row.name, subject) for row in last_audit.stragglers() for subject in row.behind()]
-    Random(seed).shuffle(due)
+    pending_calls = [(row.name, item) for row in last_audit.stragglers() for item in row.outdated_items()]
+    Random(seed).shuffle(pending_calls)
     addresses = dict(fleet.proxies)
     calls: list[BringUpCall] = []
-    for name, subject in due:
+    for name, item in pending_calls:
         if calls:
-            await asyncio.sleep(pace_seconds)
-        answer = await request_json(addresses[name], PATHS[subject], "POST")
-        calls.append(BringUpCall(name, subject, answer.evidence if isinstance(answer, NoAnswer) else "yes"))
-        report(f"{name}: {PATHS[subject]}: {calls[-1].answer}")
-    give_up_at = loop.time() + patience_seconds
-    while due and last_audit.stragglers() and loop.time() < give_up_at:
-        await asyncio.sleep(min(AUDIT_SECONDS, patience_seconds))
+            await asyncio.sleep(call_interval_seconds)
+        answer = await request_json(addresses[name], ADMIN_PATHS[item], "POST")
+        calls.append(BringUpCall(name, item, answer.evidence if isinstance(answer, NoAnswer) else "yes"))
+        on_call(f"{name}: {ADMIN_PATHS[item]}: {calls[-1].answer}")
+    deadline = loop.time() + timeout_seconds
+    while pending_calls and last_audit.stragglers() and loop.time() < deadline:
+        await asyncio.sleep(min(AUDIT_INTERVAL_SECONDS, timeout_seconds))
         last_audit = await audit()
     return BringUpResult(last_audit, calls)
--- a/sloeferry/fleet/cli.py
+++ b/sloeferry/fleet/cli.py
@@ -1,4 +1,4 @@
-"""`sloeferry fleet`: what is typed, checked and handed on."""
+"""The command line of `sloeferry fleet`."""
 
 import asyncio
 import json
@@ -14,25 +14,27 @@
 from sloeferry.fleet.fleet_query import FleetAnswers, query_fleet
 from sloeferry.fleet.report import format_audit
 
-MAX_SINCE_SECONDS = 86400.0 * 366  # whatever lies further back is a wrong number
+MAX_SINCE_SECONDS = 86400.0 * 366  # a longer time is rejected as a mistake
 
-fleet_option = click.option("--fleet", "path", required=True, metavar="FILE", help="TOML: [[proxy]] name and at; discovery.")
+fleet_option = click.option(
+    "--fleet", "path", required=True, metavar="FILE", help="TOML file: a [[proxy]] with name and at for each proxy; discovery."
+)
 
 
 @click.group()
 def fleet() -> None:
-    """Asks every proxy of a fleet at its operators' address.  Figures are the proxies' own word."""
+    """Query every proxy of a fleet at its admin address.  All figures are as reported by the proxies."""
 
 
 def _query_with_progress(config: FleetConfig, since_seconds: float | None) -> FleetAnswers:
-    """All answers; on a terminal it is shown how far it came."""
+    """Return the answers of the fleet; show the progress if standard error is a terminal."""
     shows_progress = sys.stderr.isatty()
 
-    def show(asked: int) -> None:
+    def show_progress(queried: int) -> None:
         if shows_progress:
-            click.echo(f"\r{asked} of {len(config.proxies)} asked", nl=False, err=True)
+            click.echo(f"\r{queried} of {len(config.proxies)} proxies queried", nl=False, err=True)
 
-    answers = asyncio.run(query_fleet(config, since_seconds, show))
+    answers = asyncio.run(query_fleet(config, since_seconds, show_progress))
     if shows_progress:
         click.echo("\r\033[K", nl=False, err=True)
     return answers
@@ -55,7 +57,7 @@
         "since_seconds",
         type=float,
         metavar="SECONDS",
-        help="Acts of so long back; all that is kept without it.",
+        help="Only acts of the last SECONDS; without it all that are kept.",
     )
     @click.option(
         "--bound",
@@ -63,7 +65,7 @@
         type=click.FloatRange(0),
         default=DEFAULT_BOUND_MS / 1000,
         show_default=True,
-        help="Seconds after a change from which acts on the version before count.",
+        help="Seconds after a change from which acts on the previous version count.",
     )
     @click.option("--json", "as_json", is_flag=True)
     def command(path: str, since_seconds: float | None, bound_seconds: float, as_json: bool) -> None:
@@ -82,7 +84,7 @@
     type=click.FloatRange(0.001),
     default=0.1,
     show_default=True,
-    help="Seconds from one call to the next.",
+    help="Seconds between two calls.",
 )
 @click.option(
     "--patience",
@@ -90,23 +92,25 @@
     type=click.FloatRange(0),
     default=10.0,
     show_default=True,
-    help="Seconds until who still lags is told.",
+    help="Seconds to wait for stragglers before the result is printed.",
 )
-@click.option("--seed", type=click.IntRange(0), default=0, help="Of the order.")
+@click.option("--seed", type=click.IntRange(0), default=0, help="Seed of the order of the calls.")
 @click.option("--json", "as_json", is_flag=True)
 def bring_up_command(path: str, pace_seconds: float, patience_seconds: float, seed: int, as_json: bool) -> None:
-    """Has stragglers ask for the list, or read their file, again.  Exit as of an audit afterwards."""
+    """Make stragglers poll the list, or reread their file.  Exit status as of an audit afterwards."""
 
-    def say(text: str) -> None:
+    def print_progress(text: str) -> None:
         click.echo(text, err=True)
 
     config = read_fleet_config(path)
-    result = asyncio.run(bring_up(config, pace_seconds, patience_seconds, DEFAULT_BOUND_MS, seed, say))
+    result = asyncio.run(bring_up(config, pace_seconds, patience_seconds, DEFAULT_BOUND_MS, seed, print_progress))
     click.echo(json.dumps(result.as_json(), indent=1) if as_json else format_audit(result.audit, with_current=False))
     sys.exit(result.audit.exit_status())
 
 
-_add_audit_command("versions", True, "Who holds which version, a row a proxy.")
+_add_audit_command("versions", True, "Show the versions that each proxy holds.")
 _add_audit_command(
-    "audit", False, "Who lags and why.  Exit 0: all on the newest, 1: stragglers or acts after the bound, 3: only unknowns."
+    "audit",
+    False,
+    "Show stragglers and causes.  Exit 0: all current, 1: stragglers or acts after the bound, 3: only unknown ones.",
 )
--- a/sloeferry/fleet/documents.py
+++ b/sloeferry/fleet/documents.py
@@ -1,33 +1,33 @@
-"""What a proxy tells at /admin/versions and /admin/acted, as far as the audit reads it.  Ages in ms."""
+"""Types of the documents at /admin/versions and /admin/acted, with the fields that the audit reads; ages are in ms."""
 
 from typing import TypedDict
 
 
 class SettingsEntry(TypedDict):
-    """Settings that a proxy holds or held."""
+    """A version of the settings that a proxy holds or has held."""
 
-    generation: int  # counted within one process alone
+    generation: int  # counted separately by each process
     digest: str
-    by: str  # what brought them: start or SIGHUP
+    by: str  # their source: start or SIGHUP
     heard_ms: float
-    acts: int  # requests taken on under them
-    last_ms: float | None  # since the last of these; None: there was none
+    acts: int  # requests accepted under them
+    last_ms: float | None  # since the last of these requests; None if there was none
 
 
 class ListEntry(TypedDict):
-    """An endpoint list that a proxy holds or held."""
+    """A version of the endpoint list that a proxy holds or has held."""
 
     incarnation: int
     revision: int
     digest: str
-    by: str  # what brought it: the list as last held, or a discovery and its address
+    by: str  # its source: a previous process, or a discovery and its address
     heard_ms: float
-    acts: int  # attempts by it
+    acts: int  # attempts sent under it
     last_ms: float | None
 
 
 class Refusal(TypedDict):
-    """A version that a proxy did not take."""
+    """A version that a proxy rejected."""
 
     ago_ms: float
     what: str  # settings or list
@@ -35,19 +35,19 @@
 
 
 class VersionsDocument(TypedDict):
-    """What a proxy holds now."""
+    """The versions that a proxy holds."""
 
     name: str
     program: str
     up_ms: float
     settings: SettingsEntry
     list: ListEntry | None
-    confirmed_ms: float | None  # since discovery last said that the list still stands; None: never
+    confirmed_ms: float | None  # since discovery last confirmed the list; None if it never has
     refused: list[Refusal]
 
 
 class ActsDocument(TypedDict):
-    """What a proxy held and did under it, the oldest first."""
+    """The versions that a proxy has held and its acts under them, oldest first."""
 
     settings: list[SettingsEntry]
     lists: list[ListEntry]
--- a/sloeferry/fleet/fleet_config.py
+++ b/sloeferry/fleet/fleet_config.py
@@ -1,4 +1,4 @@
-"""The file that names every proxy's admin address, and discovery where it may be asked."""
+"""Reads the fleet file: the admin addresses of all proxies, and optionally the address of discovery."""
 
 from typing import Any, NamedTuple
 
@@ -12,21 +12,21 @@
 
 
 class ProxyAddress(NamedTuple):
-    """A proxy and its admin address."""
+    """The name and the admin address of a proxy."""
 
     name: str
     address: Address
 
 
 class FleetConfig(NamedTuple):
-    """All proxies of a fleet; `discovery` is None where it may not be asked."""
+    """All proxies of a fleet; `discovery` is None if it is not to be queried."""
 
     proxies: tuple[ProxyAddress, ...]
     discovery: Address | None
 
 
 def read_fleet_config(path: str) -> FleetConfig:
-    """The fleet that a TOML file names; raises UsageError, which names the key that cannot be used."""
+    """Return the fleet that a TOML file describes; raise UsageError, which names the invalid key."""
     try:
         return _parse(path, read_toml("--fleet", path))
     except ConfigError as error:
--- a/sloeferry/fleet/fleet_query.py
+++ b/sloeferry/fleet/fleet_query.py
@@ -1,4 +1,4 @@
-"""Asks all proxies of a fleet side by side.  Whoever does not answer is unknown."""
+"""Queries all proxies of a fleet concurrently; the state of a proxy that does not answer is unknown."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,34 +12,34 @@
 
 
 class ProxyAnswer(NamedTuple):
-    """What a proxy holds and did."""
+    """The versions and the acts that a proxy reports."""
 
     versions: VersionsDocument
     acts: ActsDocument
 
 
 class FleetAnswers(NamedTuple):
-    """The proxies' answers in the order of the fleet's file; `endpoint_list` is None where discovery may not be asked."""
+    """The proxies' answers in the order of the fleet file; `endpoint_list` is None if discovery was not queried."""
 
     proxies: list[ProxyAnswer | NoAnswer]
     endpoint_list: JsonObject | NoAnswer | None
 
     def known(self) -> list[ProxyAnswer]:
-        """The answers of those who answered."""
+        """Return the answers of the proxies that answered."""
         return [answer for answer in self.proxies if not isinstance(answer, NoAnswer)]
 
 
 async def query_fleet(
-    fleet: FleetConfig, since_seconds: float | None = None, progress: Callable[[int], None] = lambda asked: None
+    fleet: FleetConfig, since_seconds: float | None = None, progress: Callable[[int], None] = lambda queried: None
 ) -> FleetAnswers:
-    """Asks everybody; acts of the last `since_seconds`, or all that are kept.
+    """Query all proxies and discovery for the acts of the last `since_seconds`, or for all that are kept.
 
-    `progress` is called with how many proxies were asked so far.  Interrupted, it returns what there is.
+    `progress` is called with the number of proxies queried so far.  If cancelled, it returns the answers received so far.
     """
     query = _FleetQuery(fleet, since_seconds, progress)
-    tasks = [asyncio.create_task(query.ask(index, proxy)) for index, proxy in enumerate(fleet.proxies)]
+    tasks = [asyncio.create_task(query.query_proxy(index, proxy)) for index, proxy in enumerate(fleet.proxies)]
     if fleet.discovery:
-        tasks.append(asyncio.create_task(query.ask_discovery(fleet.discovery)))
+        tasks.append(asyncio.create_task(query.query_discovery(fleet.discovery)))
     try:
         await asyncio.gather(*tasks)
     except asyncio.CancelledError:
@@ -50,7 +50,7 @@
 
 
 class _FleetQuery:
-    """The answers so far."""
+    """A query in progress, with the answers received so far."""
 
     def __init__(self, fleet: FleetConfig, since_seconds: float | None, progress: Callable[[int], None]):
         not_asked = NoAnswer(NoAnswerKind.NOT_ASKED, "the audit was interrupted")
@@ -60,25 +60,25 @@
         self._progress = progress
         self._semaphore = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
-    async def ask(self, index: int, proxy: ProxyAddress) -> None:
-        """Asks one proxy."""
+    async def query_proxy(self, index: int, proxy: ProxyAddress) -> None:
+        """Query one proxy."""
         async with self._semaphore:
-            self.answers[index] = await self._answer(proxy)
+            self.answers[index] = await self._query(proxy)
             self._progress(sum(not _is_not_asked(answer) for answer in self.answers))
 
-    async def _answer(self, proxy: ProxyAddress) -> ProxyAnswer | NoAnswer:
+    async def _query(self, proxy: ProxyAddress) -> ProxyAnswer | NoAnswer:
         versions = await request_json(proxy.address, "/admin/versions")
         if isinstance(versions, NoAnswer):
             return versions
         if versions.get("name") != proxy.name:
-            return NoAnswer(NoAnswerKind.WRONG_PROXY, f"says that it is {versions.get('name')!r}")
+            return NoAnswer(NoAnswerKind.WRONG_PROXY, f"it reports the name {versions.get('name')!r}")
         acts = await request_json(proxy.address, self._acts_path)
         if isinstance(acts, NoAnswer):
             return acts
         return ProxyAnswer(cast(VersionsDocument, versions), cast(ActsDocument, acts))
 
-    async def ask_discovery(self, address: tuple[str, int]) -> None:
-        """Asks for the endpoint list."""
+    async def query_discovery(self, address: tuple[str, int]) -> None:
+        """Query discovery for the endpoint list."""
         self.endpoint_list = await request_json(address, "/v1/endpoints")
 
 
