--- a/sloeferry/fault_testing/shared_balancer.py
+++ b/sloeferry/fault_testing/shared_balancer.py
@@ -1,17 +1,17 @@
-"""The front before the proxies, for callers in several processes."""
+"""The connection balancer in front of the proxies, for clients in several processes."""
 
 import asyncio
 from collections.abc import Callable
 
 from sloeferry.rehearsal.scenario_tables import BalancerSettings
-from sloeferry.stand_ins.connection_balancer import ConnectionBalancer, ProxyPlace
+from sloeferry.stand_ins.connection_balancer import ConnectionBalancer, ProxyListener
 
 MIN_POLL_INTERVAL_SECONDS = 0.05
-MAX_POLLS_PER_SECOND = 400  # of all proxies together
+MAX_POLLS_PER_SECOND = 400  # total for all proxies
 
 
 class ObservedLiveness(dict[str, bool]):
-    """Which proxies are held for alive; `on_change` is called with each that is set."""
+    """The liveness of each proxy by name; `on_change` is called with every value that is set."""
 
     def __init__(self, alive: dict[str, bool], on_change: Callable[[str, bool], None]):
         super().__init__(alive)
@@ -23,13 +23,13 @@
 
 
 class SharedBalancer(ConnectionBalancer):
-    """The driver asks who is ready, the callers' processes are told."""
+    """A connection balancer whose driver process polls the readiness of proxies; `on_change` informs the client workers."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         settings: BalancerSettings,
-        places: list[ProxyPlace],
+        places: list[ProxyListener],
         on_change: Callable[[str, bool], None],
     ):
         super().__init__(loop, settings, places)
--- a/sloeferry/rehearsal/faults.py
+++ b/sloeferry/rehearsal/faults.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from sloeferry.rehearsal.proxy_fleet import ProxyFleet
 
-Handlers = dict[type[Fault], Callable[[Any, Random], None]]
+FaultHandlers = dict[type[Fault], Callable[[Any, Random], None]]
 
 MAX_RELOAD_DELAY_SECONDS = 0.5  # until a proxy gets its SIGHUP once discovery has moved
 
@@ -24,7 +24,7 @@
     def __init__(self, fleet: "ProxyFleet"):
         self._fleet = fleet
         self._loop = fleet.loop
-        self.handlers: Handlers = {
+        self.handlers: FaultHandlers = {
             **BackendFaults(fleet).handlers(),
             **ProxyFaults(fleet).handlers(),
             scenario_faults.DiscoveryOutage: self._stop_discovery,
@@ -33,7 +33,7 @@
             **dict.fromkeys(typing.get_args(scenario_faults.RequestFault), self._drawn_with_requests),
         }
 
-    def begin(self, now: float) -> None:
+    def schedule(self, now: float) -> None:
         """The play begins, at that time of the loop."""
         for index, fault in enumerate(self._fleet.scenario.scenario_faults):
             rng = self._fleet.environment.rng(f"trouble-{index}")
@@ -46,14 +46,14 @@
 
     def _stop_discovery(self, fault: scenario_faults.DiscoveryOutage, rng: Random) -> None:
         discovery = self._fleet.discovery
-        discovery.go_down()
-        self._loop.call_later(fault.lasts, lambda: self._loop.create_task(discovery.come_back()))
+        discovery.stop()
+        self._loop.call_later(fault.lasts, lambda: self._loop.create_task(discovery.restart()))
 
     def _move_discovery(self, fault: scenario_faults.DiscoveryMove, rng: Random) -> None:
         """It goes on elsewhere; proxies are told by a new configuration and SIGHUP."""
         proxies = self._fleet.proxies
-        self._fleet.discovery.go_down()
-        self._loop.create_task(self._fleet.discovery.come_back(len(proxies)))
+        self._fleet.discovery.stop()
+        self._loop.create_task(self._fleet.discovery.restart(len(proxies)))
         for proxy in proxies:
             self._loop.call_later(MAX_RELOAD_DELAY_SECONDS * rng.random(), proxy.reload)
 
--- a/tests/policy/test_fault_attribution.py
+++ b/tests/policy/test_fault_attribution.py
@@ -83,7 +83,7 @@
     """Guards against endpoints that count as slow because of one tenant: tenant 1's requests are overdue at every endpoint.  All
     but one at a time are rejected at once with a Retry-After, and all are sent again once they are fast."""
     recorder = PolicyRecorder(**TENANTS, limits__retry_after=True)
-    recorder.list_endpoints("a", "b", "c")
+    recorder.publish_endpoints("a", "b", "c")
     for request_id in range(200, 220):
         run_request(recorder, request_id, request_id % 2 * 2, 40.0)
     for request_id in range(14):
@@ -115,7 +115,7 @@
 def test_no_tenant_is_at_fault_when_all_are_slow(golden: GoldenFiles):
     """Guards against a fault that depends on the order of reviews: all requests are slow at once, and no tenant is at fault."""
     recorder = PolicyRecorder(**TENANTS)
-    recorder.list_endpoints("a", "b")
+    recorder.publish_endpoints("a", "b")
     for request_id in range(30):
         recorder.request(request_id, tenant_index=request_id % 3)
         recorder.advance_by(5.0)
@@ -129,7 +129,7 @@
     """Guards against rejecting all requests: every class and every tenant looks at fault at once.  All are cleared, and their
     requests are sent."""
     recorder = PolicyRecorder(**TENANTS)
-    recorder.list_endpoints("a", "b", "c")
+    recorder.publish_endpoints("a", "b", "c")
     classes = recorder.policy.classes
     trackers = classes.class_trackers + classes.tenant_trackers
     for tracker in trackers:
@@ -150,7 +150,7 @@
     lines: list[str] = []
     for is_checked in (False, True):
         recorder = PolicyRecorder(limits__probing=True)
-        recorder.list_endpoints("a", "b", "c", "d")
+        recorder.publish_endpoints("a", "b", "c", "d")
         first_class, second_class, _ = recorder.policy.classes.all
         first_class.loss_rate = 0.2
         second_class.can_be_compared_with = lambda other: True
@@ -185,7 +185,7 @@
     endpoint.  After a while only one in five of these is retried, no endpoint is ejected, and the others are served as before.
     Then endpoint a alone returns errors, and they count against it again."""
     recorder = PolicyRecorder(limits__most_postings=4)
-    recorder.list_endpoints("a", "b", "c", "d")
+    recorder.publish_endpoints("a", "b", "c", "d")
     attempts_sent: list[int] = []
     for request_id in range(60):
         recorder.advance_by(20.0)
@@ -219,7 +219,7 @@
     ejected for class 0 alone, overdue attempts are soon retried elsewhere, and class 1 is still sent to them."""
     recorder = PolicyRecorder(schemes__0__expiry=1000.0)
     recorder.policy.classes.all[1].can_be_compared_with = lambda other: True  # enough of its attempts have ended
-    recorder.list_endpoints("a", "b", "c", "d")
+    recorder.publish_endpoints("a", "b", "c", "d")
     backends = PartlyUnresponsiveBackends(recorder)
     for at in range(0, 12000, 20):
         backends.advance_to(float(at))
--- a/tests/policy/test_latency_model.py
+++ b/tests/policy/test_latency_model.py
@@ -9,7 +9,7 @@
     """Guards against a proxy that stops sending for good: all attempts at busy endpoints were late while it started, and the
     slowdown learned from them would reject every later request."""
     recorder = PolicyRecorder(limits__probing=True)
-    recorder.list_endpoints("a", "b")
+    recorder.publish_endpoints("a", "b")
     policy = recorder.policy
     policy.arrivals.mean_gap_ms = 2.0
     for _ in range(12):
@@ -26,7 +26,7 @@
     """Guards against a permanently wrong expectation: a request is sent although all endpoints look overloaded, and the latency
     expected for that load is corrected by the measured one."""
     recorder = PolicyRecorder(instances=40, tariffs__probe=1.0, limits__probing=True)
-    recorder.list_endpoints("a")
+    recorder.publish_endpoints("a")
     recorder.policy.candidates.refresh(recorder.now)
     recorder.policy.load.mean_load = [9.0, 9.0]
     recorder.policy.table.candidates_chosen_at = 500.0
@@ -39,7 +39,7 @@
 def test_learned_slowdown_decays(golden: GoldenFiles):
     """Guards against never using an endpoint again: one was found four times slower than others, and its slowdown decays."""
     recorder = PolicyRecorder()
-    recorder.list_endpoints("a", "b")
+    recorder.publish_endpoints("a", "b")
     endpoint = recorder.policy.table.by_id["a"]
     endpoint.slowdown = 4.0
     endpoint.learned_at = 0.0
--- a/tests/policy/test_load_estimate.py
+++ b/tests/policy/test_load_estimate.py
@@ -18,7 +18,7 @@
 def test_report_plus_own_sends(golden: GoldenFiles):
     """The estimate is the latest report plus own sends after it; without a fresh report, the mean of fresh ones is used."""
     recorder = PolicyRecorder()
-    recorder.list_endpoints("a", "b", "c")
+    recorder.publish_endpoints("a", "b", "c")
     policy = recorder.policy
     recorder.report_load("a", 2)
     recorder.report_load("b", 0)
@@ -35,7 +35,7 @@
 def test_old_reports_decay(golden: GoldenFiles):
     """Guards against sending every request to the endpoint that last reported itself idle: its estimate decays to the mean."""
     recorder = PolicyRecorder()
-    recorder.list_endpoints("a", "b", "c")
+    recorder.publish_endpoints("a", "b", "c")
     recorder.report_load("a", 0)
     recorder.advance_to(600.0)
     for name in "bc":
@@ -53,7 +53,7 @@
     last report doesn't stand for the fleet's load, and it still sends its share of one request per endpoint without health
     checks."""
     recorder = PolicyRecorder(instances=40, tariffs__probe=1.0, limits__probing=True)
-    recorder.list_endpoints(*(f"b{index}" for index in range(60)))
+    recorder.publish_endpoints(*(f"b{index}" for index in range(60)))
     for request_id, in_flight in enumerate((1, 0, 1, 6)):
         recorder.advance_to(250.0 * request_id)
         recorder.request(request_id)
@@ -82,7 +82,7 @@
     )
     recorder.advance_to(50000.0)
     warm = [f"w{index}" for index in range(6)]
-    recorder.list_endpoints(*warm, *((f"c{index}", 0, EndpointState.READY, 48000.0) for index in range(6)))
+    recorder.publish_endpoints(*warm, *((f"c{index}", 0, EndpointState.READY, 48000.0) for index in range(6)))
     for name in warm:
         recorder.report_load(name, 5)
     policy = recorder.policy
@@ -95,7 +95,7 @@
     for request_id in range(4):
         recorder.advance_by(2000.0)
         recorder.request(request_id)
-        is_cold = recorder.last_word()[0] == "c" and recorder.now < 56000.0
+        is_cold = recorder.last_endpoint_id()[0] == "c" and recorder.now < 56000.0
         recorder.end_attempt(request_id, 0, AttemptOutcome.SERVED, 0, took_ms=600.0 if is_cold else 190.0)
     recorder.record(f"stretch {policy.latency.level_slowdowns[0]:.1f}, usual {policy.classes.all[0].typical_latency_ms():.0f}")
     golden.check(recorder.lines, "load_of_warming_endpoints")
