--- a/sloeferry/rehearsal/proxy_fleet.py
+++ b/sloeferry/rehearsal/proxy_fleet.py
@@ -1,6 +1,6 @@
-"""A play's proxies and all round them: backends, discovery, clients, connection balancer; addresses and configurations.
+"""Builds the proxies and stand-ins of a run: backends, discovery, clients and connection balancer, with addresses and settings.
 
-The same in virtual time and in real time; `run_environment` says what differs between the two.
+This module serves runs in virtual time and live ones alike; `run_environment` defines what differs between the two.
 """
 
 import math
@@ -24,18 +24,18 @@
 from sloeferry.stand_ins.rules import Rule
 from sloeferry.stand_ins.wire_protocol import ADMIN_PORT_OFFSET, BackendState
 
-LAST_RESPONSE_MARGIN_SECONDS = 1.0  # beyond all tries of the last request
-ATTEMPT_MARGIN_MS = 2000  # beyond the deadline of each try
+LAST_RESPONSE_MARGIN_SECONDS = 1.0  # after all attempts of the last request
+ATTEMPT_MARGIN_MS = 2000  # after the deadline of each attempt
 DISCOVERY_PORT_OFFSET = 500
 DEFAULT_IDLE_TIMEOUT_SECONDS = 30.0
 
-# The second part of the loopback addresses of each kind of part.
+# The second octet of the loopback addresses, by kind of participant.
 PROXY_BLOCK, BACKEND_BLOCK, DISCOVERY_BLOCK, CLIENTS_BLOCK, BALANCER_BLOCK = 10, 20, 30, 40, 41
 ADDRESSES_PER_BLOCK = 250
 
 
 class HasZone(Protocol):
-    """What stands in a zone."""
+    """An object that belongs to a zone."""
 
     zone: str
 
@@ -44,24 +44,24 @@
 
 
 class BackendPlan(NamedTuple):
-    """A backend that stands there from the start."""
+    """A backend that runs from the start: the settings of its group and its zone."""
 
     settings: Backends
     zone: str
 
 
 def loopback_address(block: int, index: int) -> str:
-    """A loopback address of its own for each."""
+    """Return the loopback address of one participant; each combination of block and index has its own."""
     return f"127.{block}.{index // ADDRESSES_PER_BLOCK}.{index % ADDRESSES_PER_BLOCK + 1}"
 
 
 def make_backend_id(index: int) -> str:
-    """A backend's id, by its number."""
+    """Return the id of the backend with that number."""
     return f"s-{index:04x}"
 
 
 def plan_backends(scenario: Scenario) -> list[BackendPlan]:
-    """All backends, dealt out over the zones in turn."""
+    """Return all initial backends, assigned to the zones in turn unless their group names one."""
     zones = scenario.network.zones
     planned: list[BackendPlan] = []
     for backends in scenario.backends:
@@ -71,7 +71,7 @@
 
 
 def plan_places(scenario: Scenario, port: int) -> list[ProxyListener]:
-    """Where the proxies stand, dealt out over the zones in turn."""
+    """Return the names, addresses and zones of the proxies, assigned to the zones in turn."""
     zones = scenario.network.zones
     return [
         ProxyListener(f"p{index}", (loopback_address(PROXY_BLOCK, index), port), zones[index % len(zones)])
@@ -80,7 +80,7 @@
 
 
 class ProxyFleet:
-    """A scenario's proxies and all who stand round them."""
+    """Owns the proxies and stand-ins of one run."""
 
     def __init__(self, scenario: Scenario, environment: RunEnvironment, port: int = 8000):
         self.scenario = scenario
@@ -107,7 +107,7 @@
         self.proxies = [environment.make_proxy(self, index) for index in range(scenario.proxies.count)]
 
     def discovery_addresses(self) -> dict[str, tuple[str, int]]:
-        """What each proxy calls for the list."""
+        """Return the address at which each proxy calls discovery, by the proxy's name."""
         host, first_port = loopback_address(DISCOVERY_BLOCK, 0), self.port + DISCOVERY_PORT_OFFSET
         return {place.name: (host, first_port + index) for index, place in enumerate(self.places)}
 
@@ -119,7 +119,7 @@
         return StandInClients(loop, self.scenario, zone, planned, self.balancer, self.judge, rng)
 
     def make_backend(self, settings: Backends, zone: str) -> StandInBackend:
-        """One more backend, not started."""
+        """Return another backend, not started."""
         index = self._backend_count
         self._backend_count += 1
         address = loopback_address(BACKEND_BLOCK, index), self.port
@@ -137,7 +137,7 @@
         )
 
     def settings(self, index: int) -> dict[str, Any]:
-        """What the platform tells the proxy of that number."""
+        """Return the settings that the platform gives to the proxy with that number."""
         scenario = self.scenario
         idle_timeouts = [backends.idle_timeout_seconds for backends in scenario.backends]
         request_classes = [
@@ -179,7 +179,7 @@
         )
 
     def instance_config(self, index: int, seed: int) -> dict[str, Any]:
-        """The configuration of the proxy of that number, as the platform writes it."""
+        """Return the configuration file's content for the proxy with that number, as the platform writes it."""
         name, address, _ = self.places[index]
         proxies = self.scenario.proxies
         return platform.instance_config(
@@ -197,38 +197,38 @@
 
     @staticmethod
     def sample_in_zone(ratio: float, zone: str, rng: Random, candidates: Sequence[Located]) -> list[Located]:
-        """That part of those in a zone (everywhere if empty), by chance; at least one where any was asked for."""
+        """Return a random sample of the candidates in a zone (in all zones if `zone` is empty), its size rounded up."""
         in_zone = [candidate for candidate in candidates if not zone or candidate.zone == zone]
         return rng.sample(in_zone, min(len(in_zone), math.ceil(ratio * len(in_zone))))
 
-    # The course of a play
+    # Course of a run
 
     async def start_stand_ins(self) -> None:
-        """Starts backends, warm ones, and discovery."""
+        """Start the backends, warmed up and listed as ready, and discovery."""
         for backend in self.backends:
             await backend.start(is_warm=True)
             self.discovery.publish(backend, BackendState.READY, 0.0)
         await self.discovery.start()
 
     def begin(self, now: float) -> None:
-        """Clients and faults begin, at that time of the loop."""
+        """Start the clients' load and the faults at that time of the event loop."""
         self.judge.began_at = now
         for clients in self.clients:
             clients.schedule_requests(now)
         FaultInjector(self).schedule(now)
 
     def has_open_requests(self) -> bool:
-        """Whether a client waits for an answer."""
+        """Return whether a client is waiting for a response."""
         return any(clients.open_request_count for clients in self.clients)
 
     def record(self, now: float) -> dict[str, Any]:
-        """The play's record, once all that could end has ended."""
+        """Return the record of the run; requests without an outcome count as violations."""
         for request in [request for clients in self.clients for request in clients.planned_requests if not request.outcome]:
             self.judge.violation(Rule.ONE_ANSWER, now, f"txn {request.number} had no end")
         return make_record(self.judge)
 
     def last_request_timeout_seconds(self) -> float:
-        """How long the last request may still take, with all its tries."""
+        """Return how long the last request may take, all its attempts included."""
         longest_ms = max(request_class.deadline_ms for request_class in self.scenario.request_classes)
         attempt_count = 1 + self.scenario.clients.max_retries
         return LAST_RESPONSE_MARGIN_SECONDS + attempt_count * (longest_ms + ATTEMPT_MARGIN_MS) / 1000
--- a/sloeferry/rehearsal/run_environment.py
+++ b/sloeferry/rehearsal/run_environment.py
@@ -1,4 +1,4 @@
-"""What differs between a play in virtual time and one in real time: where the stand-ins run, and what a proxy is."""
+"""Interfaces of the parts that differ between a run in virtual time and a live one: event loops, clock and proxy processes."""
 
 import abc
 import asyncio
@@ -10,35 +10,35 @@
 if TYPE_CHECKING:
     from sloeferry.rehearsal.proxy_fleet import ProxyFleet
 
-READY_TIMEOUT_SECONDS = 30.0  # until a play begins whoever is ready
+READY_TIMEOUT_SECONDS = 30.0  # after which the load begins even if proxies are not ready
 DRAIN_TIMEOUT_SECONDS = 3.7  # from SIGTERM to SIGKILL
-RESTART_DELAY_SECONDS = 0.2  # from a planned end to the next start
+RESTART_DELAY_SECONDS = 0.2  # from the end of a process that drained to the next start
 
 
 class RunEnvironment(Protocol):
-    """Where the stand-ins run."""
+    """Provides event loops, random numbers and a clock to the stand-ins, and proxies to the fleet."""
 
-    loop: asyncio.AbstractEventLoop  # of whoever carries out the faults
-    folder: str  # where proxies' configurations stand
+    loop: asyncio.AbstractEventLoop  # of the fault injector
+    folder: str  # of the proxies' configuration files
 
     def rng(self, purpose: str) -> Random:
-        """A source of chance for one purpose."""
+        """Return a random generator whose sequence depends on the seed and the purpose alone."""
 
     def unix_time(self) -> float:
-        """The wall clock, in seconds."""
+        """Return the wall clock, in seconds."""
 
     def event_loop_for(self, name: str, address: tuple[str, int], zone: str | None) -> asyncio.AbstractEventLoop:
-        """The loop of one who stands there."""
+        """Return the event loop for the stand-in with that name and address; a zone of None marks a client."""
 
     def set_cut_off(self, address: tuple[str, int], is_cut_off: bool) -> None:
-        """A machine is cut off from the network, or there again."""
+        """Disconnect a host from the network, or reconnect it."""
 
     def make_proxy(self, fleet: "ProxyFleet", index: int) -> "ProxyHandle":
-        """A proxy that can be started."""
+        """Return a proxy that is not started yet."""
 
 
 class ProxyHandle(abc.ABC):
-    """What a proxy has in either environment: its place, its configuration and its share of a core."""
+    """Controls one proxy of a run: its address, its configuration file and its share of a core outlive its processes."""
 
     def __init__(self, environment: RunEnvironment, fleet: "ProxyFleet", index: int):
         self.environment = environment
@@ -49,33 +49,33 @@
         self.process: Any = None
         self.is_restarting = False
         self.cpu_share = fleet.scenario.proxies.cpu_share
-        self._seeds = environment.rng(f"proxy-{index}")
+        self._seed_rng = environment.rng(f"proxy-{index}")
 
     def write_config(self) -> None:
-        """Writes its configuration anew."""
-        config = self.fleet.instance_config(self.index, self._seeds.getrandbits(64))
+        """Write the configuration file, with a new seed."""
+        config = self.fleet.instance_config(self.index, self._seed_rng.getrandbits(64))
         self.config_path.write_text(json.dumps(config))
 
     @abc.abstractmethod
     def start(self) -> None:
-        """Starts its process."""
+        """Start its process, unless one is running."""
 
     @abc.abstractmethod
     def kill(self) -> None:
-        """Kills its process; it stays down."""
+        """Kill its process; another one starts only on `start`."""
 
     @abc.abstractmethod
     def restart(self) -> None:
-        """Asks its process to end, and starts another one then."""
+        """Have its process drain and exit, then start another one."""
 
     @abc.abstractmethod
     def pause(self, seconds: float) -> None:
-        """Its process gets no time at all for so long."""
+        """Give its process no CPU time for `seconds`."""
 
     @abc.abstractmethod
     def limit_cpu(self, share: float) -> None:
-        """Its process gets so much of a core from now on."""
+        """Limit its processes to a share of a core."""
 
     @abc.abstractmethod
     def reload(self) -> None:
-        """Writes its configuration anew and sends SIGHUP."""
+        """Write the configuration file and send SIGHUP."""
--- a/sloeferry/rehearsal/simulation.py
+++ b/sloeferry/rehearsal/simulation.py
@@ -1,4 +1,4 @@
-"""One play in virtual time: the proxy's own code, as many proxies as the scenario says, and everybody else."""
+"""Runs a scenario in virtual time: the code of real proxies against stand-ins, in one process on a simulated clock and network."""
 
 import contextlib
 import signal
@@ -22,10 +22,10 @@
 from sloeferry.rehearsal.simulated_socket import SimulatedSocket
 from sloeferry.rehearsal.virtual_time import START_SECONDS, Scheduler
 
-DEFAULT_UNIX_START = 1767225600.0  # where the scenario says none
-CALL_COSTS = {"read": 2, "write": 2, "dial": 3, "accept": 2}  # in eighths of a request's CPU time
-COST_PARTS = 8
-LOOK_SECONDS = 0.1  # between two looks whether the proxies are ready
+DEFAULT_UNIX_START = 1767225600.0  # 2026-01-01 00:00 UTC, for scenarios without a clock
+CALL_COSTS = {"read": 2, "write": 2, "dial": 3, "accept": 2}  # eighths of a request's CPU time
+COST_UNITS_PER_REQUEST = 8
+POLL_INTERVAL_SECONDS = 0.1  # between two checks of whether the proxies are ready
 MAX_RECORDED_ERRORS = 20
 
 Progress = Callable[[float, ProxyFleet], object]
@@ -33,7 +33,7 @@
 
 
 class VirtualEnvironment:
-    """A `RunEnvironment` in virtual time."""
+    """Provides the simulated clock, network and processes of a run in virtual time."""
 
     def __init__(self, scenario: Scenario, seed: int, folder: str, policy: str, environment_seed: int):
         unix_start = parse_start_time(scenario.clock) if scenario.clock else DEFAULT_UNIX_START
@@ -54,24 +54,24 @@
         self.unix_time = self.scheduler.unix_time
 
     def host(self, address: tuple[str, int], zone: str | None) -> SimulatedHost:
-        """The machine with that address."""
+        """Return the host with that IP address, created on the first use."""
         return self.network.hosts.get(address[0]) or SimulatedHost(self.network, address[0], zone)
 
     def event_loop_for(self, name: str, address: tuple[str, int], zone: str | None) -> SimulatedProcess:
-        """See RunEnvironment."""
+        """Return a new simulated process on the host with that address; the process is its event loop."""
         return SimulatedProcess(self.scheduler, self.host(address, zone), name)
 
     def set_cut_off(self, address: tuple[str, int], is_cut_off: bool) -> None:
-        """See RunEnvironment."""
+        """Disconnect a host from the simulated network, or reconnect it."""
         self.network.hosts[address[0]].is_cut_off = is_cut_off
 
     def make_proxy(self, fleet: ProxyFleet, index: int) -> "SimulatedProxy":
-        """See RunEnvironment."""
+        """Return a proxy that runs in a simulated process."""
         return SimulatedProxy(self, fleet, index)
 
 
 class SimulatedProxy(ProxyHandle):
-    """One proxy: a process that runs `serve`, and one after it."""
+    """Runs one proxy as a sequence of simulated processes, each of which runs `serve`."""
 
     environment: VirtualEnvironment
     process: SimulatedProcess
@@ -79,11 +79,11 @@
     def __init__(self, environment: VirtualEnvironment, fleet: ProxyFleet, index: int):
         super().__init__(environment, fleet, index)
         self._scheduler = environment.scheduler
-        part_seconds = fleet.scenario.proxies.request_cpu_us / 1e6 / COST_PARTS
-        self._costs = {call: parts * part_seconds for call, parts in CALL_COSTS.items()} if part_seconds else {}
+        unit_seconds = fleet.scenario.proxies.request_cpu_us / 1e6 / COST_UNITS_PER_REQUEST
+        self._costs = {call: units * unit_seconds for call, units in CALL_COSTS.items()} if unit_seconds else {}
 
     def start(self) -> None:
-        """See ProxyHandle."""
+        """Start a process with a new configuration file, unless one is running."""
         if self.process and not self.process.is_dead:
             return
         self.write_config()
@@ -93,73 +93,73 @@
         self.process.cpu_share = self.cpu_share
         environ = {"BALANCER_CONFIG": str(self.config_path)}
         policy = self.environment.policy
-        work = serve(read_instance_config(environ), environ, lambda dispatcher: baselines.install_baseline(dispatcher, policy))
-        self.process.run_main(work, self._exited)
+        main = serve(read_instance_config(environ), environ, lambda dispatcher: baselines.install_baseline(dispatcher, policy))
+        self.process.run_main(main, self._exited)
         self.fleet.balancer.proxy_started(self.name)
 
     def _exited(self, process: SimulatedProcess) -> None:
-        """It ended by itself: as it was told to, or not."""
+        """Handle the end of a process that was not killed: start the next one after a restart, report a crash otherwise."""
         if process is not self.process:
             return
         if self.is_restarting:
             self._scheduler.call_later(RESTART_DELAY_SECONDS, self.start)
         else:
-            self._ended_for_clients()
+            self._report_end_to_balancer()
             self.fleet.judge.proxy_crashed(self.name, self._scheduler.now, process.exit_reason)
 
-    def _ended_for_clients(self) -> None:
+    def _report_end_to_balancer(self) -> None:
         self.fleet.balancer.proxy_ended(self.name, self.fleet.scenario.balancer.failure_notice_seconds)
 
     def kill(self) -> None:
-        """See ProxyHandle."""
+        """Kill the process and report the kill to the judge and the connection balancer."""
         if self.process.is_dead:
             return
         self.fleet.judge.proxy_killed(self.name, self._scheduler.now)
         self.process.kill()
-        self._ended_for_clients()
+        self._report_end_to_balancer()
 
     def restart(self) -> None:
-        """See ProxyHandle."""
+        """Send SIGTERM and start the next process after this one's exit, or after the drain timeout."""
         if self.process.is_dead or self.is_restarting:
             return
         process = self.process
         self.is_restarting = True
         process.send_signal(signal.SIGTERM)
         self.fleet.balancer.proxy_ended(self.name, self.fleet.scenario.balancer.drain_notice_seconds)
-        self._scheduler.call_later(DRAIN_TIMEOUT_SECONDS, self._drain_overdue, process)
+        self._scheduler.call_later(DRAIN_TIMEOUT_SECONDS, self._drain_timed_out, process)
 
-    def _drain_overdue(self, process: SimulatedProcess) -> None:
+    def _drain_timed_out(self, process: SimulatedProcess) -> None:
         if not process.is_dead and process is self.process:
-            process.kill()  # what it still had is lost, and counts as lost
+            process.kill()  # its open requests are lost and count as lost
             self.start()
 
     def pause(self, seconds: float) -> None:
-        """See ProxyHandle."""
+        """Give the process no CPU time for a time, and report this to the judge."""
         now = self._scheduler.now
         self.fleet.judge.proxy_stopped(self.name, now, now + seconds)
         self.process.pause(seconds)
 
     def limit_cpu(self, share: float) -> None:
-        """See ProxyHandle."""
+        """Scale the CPU time of the process's calls to a share of a core."""
         self.cpu_share = share
         self.process.cpu_share = share
 
     def reload(self) -> None:
-        """See ProxyHandle."""
+        """Write a new configuration file and send SIGHUP."""
         if not self.process.is_dead:
             self.write_config()
             self.process.send_signal(signal.SIGHUP)
 
 
 class LogCounter:
-    """Counts the proxies' log by level; its lines go to `show_line` if there is one."""
+    """A loguru sink that counts log records of the proxies by level and passes their lines to `show_line`, if set."""
 
     def __init__(self, show_line: ShowLine | None):
         self.counts: dict[str, int] = {}
         self._show_line = show_line
 
     def __call__(self, message: Any) -> None:
-        """As loguru calls its sinks."""
+        """Count one log record."""
         level = message.record["level"].name
         self.counts[level] = self.counts.get(level, 0) + 1
         if self._show_line:
@@ -168,12 +168,12 @@
 
 
 @contextlib.contextmanager
-def proxies_run_in(run_environment: VirtualEnvironment, log: LogCounter) -> Iterator[None]:
-    """Has the proxies' code use the simulated clock and network, and log to `log`, for as long as the play lasts."""
+def simulated_system(run_environment: VirtualEnvironment, log: LogCounter) -> Iterator[None]:
+    """Replace the system functions and the log sink that proxies use by simulated ones, until the block ends."""
     scheduler, network = run_environment.scheduler, run_environment.network
     logger.remove()
     logger.add(log, level="INFO", format="{message}", catch=False)
-    before = environment.replace(
+    previous = environment.replace(
         monotonic=scheduler.monotonic,
         unix_time=scheduler.unix_time,
         tcp_socket=network.socket,
@@ -184,7 +184,7 @@
         yield
     finally:
         scheduler.close()
-        environment.replace(**before)
+        environment.replace(**previous)
         logger.remove()
         logger.add(sys.stderr, level="WARNING")
 
@@ -197,15 +197,16 @@
     show_line: ShowLine | None = None,
     environment_seed: int = 0,
 ) -> dict[str, Any]:
-    """Plays it; the record.  `progress` is called each virtual second.
+    """Run a scenario in virtual time and return its record; `progress` is called once per virtual second.
 
-    Another `environment_seed`: the same requests and faults, other random numbers of network and proxies.
+    `seed` determines the requests and faults.  `environment_seed` changes only the random numbers of the network, discovery and
+    the proxies.
     """
     log = LogCounter(show_line)
     with tempfile.TemporaryDirectory(prefix="rehearsal-") as folder:
         run_environment = VirtualEnvironment(scenario, seed, folder, policy, environment_seed)
-        with proxies_run_in(run_environment, log):
-            record = _play_in(run_environment, scenario, progress)
+        with simulated_system(run_environment, log):
+            record = _run_scenario(run_environment, scenario, progress)
     record["seed"] = seed
     record["policy"] = policy
     record["chance"] = environment_seed
@@ -213,11 +214,11 @@
     return record
 
 
-def _play_in(run_environment: VirtualEnvironment, scenario: Scenario, progress: Progress | None) -> dict[str, Any]:
+def _run_scenario(run_environment: VirtualEnvironment, scenario: Scenario, progress: Progress | None) -> dict[str, Any]:
     scheduler = run_environment.scheduler
     fleet = ProxyFleet(scenario, run_environment)
     run_environment.loop.create_task(fleet.start_stand_ins())
-    scheduler.run(scheduler.now + LOOK_SECONDS)
+    scheduler.run(scheduler.now + POLL_INTERVAL_SECONDS)
     for proxy in fleet.proxies:
         proxy.start()
     _run_until_ready(scheduler, fleet)
@@ -242,4 +243,4 @@
 def _run_until_ready(scheduler: Scheduler, fleet: ProxyFleet) -> None:
     began_at = scheduler.now
     while not all(fleet.balancer.alive.values()) and scheduler.now < began_at + READY_TIMEOUT_SECONDS:
-        scheduler.run(scheduler.now + LOOK_SECONDS)
+        scheduler.run(scheduler.now + POLL_INTERVAL_SECONDS)
