--- a/sloeferry/rehearsal/simulation.py
+++ b/sloeferry/rehearsal/simulation.py
@@ -1,4 +1,4 @@
-"""Runs a scenario in virtual time: the code of real proxies against stand-ins, in one process on a simulated clock and network."""
+"""Runs a scenario in virtual time: the code of real proxies against stand-ins, in one process with a simulated clock."""
 
 import contextlib
 import signal
