--- a/sloeferry/fault_testing/fault_actions.py
+++ b/sloeferry/fault_testing/fault_actions.py
@@ -182,7 +182,7 @@
 
     def apply(self) -> None:
         """Stop discovery and schedule its return."""
-        for place in self.fleet.places:
+        for place in self.fleet.listeners:
             self.recorder.note(self.loop.time(), Event.DISCOVERY_UNREACHABLE, place.name, self.ends_at())
         discovery = self.fleet.discovery
         discovery.stop()
--- a/sloeferry/fault_testing/process_fleet.py
+++ b/sloeferry/fault_testing/process_fleet.py
@@ -27,7 +27,7 @@
 from sloeferry.fault_testing.worker_processes import RemoteBackend, WorkerProcess
 from sloeferry.fault_testing.worker_protocol import ReportKind, WorkerConfig, WorkerReport, WorkerRole
 from sloeferry.rehearsal.faults import FaultInjector
-from sloeferry.rehearsal.proxy_fleet import ProxyFleet, plan_backends, plan_places
+from sloeferry.rehearsal.proxy_fleet import ProxyFleet, plan_backends, plan_listeners
 from sloeferry.rehearsal.scenario_tables import Backends
 from sloeferry.stand_ins.connection_balancer import ProxyListener
 from sloeferry.stand_ins.discovery import StandInDiscovery
@@ -55,7 +55,7 @@
         self.tool_errors: list[str] = []  # errors of the driver and the workers
         self.objective_ratios: dict[int, float] = {}  # proxy -> factor of the plan's latency objective
         self.judge = EventRecorder(plan, options.seed, pathlib.Path(host.folder, "driver.jsonl"), self.loop.time)
-        self.places: list[ProxyListener] = plan_places(plan, port)
+        self.listeners: list[ProxyListener] = plan_listeners(plan, port)
         targets = TargetSelection(plan, port, host.rng)
         self.fault_targets = targets.targets_by_fault
         self._links = targets.links
@@ -69,14 +69,14 @@
         relays = self._create_workers(WorkerRole.RELAY, 1 if self._links else 0)
         self.relay = relays[0] if relays else None
         self._all_workers = [*self._backend_workers, *self._client_workers, *relays]
-        self.balancer = SharedBalancer(self.loop, plan.balancer, self.places, self._broadcast_alive)
+        self.balancer = SharedBalancer(self.loop, plan.balancer, self.listeners, self._broadcast_alive)
         self.backends: list[RemoteBackend] = []
         self._backends_by_number: dict[int, RemoteBackend] = {}  # including replaced ones
         self.proxies = [host.make_proxy(self, number) for number in range(plan.proxies.count)]
 
     def _create_workers(self, role: WorkerRole, count: int) -> list[WorkerProcess]:
         options = self._options
-        places = [(place.name, self._address_for_clients(number), place.zone) for number, place in enumerate(self.places)]
+        places = [(place.name, self._address_for_clients(number), place.zone) for number, place in enumerate(self.listeners)]
         return [
             WorkerProcess(
                 self.environment,
@@ -98,7 +98,7 @@
 
     def _address_for_clients(self, proxy: int) -> Address:
         link = self._links.get(clients_link(proxy))
-        return link.listen_address if link else self.places[proxy].address
+        return link.listen_address if link else self.listeners[proxy].address
 
     def record_paths(self) -> list[str]:
         """Return the paths of all processes' records, the driver's first."""
@@ -179,7 +179,7 @@
     def _target(self, link: RelayedLink) -> Address:
         if link.backend is not None:
             return self.backends[link.backend].address
-        place = self.places[link.proxy]
+        place = self.listeners[link.proxy]
         return place.address if link.between == "callers" else self.discovery.addresses[place.name]
 
     def begin(self, now: float) -> None:
@@ -196,7 +196,7 @@
 
     async def _audit(self) -> None:
         self.judge.note(self.loop.time(), Event.AUDIT_BEGAN, self.discovery.backend_list.revision)
-        result = await audit_running_fleet(self.places, self.discovery)
+        result = await audit_running_fleet(self.listeners, self.discovery)
         self.judge.note(self.loop.time(), Event.AUDIT_ENDED, result)
 
     async def end(self) -> None:
--- a/sloeferry/rehearsal/proxy_fleet.py
+++ b/sloeferry/rehearsal/proxy_fleet.py
@@ -70,7 +70,7 @@
     return planned
 
 
-def plan_places(scenario: Scenario, port: int) -> list[ProxyListener]:
+def plan_listeners(scenario: Scenario, port: int) -> list[ProxyListener]:
     """Return the names, addresses and zones of the proxies, assigned to the zones in turn."""
     zones = scenario.network.zones
     return [
@@ -88,8 +88,8 @@
         self.loop = environment.loop
         self.port = port
         self.judge = Judge(scenario, plan_requests(scenario, environment.rng("arrivals")))
-        self.places = plan_places(scenario, port)
-        self.judge.proxy_zones = {place.name: place.zone for place in self.places}
+        self.listeners = plan_listeners(scenario, port)
+        self.judge.proxy_zones = {listener.name: listener.zone for listener in self.listeners}
         self._deduplication_stores = DeduplicationStores()
         self._backend_count = 0
         zones = scenario.network.zones
@@ -102,14 +102,14 @@
         )
         self.backends = [self.make_backend(settings, zone) for settings, zone in plan_backends(scenario)]
         balancer_loop = environment.event_loop_for("front", (loopback_address(BALANCER_BLOCK, 0), 0), None)
-        self.balancer = ConnectionBalancer(balancer_loop, scenario.balancer, self.places)
+        self.balancer = ConnectionBalancer(balancer_loop, scenario.balancer, self.listeners)
         self.clients = [self._make_clients(index, zone) for index, zone in enumerate(zones)]
         self.proxies = [environment.make_proxy(self, index) for index in range(scenario.proxies.count)]
 
     def discovery_addresses(self) -> dict[str, tuple[str, int]]:
         """Return the address at which each proxy calls discovery, by the proxy's name."""
         host, first_port = loopback_address(DISCOVERY_BLOCK, 0), self.port + DISCOVERY_PORT_OFFSET
-        return {place.name: (host, first_port + index) for index, place in enumerate(self.places)}
+        return {listener.name: (host, first_port + index) for index, listener in enumerate(self.listeners)}
 
     def _make_clients(self, index: int, zone: str) -> StandInClients:
         zone_count = len(self.scenario.network.zones)
@@ -180,7 +180,7 @@
 
     def instance_config(self, index: int, seed: int) -> dict[str, Any]:
         """Return the configuration file's content for the proxy with that number, as the platform writes it."""
-        name, address, _ = self.places[index]
+        name, address, _ = self.listeners[index]
         proxies = self.scenario.proxies
         return platform.instance_config(
             name,
--- a/sloeferry/rehearsal/run_environment.py
+++ b/sloeferry/rehearsal/run_environment.py
@@ -44,7 +44,7 @@
         self.environment = environment
         self.fleet = fleet
         self.index = index
-        self.name, self.address, self.zone = fleet.places[index]
+        self.name, self.address, self.zone = fleet.listeners[index]
         self.config_path = pathlib.Path(environment.folder) / f"{self.name}.json"
         self.process: Any = None
         self.is_restarting = False
