--- a/sloeferry/rehearsal/live.py
+++ b/sloeferry/rehearsal/live.py
@@ -1,7 +1,7 @@
-"""The same play with real proxies, each a process of its own, and the same stand-ins, on loopback in real time.
+"""Runs a scenario live: real proxy processes against the stand-ins of this process, on loopback in real time.
 
-What a simulated network can do and loopback can't: latencies, bytes in pieces, machines that are cut off (their backends say
-nothing here, but their connections come up).  All processes started here are ended here, by id.
+Unlike the simulated network, loopback has no latencies, doesn't split sent bytes and can't disconnect a host: the backends of
+such a host don't respond, but connections to them are established.  All processes started here are ended here, by process id.
 """
 
 import asyncio
@@ -23,19 +23,19 @@
 from sloeferry.stand_ins import processes
 from sloeferry.stand_ins.processes import Throttle, free_ports
 
-MAX_PROXIES = 16  # that a machine is asked to carry
+MAX_PROXIES = 16  # limits the load on the machine
 MAX_SECONDS = 600
-READY_LOOK_SECONDS = 0.05
-PLAY_LOOK_SECONDS = 0.25
+READY_POLL_SECONDS = 0.05
+PROGRESS_INTERVAL_SECONDS = 0.25
 END_TIMEOUT_SECONDS = 5
-LOG_LINE_PARTS = 3  # time, level, message
+LOG_LINE_PART_COUNT = 3  # time, level, message
 
 Progress = Callable[[float, ProxyFleet], object]
 ShowLine = Callable[[str], object]
 
 
 class ProxyCommand(NamedTuple):
-    """How a proxy is started; `working_directory` is whose code it runs (None: this one's)."""
+    """The command that starts a proxy; it runs the code in `working_directory`, or this process's if that is None."""
 
     arguments: list[str]
     environ: dict[str, str]
@@ -43,7 +43,7 @@
 
 
 class LiveEnvironment:
-    """A `RunEnvironment` in real time."""
+    """Provides this process's event loop, the real clock and real proxy processes to a live run."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, seed: int, folder: str):
         self.loop = loop
@@ -51,51 +51,51 @@
         self.folder = folder
 
     def rng(self, purpose: str) -> Random:
-        """See RunEnvironment."""
+        """Return a random generator whose sequence depends on the seed and the purpose alone."""
         return Random(f"{self.seed}/{purpose}")
 
     def unix_time(self) -> float:
-        """See RunEnvironment."""
+        """Return the wall clock, in seconds."""
         return time.time()
 
     def event_loop_for(self, name: str, address: tuple[str, int], zone: str | None) -> asyncio.AbstractEventLoop:
-        """See RunEnvironment."""
+        """Return the one event loop, which all stand-ins share."""
         return self.loop
 
     def set_cut_off(self, address: tuple[str, int], is_cut_off: bool) -> None:
-        """See RunEnvironment: the backend itself says nothing."""
+        """Do nothing: the backend itself stops responding."""
 
     def make_proxy(self, fleet: ProxyFleet, index: int) -> "LiveProxy":
-        """See RunEnvironment."""
+        """Return a proxy that runs in a real process."""
         return LiveProxy(self, fleet, index)
 
     def command(self, proxy: "LiveProxy") -> ProxyCommand:
-        """How a proxy is started."""
+        """Return the command that starts a proxy."""
         return ProxyCommand(*processes.proxy_command(), None)
 
     def process_started(self, process: asyncio.subprocess.Process) -> None:
-        """A proxy's process has been started."""
+        """Handle the start of a proxy's process; subclasses may override this."""
 
 
 class LiveProxy(ProxyHandle):
-    """One proxy: a real process, and one after it."""
+    """Runs one proxy as a sequence of real processes."""
 
     environment: LiveEnvironment
     process: asyncio.subprocess.Process | None
 
     def __init__(self, environment: LiveEnvironment, fleet: ProxyFleet, index: int):
         super().__init__(environment, fleet, index)
-        self.is_run_over = False  # the play ends
+        self.is_run_over = False  # then no further process is started
         self._loop = environment.loop
         self._throttle: Throttle | None = None
         self._was_killed = False
 
     def start(self) -> None:
-        """See ProxyHandle."""
-        self._loop.create_task(self._run())
+        """Start a process with a new configuration file, unless one is running."""
+        self._loop.create_task(self._run_process())
 
-    async def _run(self) -> None:
-        """One process, from its start to its end."""
+    async def _run_process(self) -> None:
+        """Run one process until it ends; start the next one after a restart, report a crash otherwise."""
         if self.process or self.is_run_over:
             return
         self.write_config()
@@ -116,7 +116,7 @@
             await asyncio.sleep(RESTART_DELAY_SECONDS)
             self.start()
             return
-        self._ended_for_clients()
+        self._report_end_to_balancer()
         self.fleet.judge.proxy_crashed(self.name, self._loop.time(), f"exit {exit_code}")
 
     async def _create_process(self) -> asyncio.subprocess.Process:
@@ -131,37 +131,37 @@
                 start_new_session=True,
             )
 
-    def _ended_for_clients(self) -> None:
+    def _report_end_to_balancer(self) -> None:
         self.fleet.balancer.proxy_ended(self.name, self.fleet.scenario.balancer.failure_notice_seconds)
 
     def send_signal(self, number: int = signal.SIGKILL) -> None:
-        """A signal, if its process is there; a stopped one goes on."""
+        """Send a signal to the process, if one is running; a stopped process is continued first."""
         if self.process:
             processes.send_signal(self.process, signal.SIGCONT)
             processes.send_signal(self.process, number)
 
     def kill(self) -> None:
-        """See ProxyHandle."""
+        """Kill the process and report the kill to the judge and the connection balancer."""
         if self.process and not self._was_killed:
             self._was_killed = True
             self.fleet.judge.proxy_killed(self.name, self._loop.time())
             self.send_signal()
-            self._ended_for_clients()
+            self._report_end_to_balancer()
 
     def restart(self) -> None:
-        """See ProxyHandle."""
+        """Send SIGTERM and start the next process after this one's exit; kill it after the drain timeout."""
         if self.process and not self.is_restarting:
             self.is_restarting = True
             self.send_signal(signal.SIGTERM)
             self.fleet.balancer.proxy_ended(self.name, self.fleet.scenario.balancer.drain_notice_seconds)
-            self._loop.call_later(DRAIN_TIMEOUT_SECONDS, self._drain_overdue, self.process)
+            self._loop.call_later(DRAIN_TIMEOUT_SECONDS, self._drain_timed_out, self.process)
 
-    def _drain_overdue(self, process: asyncio.subprocess.Process) -> None:
+    def _drain_timed_out(self, process: asyncio.subprocess.Process) -> None:
         if self.process is process:
             self.send_signal()
 
     def pause(self, seconds: float) -> None:
-        """See ProxyHandle."""
+        """Stop the process with SIGSTOP for a time, and report this to the judge."""
         if self.process:
             now = self._loop.time()
             self.fleet.judge.proxy_stopped(self.name, now, now + seconds)
@@ -169,7 +169,7 @@
             self._loop.call_later(seconds, self.send_signal, signal.SIGCONT)
 
     def limit_cpu(self, share: float) -> None:
-        """See ProxyHandle."""
+        """Throttle the process to a share of a core."""
         self.cpu_share = share
         if self._throttle:
             self._throttle.cpu_ratio = share
@@ -178,29 +178,31 @@
             self._throttle.start()
 
     def reload(self) -> None:
-        """See ProxyHandle."""
+        """Write a new configuration file and send SIGHUP."""
         if self.process:
             self.write_config()
             self.send_signal(signal.SIGHUP)
 
 
 def check(scenario: Scenario) -> None:
-    """Raises ScenarioError for what can't be played live."""
+    """Raise ScenarioError if the scenario is too large or too long for a live run."""
     proxy_count = scenario.proxies.count
     if proxy_count > MAX_PROXIES:
-        raise ScenarioError(f"bank.proxies: {proxy_count} are too many for a live play, {MAX_PROXIES} at most")
+        raise ScenarioError(
+            f"bank.proxies: {proxy_count} proxies are too many for a live run, at most {MAX_PROXIES} are possible"
+        )
     if scenario.seconds > MAX_SECONDS:
-        raise ScenarioError(f"seconds: {scenario.seconds:g} is too long for a live play, {MAX_SECONDS} at most")
+        raise ScenarioError(f"seconds: {scenario.seconds:g} s is too long for a live run, at most {MAX_SECONDS} s are possible")
 
 
 def run_live(
     scenario: Scenario, seed: int, progress: Progress | None = None, show_line: ShowLine | None = None
 ) -> dict[str, Any]:
-    """Plays it; the record, which another run will not repeat to the byte."""
+    """Run a scenario live and return its record; unlike in virtual time, two runs with one seed differ."""
     check(scenario)
     with tempfile.TemporaryDirectory(prefix="rehearsal-") as folder:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            record = runner.run(_play_in(scenario, seed, folder, progress))
+            record = runner.run(_run_scenario(scenario, seed, folder, progress))
         log_counts = _read_logs(pathlib.Path(folder), show_line)
     record["seed"] = seed
     record["policy"] = DESIGN
@@ -209,7 +211,7 @@
     return record
 
 
-async def _play_in(scenario: Scenario, seed: int, folder: str, progress: Progress | None) -> dict[str, Any]:
+async def _run_scenario(scenario: Scenario, seed: int, folder: str, progress: Progress | None) -> dict[str, Any]:
     loop = asyncio.get_running_loop()
     fleet = ProxyFleet(scenario, LiveEnvironment(loop, seed, folder), free_ports("127.10.0.1", 1)[0] // 2 + 16000)
     try:
@@ -220,7 +222,7 @@
         ends_at = began_at + scenario.seconds
         latest_end = ends_at + fleet.last_request_timeout_seconds()
         while loop.time() < ends_at or fleet.has_open_requests() and loop.time() < latest_end:
-            await asyncio.sleep(PLAY_LOOK_SECONDS)
+            await asyncio.sleep(PROGRESS_INTERVAL_SECONDS)
             if progress:
                 progress(loop.time() - began_at, fleet)
         return fleet.record(loop.time())
@@ -235,28 +237,28 @@
 
 
 async def start_proxies(fleet: ProxyFleet) -> None:
-    """Starts all, and waits until they are ready, or for as long as they may take."""
+    """Start all proxies and wait until they are ready, or until the timeout."""
     for proxy in fleet.proxies:
         proxy.start()
-    until = fleet.loop.time() + READY_TIMEOUT_SECONDS
-    while not all(fleet.balancer.alive.values()) and fleet.loop.time() < until:
-        await asyncio.sleep(READY_LOOK_SECONDS)
+    deadline = fleet.loop.time() + READY_TIMEOUT_SECONDS
+    while not all(fleet.balancer.alive.values()) and fleet.loop.time() < deadline:
+        await asyncio.sleep(READY_POLL_SECONDS)
 
 
 async def wait_until_ended(fleet: ProxyFleet) -> None:
-    """Waits until the proxies' processes have ended, or for as long as that may take."""
-    until = fleet.loop.time() + END_TIMEOUT_SECONDS
-    while any(proxy.process for proxy in fleet.proxies) and fleet.loop.time() < until:
-        await asyncio.sleep(READY_LOOK_SECONDS)
+    """Wait until the proxies' processes have ended, or until the timeout."""
+    deadline = fleet.loop.time() + END_TIMEOUT_SECONDS
+    while any(proxy.process for proxy in fleet.proxies) and fleet.loop.time() < deadline:
+        await asyncio.sleep(READY_POLL_SECONDS)
 
 
 def _read_logs(folder: pathlib.Path, show_line: ShowLine | None) -> dict[str, int]:
-    """Counts the proxies' log lines by level."""
+    """Return the number of the proxies' log lines by level; `show_line` gets each line if it is set."""
     counts: dict[str, int] = {}
     lines = ((path.stem, line) for path in sorted(folder.glob("*.log")) for line in path.read_text(errors="replace").splitlines())
     for name, line in lines:
         parts = line.split(" ", 2)
-        if len(parts) < LOG_LINE_PARTS:
+        if len(parts) < LOG_LINE_PART_COUNT:
             continue
         level = parts[1]
         counts[level] = counts.get(level, 0) + 1
