--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet's audit: real proxies, each with another fault, and what the audit says of each; and what is no answer."""
+"""Tests of the fleet audit and bring-up with real proxy processes, and of malformed answers and invalid input."""
 
 import asyncio
 import json
@@ -26,135 +26,144 @@
 from tests.support.golden import LineRecorder, compare
 
 ROOT = pathlib.Path(__file__).parents[1]
-SCHEMES = [platform.request_class_settings("pull", "repeatable", 300, 800, 1.0)]
+REQUEST_CLASSES = [platform.request_class_settings("pull", "repeatable", 300, 800, 1.0)]
 
 
-class Harm(unittest.TestCase):
-    """Eleven processes of the program, one discovery, a fault each."""
+class FleetAuditTest(unittest.TestCase):
+    """Ten proxies with one discovery; each proxy that misses a change of the list or of the settings has a different fault."""
 
-    NAMES = [f"p{at}" for at in range(10)]
+    NAMES = [f"p{index}" for index in range(10)]
 
-    def write(self, at, sla=300, **more):
+    def write_config(self, index, latency_objective_ms=300, **options):
         settings = platform.proxy_settings(
-            [dict(SCHEMES[0], sla_time=sla * 1000)],
+            [dict(REQUEST_CLASSES[0], sla_time=latency_objective_ms * 1000)],
             [],
             instance_count=len(self.NAMES),
-            ordinal=at,
+            ordinal=index,
             zones=["a", "b"],
             machine_kinds=["m"],
         )
-        path = pathlib.Path(self.folder, f"p{at}.json")
+        path = pathlib.Path(self.folder, f"p{index}.json")
         path.write_text(
             json.dumps(
                 platform.instance_config(
-                    f"p{at}",
-                    ("127.0.0.1", self.ports[at]),
-                    more.pop("discovery", self.lists[f"p{at}"]),
+                    f"p{index}",
+                    ("127.0.0.1", self.ports[index]),
+                    options.pop("discovery", self.discovery_addresses[f"p{index}"]),
                     settings,
-                    seed=at,
-                    admin=("127.0.0.1", self.ops[at]),
-                    **more,
+                    seed=index,
+                    admin=("127.0.0.1", self.admin_ports[index]),
+                    **options,
                 )
             )
         )
         return path
 
-    def start(self, at, **more):
-        self.processes[at] = processes.start(self.write(at, **more), SLOEFERRY_OPERATOR=str(self.operators))
+    def start_proxy(self, index, **options):
+        self.processes[index] = processes.start(self.write_config(index, **options), SLOEFERRY_OPERATOR=str(self.operator_file))
 
-    async def until(self, met):
-        """Waits for a state, not for a time."""
+    async def wait_until(self, is_met):
+        """Wait until a condition holds, instead of for a fixed time."""
         for _ in range(1500):
-            if await met():
+            if await is_met():
                 return
             await asyncio.sleep(0.02)
-        self.fail("it never came to that")
+        self.fail("the condition was not met in time")
 
-    async def holds(self, at, **what):
-        said = await request_json(("127.0.0.1", self.ops[at]), "/admin/versions")
-        if isinstance(said, NoAnswer):
+    async def has_versions(self, index, **expected):
+        document = await request_json(("127.0.0.1", self.admin_ports[index]), "/admin/versions")
+        if isinstance(document, NoAnswer):
             return False
         held = {
-            "revision": (said["list"] or {}).get("revision"),
-            "generation": said["settings"]["generation"],
-            "refused": len(said["refused"]),
+            "revision": (document["list"] or {}).get("revision"),
+            "generation": document["settings"]["generation"],
+            "refused": len(document["refused"]),
         }
-        return all(held[key] == value for key, value in what.items())
+        return all(held[key] == value for key, value in expected.items())
 
-    async def course(self):
+    async def run_scenario(self):
         loop, count = asyncio.get_running_loop(), len(self.NAMES)
         ports = processes.free_ports("127.0.0.1", 3 * count + 2)
-        self.ports, self.ops = ports[:count], ports[count : 2 * count]
-        self.lists = {name: ("127.0.0.1", ports[2 * count + at]) for at, name in enumerate(self.NAMES)}
-        roster = StandInDiscovery(
-            loop, types.SimpleNamespace(call_ms=0.0, notification_spread_ms=0.0), self.lists, EffectLog(), Random(1)
+        self.ports, self.admin_ports = ports[:count], ports[count : 2 * count]
+        self.discovery_addresses = {name: ("127.0.0.1", ports[2 * count + index]) for index, name in enumerate(self.NAMES)}
+        stand_in_discovery = StandInDiscovery(
+            loop, types.SimpleNamespace(call_ms=0.0, notification_spread_ms=0.0), self.discovery_addresses, EffectLog(), Random(1)
         )
-        nodes = [
+        backends = [
             types.SimpleNamespace(
-                backend_id=f"s{at}", address=("127.0.0.1", 1), zone="a", settings=types.SimpleNamespace(machine_kind="m")
+                backend_id=f"s{index}", address=("127.0.0.1", 1), zone="a", settings=types.SimpleNamespace(machine_kind="m")
             )
-            for at in range(3)
+            for index in range(3)
         ]
-        for node in nodes:
-            roster.publish(node, "active", 0.0)
-        await roster.start()
-        link = Link(loop, "discovery/4", ("127.0.0.1", ports[-1]), self.lists["p4"], types.SimpleNamespace(note=lambda *_: None))
+        for backend in backends:
+            stand_in_discovery.publish(backend, "active", 0.0)
+        await stand_in_discovery.start()
+        link = Link(
+            loop,
+            "discovery/4",
+            ("127.0.0.1", ports[-1]),
+            self.discovery_addresses["p4"],
+            types.SimpleNamespace(note=lambda *_: None),
+        )
         await link.open()
-        garbage = await asyncio.start_server(self.babble, "127.0.0.1", ports[-2])
-        for at in range(count):
-            self.start(at, **({"discovery": ("127.0.0.1", ports[-1])} if at == 4 else {}))
-        for at in range(count):
-            await self.until(lambda at=at: self.holds(at, revision=3))
-        # The change, and what keeps some from it.
-        known = roster.last_sent_list("p8")
+        malformed_server = await asyncio.start_server(self.send_truncated_answer, "127.0.0.1", ports[-2])
+        for index in range(count):
+            self.start_proxy(index, **({"discovery": ("127.0.0.1", ports[-1])} if index == 4 else {}))
+        for index in range(count):
+            await self.wait_until(lambda index=index: self.has_versions(index, revision=3))
+        # List and settings change, while faults keep some proxies from receiving the change.
+        cached_list = stand_in_discovery.last_sent_list("p8")
         self.processes[8].kill()
         self.processes[8].wait()
         await link.set_condition(LinkCondition(LinkState.HOLD))
-        roster.show_older_list("p7", until=loop.time())
+        stand_in_discovery.show_older_list("p7", until=loop.time())
         processes.send_signal(self.processes[2], signal.SIGSTOP)
         processes.send_signal(self.processes[3], signal.SIGKILL)
         self.processes[3].wait()
-        roster.publish(nodes[0], "leaving")
-        for at in (0, 1, 4, 6, 7, 9):
-            path = self.write(at, sla=400, **({"discovery": ("127.0.0.1", ports[-1])} if at == 4 else {}))
-            if at == 6:
+        stand_in_discovery.publish(backends[0], "leaving")
+        for index in (0, 1, 4, 6, 7, 9):
+            path = self.write_config(
+                index, latency_objective_ms=400, **({"discovery": ("127.0.0.1", ports[-1])} if index == 4 else {})
+            )
+            if index == 6:
                 path.write_text(path.read_text()[:200])
-            processes.send_signal(self.processes[at], signal.SIGHUP)
-        self.write(5, sla=400)  # its SIGHUP is lost
-        self.start(8, sla=400, known_list=known, discovery=("127.0.0.1", 1))
-        for at in (0, 1, 9):
-            await self.until(lambda at=at: self.holds(at, revision=4, generation=2))
-        await self.until(lambda: self.holds(6, revision=4, refused=1))
-        await self.until(lambda: self.holds(7, revision=3, generation=2))
-        await self.until(lambda: self.holds(5, revision=4, generation=1))
-        await self.until(lambda: self.holds(8, revision=3))
+            processes.send_signal(self.processes[index], signal.SIGHUP)
+        self.write_config(5, latency_objective_ms=400)  # without a SIGHUP
+        self.start_proxy(8, latency_objective_ms=400, known_list=cached_list, discovery=("127.0.0.1", 1))
+        for index in (0, 1, 9):
+            await self.wait_until(lambda index=index: self.has_versions(index, revision=4, generation=2))
+        await self.wait_until(lambda: self.has_versions(6, revision=4, refused=1))
+        await self.wait_until(lambda: self.has_versions(7, revision=3, generation=2))
+        await self.wait_until(lambda: self.has_versions(5, revision=4, generation=1))
+        await self.wait_until(lambda: self.has_versions(8, revision=3))
 
-        async def silent():  # as long as the audit takes to call it cut off
-            said = await request_json(("127.0.0.1", self.ops[4]), "/admin/versions")
-            return not isinstance(said, NoAnswer) and said["confirmed_ms"] > 5200
+        async def is_cut_off():  # the audit reports a proxy as cut off after 5 s without data from discovery
+            document = await request_json(("127.0.0.1", self.admin_ports[4]), "/admin/versions")
+            return not isinstance(document, NoAnswer) and document["confirmed_ms"] > 5200
 
-        await self.until(silent)
-        lines = [f'discovery = "127.0.0.1:{self.lists["p0"][1]}"']
-        for at, name in enumerate([*self.NAMES[:9], "somebody", "babbler"]):
-            lines.append(f'[[proxy]]\nname = "{name}"\nat = "127.0.0.1:{[*self.ops, ports[-2]][at]}"')
+        await self.wait_until(is_cut_off)
+        lines = [f'discovery = "127.0.0.1:{self.discovery_addresses["p0"][1]}"']
+        for index, name in enumerate([*self.NAMES[:9], "somebody", "babbler"]):
+            lines.append(f'[[proxy]]\nname = "{name}"\nat = "127.0.0.1:{[*self.admin_ports, ports[-2]][index]}"')
         path = pathlib.Path(self.folder, "fleet.toml")
         path.write_text("\n".join(lines))
-        before = await self.verb("audit", path)
-        # What kept some from it goes; then who lags is brought up.
-        roster.show_newest_list("p7")
-        roster.show_older_list("p5", until=loop.time())
-        roster.publish(nodes[1], "leaving")
-        self.write(6, sla=400)
-        for at in (0, 1, 7, 9):
-            await self.until(lambda at=at: self.holds(at, revision=5))
-        roster.show_newest_list("p5", sends_missed_changes=False)  # its watch has missed a change, and only a new one brings it
-        after = await self.verb("bring-up", path, "--pace", "0.05", "--patience", "2")
-        garbage.close()
-        roster.stop()
+        before = await self.run_fleet_command("audit", path)
+        # Some faults end, then the remaining stragglers are brought up.
+        stand_in_discovery.show_newest_list("p7")
+        stand_in_discovery.show_older_list("p5", until=loop.time())
+        stand_in_discovery.publish(backends[1], "leaving")
+        self.write_config(6, latency_objective_ms=400)
+        for index in (0, 1, 7, 9):
+            await self.wait_until(lambda index=index: self.has_versions(index, revision=5))
+        # The watch of p5 has missed a change, which only a poll or a new watch delivers.
+        stand_in_discovery.show_newest_list("p5", sends_missed_changes=False)
+        after = await self.run_fleet_command("bring-up", path, "--pace", "0.05", "--patience", "2")
+        malformed_server.close()
+        stand_in_discovery.stop()
         link.server.close()
         return before, after
 
-    async def verb(self, name, path, *words):
+    async def run_fleet_command(self, name, path, *arguments):
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -164,46 +173,45 @@
             "--fleet",
             str(path),
             "--json",
-            *words,
+            *arguments,
             cwd=ROOT,
             stdout=subprocess.PIPE,
             stderr=subprocess.DEVNULL,
         )
-        text = (await process.communicate())[0]
-        return process.returncode, json.loads(text)
+        output = (await process.communicate())[0]
+        return process.returncode, json.loads(output)
 
-    async def babble(self, reader, writer):
+    async def send_truncated_answer(self, reader, writer):
         await reader.read(100)
         writer.write(b'HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n{"name": "babb')
         writer.close()
 
-    def test_causes(self):
-        """Each straggler has its cause; who does not answer is unknown, never fine."""
+    def test_audit_names_the_cause_of_each_straggler(self):
+        """The audit reports the cause of each straggler, and proxies that do not answer as unknown instead of current."""
         self.processes, lines = {}, LineRecorder()
         with tempfile.TemporaryDirectory() as self.folder:
-            self.operators = pathlib.Path(self.folder, "operator.toml")
-            self.operators.write_text("[versions]\ntell = true\nbring_up = true\n")
+            self.operator_file = pathlib.Path(self.folder, "operator.toml")
+            self.operator_file.write_text("[versions]\ntell = true\nbring_up = true\n")
             try:
-                both = asyncio.run(self.course())
+                results = asyncio.run(self.run_scenario())
             finally:
                 for process in self.processes.values():
                     processes.send_signal(process, signal.SIGKILL)
                     process.wait()
-        for code, said in both:
+        for exit_status, record in results:
             lines.lines.append(
-                f"exit {code}, newest list {said['newest']['list']}, by discovery {said['newest']['by_discovery']}: "
-                f"{said['current']} current, {said['straggler']} behind, {said['unknown']} unknown"
+                f"exit {exit_status}, newest list {record['newest']['list']}, by discovery {record['newest']['by_discovery']}: "
+                f"{record['current']} current, {record['straggler']} behind, {record['unknown']} unknown"
             )
-            lines.lines += sorted(f"told {one['name']}: {one['step']}: {one['answer']}" for one in said.get("calls", ()))
-            lines.lines += [f"{row['name']}: {row['state']} {row.get('behind', '')} {row['cause']}" for row in said["rows"]]
+            lines.lines += sorted(f"told {sent['name']}: {sent['step']}: {sent['answer']}" for sent in record.get("calls", ()))
+            lines.lines += [f"{row['name']}: {row['state']} {row.get('behind', '')} {row['cause']}" for row in record["rows"]]
         compare(self, lines, "fleet_causes")
 
 
-class Answers(unittest.TestCase):
-    def test_no_answers(self):
-        """What is no answer is unknown, with a word why."""
+class AuditInputTest(unittest.TestCase):
+    def test_malformed_answers_are_rejected_with_a_reason(self):
         lines = LineRecorder()
-        for said in (
+        for data in (
             b"",
             b"nonsense",
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{",
@@ -214,53 +222,53 @@
             b"SSH-2.0-x\r\n\r\n",
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
         ):
-            lines.lines.append(f"{said!r}  ->  {parse_answer(said)}")
+            lines.lines.append(f"{data!r}  ->  {parse_answer(data)}")
         compare(self, lines, "fleet_answers")
 
-    def test_bad_input(self):
+    def test_invalid_fleet_files_and_since_values_are_usage_errors(self):
         lines = LineRecorder()
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, "fleet.toml")
-            one = '[[proxy]]\nname = "a"\nat = "127.0.0.1:1"\n'
+            entry = '[[proxy]]\nname = "a"\nat = "127.0.0.1:1"\n'
             for text in (
                 "",
                 "[proxy",
-                'discovery = "nowhere"\n' + one,
-                one + one.replace('"a"', '"b"'),
-                one.replace("at =", "port ="),
-                "proxies = 3\n" + one,
-                one.replace("127.0.0.1:1", "127.0.0.1:0"),
+                'discovery = "nowhere"\n' + entry,
+                entry + entry.replace('"a"', '"b"'),
+                entry.replace("at =", "port ="),
+                "proxies = 3\n" + entry,
+                entry.replace("127.0.0.1:1", "127.0.0.1:0"),
             ):
                 path.write_text(text)
                 with self.assertRaises(UsageError) as caught:
                     read_fleet_config(path)
                 lines.lines.append(f"{text!r}  ->  {str(caught.exception).replace(folder, '')}")
-            path.write_text(one)
-            for words in (["--since", "-5"], ["--since", "1e12"], ["--since", "nan"]):
-                fault = CliRunner().invoke(fleet, ["audit", "--fleet", str(path), *words]).exception
-                self.assertIsInstance(fault, UsageError, words)
-                lines.lines.append(f"{' '.join(words)}  ->  {fault}")
+            path.write_text(entry)
+            for arguments in (["--since", "-5"], ["--since", "1e12"], ["--since", "nan"]):
+                error = CliRunner().invoke(fleet, ["audit", "--fleet", str(path), *arguments]).exception
+                self.assertIsInstance(error, UsageError, arguments)
+                lines.lines.append(f"{' '.join(arguments)}  ->  {error}")
             self.assertIsInstance(CliRunner().invoke(fleet, ["audit", "--fleet", folder + "/none"]).exception, UsageError)
-            said = CliRunner().invoke(fleet, ["audit", "--fleet", str(path)])  # nobody there
-            self.assertEqual(said.exit_code, 3, said.output)
-        compare(self, lines, "fleet_faults")
+            result = CliRunner().invoke(fleet, ["audit", "--fleet", str(path)])  # no proxy listens there
+            self.assertEqual(result.exit_code, 3, result.output)
+        compare(self, lines, "fleet_usage_errors")
 
-    def test_contradiction(self):
-        """Two that hold one revision and do not hold the same are shown side by side; acts on the old one are counted."""
+    def test_audit_reports_contradicting_lists_and_counts_acts_after_the_bound(self):
+        """Two proxies hold different contents of the same list revision, a third one acts on an old revision."""
 
-        def told(name, list_digest, revision=5, acts=(), settings="s"):
+        def make_answer(name, list_digest, revision=5, acts=(), settings="s"):
             entry = {"generation": 1, "digest": settings, "by": "start", "heard_ms": 90_000.0, "acts": 3, "last_ms": 10.0}
             lists = [
                 {
                     "incarnation": 1,
-                    "revision": at,
+                    "revision": old_revision,
                     "digest": "x",
                     "by": "discovery",
-                    "heard_ms": heard,
-                    "acts": done,
-                    "last_ms": last,
+                    "heard_ms": heard_ms,
+                    "acts": count,
+                    "last_ms": last_ms,
                 }
-                for at, heard, done, last in acts
+                for old_revision, heard_ms, count, last_ms in acts
             ]
             held = {"incarnation": 1, "revision": revision, "digest": list_digest, "by": "discovery at d:1", "heard_ms": 20_000.0}
             return ProxyAnswer(
@@ -277,14 +285,14 @@
                 {"settings": [entry], "lists": [*lists, held | {"acts": 1, "last_ms": 5.0}], "refused": []},
             )
 
-        proxies = tuple(ProxyAddress(name, ("127.0.0.1", at + 1)) for at, name in enumerate("abc"))
-        answers = [told("a", "x"), told("b", "y"), told("c", "z", 4, [(4, 60_000.0, 7, 1_000.0)])]
-        said = audit_fleet(FleetConfig(proxies, None), FleetAnswers(answers, None), 6000.0).as_json()
-        self.assertEqual([one["revision"] for one in said["contradictions"]], [5])
-        self.assertEqual([row["state"] for row in said["rows"]], ["current", "current", "straggler"])
-        # Seven postings on revision 4, and the one that its newest entry counts, 14 s and more after the bound.
-        self.assertEqual((said["acts_after_bound"], said["exit"]), (8, 1))
-        self.assertEqual(said["rows"][2]["cause"], "told nothing newer")
+        proxies = tuple(ProxyAddress(name, ("127.0.0.1", index + 1)) for index, name in enumerate("abc"))
+        answers = [make_answer("a", "x"), make_answer("b", "y"), make_answer("c", "z", 4, [(4, 60_000.0, 7, 1_000.0)])]
+        record = audit_fleet(FleetConfig(proxies, None), FleetAnswers(answers, None), 6000.0).as_json()
+        self.assertEqual([contradiction["revision"] for contradiction in record["contradictions"]], [5])
+        self.assertEqual([row["state"] for row in record["rows"]], ["current", "current", "straggler"])
+        # Seven attempts under revision 4, and the one that its newest entry counts, at least 14 s after the bound.
+        self.assertEqual((record["acts_after_bound"], record["exit"]), (8, 1))
+        self.assertEqual(record["rows"][2]["cause"], "told nothing newer")
 
 
 if __name__ == "__main__":
