--- a/sloeferry/load_testing/__init__.py
+++ b/sloeferry/load_testing/__init__.py
@@ -1,4 +1,4 @@
-"""The load tool: open-loop clients, stand-in backends and proxies on loopback, and what they measure.
+"""Load generator on loopback: open-loop clients, stand-in backends, proxies and their measurements.
 
-The proxy imports nothing of this package.
+The proxy imports nothing from this package.
 """
--- a/sloeferry/load_testing/cli.py
+++ b/sloeferry/load_testing/cli.py
@@ -1,4 +1,4 @@
-"""`sloeferry load`: what is typed, checked and handed on."""
+"""Command line of `sloeferry load`: parses and checks the options, then starts the run."""
 
 import json
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 from sloeferry.load_testing.saturation import DEFAULT_FACTORS, find_saturation, run_steps
 from sloeferry.load_testing.step_report import HEADER, StepReport, draw_goodput, format_line
 
-NO_CURVE = (CurvePiece(1.0, 0.0),)  # until the command has its own
+PLACEHOLDER_CURVE = (CurvePiece(1.0, 0.0),)  # replaced by the curve of the command
 
 COMMON_OPTIONS = (
     click.option(
@@ -25,10 +25,12 @@
         type=click.FloatRange(0.0, 1.0),
         default=0.7,
         show_default=True,
-        help="Share of a core a daemon gets; 0: no throttle.",
+        help="Share of a CPU core per proxy; 0: not throttled.",
     ),
     click.option("--daemons", "proxies", type=click.IntRange(1, 4), default=1, show_default=True),
-    click.option("--workers", type=click.IntRange(1, 6), default=2, show_default=True, help="Caller processes at least."),
+    click.option(
+        "--workers", type=click.IntRange(1, 6), default=2, show_default=True, help="Minimum number of client processes."
+    ),
     click.option("--seed", type=int, default=1, show_default=True),
     click.option("--retries", type=click.IntRange(0, 5), default=1, show_default=True),
     click.option(
@@ -37,29 +39,29 @@
         type=click.FloatRange(0, 1),
         default=0.0,
         show_default=True,
-        help="Share of txns on a connection of their own.",
+        help="Ratio of requests sent on a new connection.",
     ),
     click.option(
         "--connections",
         type=click.IntRange(1, 20000),
         default=320,
         show_default=True,
-        help="Connections that all callers may hold.",
+        help="Maximum number of connections of all clients together.",
     ),
     click.option(
         "--work-ms",
         type=click.FloatRange(0, 1000),
         default=4.0,
         show_default=True,
-        help="Mean work of a stand-in backend.",
+        help="Mean service time of a stand-in backend, in ms.",
     ),
-    click.option("--target", help="host:port of a proxy that runs already; loopback only."),
-    click.option("--json", "as_json", is_flag=True, help="The figures as JSON."),
+    click.option("--target", help="host:port of a running proxy; loopback addresses only."),
+    click.option("--json", "as_json", is_flag=True, help="Print the figures as JSON."),
 )
 
 
 def common_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Adds the options of every run."""
+    """Add the options that all load runs share."""
     for option in reversed(COMMON_OPTIONS):
         command = option(command)
     return command
@@ -77,37 +79,40 @@
     work_ms: float,
     target: str | None,
 ) -> tuple[LoadPlan, Deployment]:
-    """What the common options ask for, without a curve; raises LoadPlanError."""
+    """Return the plan, with a placeholder curve, and the deployment of the common options.
+
+    Raises LoadPlanError.
+    """
     if target and not target.startswith("127."):
-        raise LoadPlanError(f"--target: {target!r} is no loopback address")
+        raise LoadPlanError(f"--target: {target!r} is not a loopback address (127.*)")
     clients = ClientProfile(max_retries=retries, new_connection_ratio=new_connection_ratio, max_connections=connections)
-    return LoadPlan(NO_CURVE, seed, clients=clients), Deployment(
+    return LoadPlan(PLACEHOLDER_CURVE, seed, clients=clients), Deployment(
         cpu_share or None, proxies, workers, work_ms=work_ms, target=target
     )
 
 
 @click.group()
 def load() -> None:
-    """Open-loop load on loopback: find saturation, play beyond it, compare with an earlier revision."""
+    """Generate open-loop load on loopback, find saturation, and compare with an earlier revision."""
 
 
 @load.command()
 @click.option("--curve", default="5:300", show_default=True, help="seconds:rate,seconds:rate,...")
 @common_options
 def run(curve: str, as_json: bool, **options: Any) -> None:
-    """Plays one curve."""
+    """Run one load curve."""
     plan, deployment = plan_and_deployment(**options)
     figures = run_load(replace(plan, curve=parse_curve(curve)), deployment)
     click.echo(json.dumps(figures.as_json()) if as_json else f"{HEADER}\n{format_line(1, figures, 'now')}")
 
 
 @load.command()
-@click.option("--saturation", type=float, help="Txns a second; unset, it is searched for.")
+@click.option("--saturation", type=float, help="Saturation in requests per second; searched for when unset.")
 @click.option("--factors", default=",".join(f"{factor:g}" for factor in DEFAULT_FACTORS), show_default=True)
-@click.option("--seconds", type=click.FloatRange(2, 600), default=6.0, show_default=True, help="Of each play.")
-@click.option("--against", "revision", metavar="REV", help="An earlier revision, played in turn.")
+@click.option("--seconds", type=click.FloatRange(2, 600), default=6.0, show_default=True, help="Duration of each run.")
+@click.option("--against", "revision", metavar="REV", help="Earlier revision to run in alternation.")
 @click.option("--pairs", type=click.IntRange(1, 20), default=1, show_default=True)
-@click.option("--plot", "plot_path", type=click.Path(dir_okay=False, writable=True), help="Draws the curve as SVG.")
+@click.option("--plot", "plot_path", type=click.Path(dir_okay=False, writable=True), help="Write the goodput curve as SVG.")
 @common_options
 def step(
     saturation: float | None,
@@ -119,24 +124,24 @@
     as_json: bool,
     **options: Any,
 ) -> None:
-    """Finds saturation, then plays multiples of it."""
+    """Find saturation, then run multiples of it."""
     plan, deployment = plan_and_deployment(**options)
     factor_values = _parse_factors(factors)
 
-    def say(text: str) -> None:
+    def print_line(text: str) -> None:
         click.echo(text, err=as_json)
 
     with temporary_folder() as folder:
-        rate = saturation or find_saturation(plan, deployment, say)
-        say(f"saturation: {rate:.0f} txns a second")
-        say(HEADER)
+        rate = saturation or find_saturation(plan, deployment, print_line)
+        print_line(f"saturation: {rate:.0f} txns a second")
+        print_line(HEADER)
         earlier_tree = str(extract_revision(revision, folder)) if revision else None
-        rows = run_steps(plan, deployment, rate, factor_values, seconds, pairs, earlier_tree, say)
+        rows = run_steps(plan, deployment, rate, factor_values, seconds, pairs, earlier_tree, print_line)
     report = StepReport(rate, rows)
     for line in report.lines():
-        say(line)
+        print_line(line)
     if plot_path:
-        draw_goodput(rows, plot_path, f"Goodput past saturation ({rate:.0f} a second), simulated backends")
+        draw_goodput(rows, plot_path, f"Goodput beyond saturation ({rate:.0f} requests/s), simulated backends")
     if as_json:
         click.echo(json.dumps(report.as_json()))
 
@@ -145,15 +150,15 @@
     try:
         return [float(part) for part in text.split(",")]
     except ValueError:
-        raise LoadPlanError(f"--factors: {text!r} is no list of numbers") from None
+        raise LoadPlanError(f"--factors: {text!r} is not a comma-separated list of numbers") from None
 
 
 @load.command("case")
 @click.argument("name", type=click.Choice(["all", *OVERLOAD_CASES]))
-@click.option("--saturation", type=float, required=True, help="Txns a second.")
+@click.option("--saturation", type=float, required=True, help="Saturation in requests per second.")
 @common_options
 def case(name: str, saturation: float, as_json: bool, **options: Any) -> None:
-    """Plays hard cases and prints how long each took to recover."""
+    """Run overload cases and print the recovery time of each."""
     plan, deployment = plan_and_deployment(**options)
     for case_name in OVERLOAD_CASES if name == "all" else [name]:
         result = run_case(case_name, plan, deployment, saturation)
@@ -173,6 +178,6 @@
 @load.command("day")
 @click.argument("name", type=click.Choice(["all", *operations.MEASUREMENTS]))
 def day(name: str) -> None:
-    """Measures what operators do: calls under load, processes replaced, long answers, waiting connections."""
+    """Measure operations: admin calls under load, takeovers, long responses, idle connections."""
     for part in operations.MEASUREMENTS if name == "all" else [name]:
         click.echo(json.dumps({part: operations.measure(part)}))
--- a/sloeferry/load_testing/client_connection.py
+++ b/sloeferry/load_testing/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of open-loop clients: requests out, one at a time, and whole responses in."""
+"""Client connection of the open-loop load: sends one request at a time and parses whole responses."""
 
 import asyncio
 from typing import NamedTuple, Protocol, cast
@@ -10,74 +10,74 @@
 CONTENT_LENGTH = b"content-length:"
 RETRY_AFTER = b"retry-after:"
 STATUS_CODE = slice(9, 12)  # of "HTTP/1.1 200 OK"
-UNKNOWN_CLASS = "nobody"  # a request class that every proxy refuses
+UNKNOWN_REQUEST_CLASS = "nobody"  # not configured: every proxy refuses it
 
 
 class Response(NamedTuple):
-    """A whole response."""
+    """Complete response: status, and head with body."""
 
     status: int
     data: bytes
 
     def closes_connection(self) -> bool:
-        """Whether the proxy closes the connection after it."""
+        """Return whether the proxy closes the connection after this response."""
         return b"onnection: close" in self.data[: self.data.find(HEAD_END)]
 
     def retry_after_seconds(self) -> float | None:
-        """When to come back; None where nothing is said of it."""
-        value_at = self.data.lower().find(RETRY_AFTER)
-        if value_at < 0:
+        """Return the value of Retry-After; None if the header is absent."""
+        value_start = self.data.lower().find(RETRY_AFTER)
+        if value_start < 0:
             return None
-        return float(self.data[value_at + len(RETRY_AFTER) : self.data.find(b"\r", value_at)])
+        return float(self.data[value_start + len(RETRY_AFTER) : self.data.find(b"\r", value_start)])
 
 
 class OpenLoopRequest:
-    """One request of a client, through all of its attempts; times in seconds of the monotonic clock."""
+    """Request of a client with all of its attempts; times are in seconds of the monotonic clock."""
 
-    __slots__ = ("arrival", "due_at", "ends_at", "sent_at", "attempts", "connection", "is_over", "outcome")
+    __slots__ = ("arrival", "due_at", "expires_at", "sent_at", "attempts", "connection", "is_over", "outcome")
 
     def __init__(self, arrival: Arrival, due_at: float):
         self.arrival = arrival
         self.due_at = due_at
-        self.ends_at = due_at + arrival.patience_ms / 1000
-        self.sent_at = 0.0  # 0: no attempt is out
+        self.expires_at = due_at + arrival.patience_ms / 1000
+        self.sent_at = 0.0  # 0: no attempt in flight
         self.attempts = 0
         self.connection: ClientConnection | None = None
         self.is_over = False
-        self.outcome = Outcome.UNSENT  # if nothing better comes
+        self.outcome = Outcome.UNSENT  # until an attempt ends
 
 
 class ConnectionOwner(Protocol):
-    """Who is told what happens on a connection."""
+    """Receives the events of a connection."""
 
     def connection_opened(self, connection: "ClientConnection") -> None:
-        """It is up."""
+        """Handle an established connection."""
 
     def response_received(self, connection: "ClientConnection", response: Response) -> None:
-        """A whole response has come."""
+        """Handle a complete response."""
 
     def connection_closed(self, connection: "ClientConnection") -> None:
-        """It has ended, from either side."""
+        """Handle a connection that either side has closed."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a client; `request` is what is in flight on it."""
+    """Connection of a client; `request` is the request in flight on it."""
 
-    transport: asyncio.Transport  # from connection_made on
+    transport: asyncio.Transport  # set by connection_made
 
     def __init__(self, owner: ConnectionOwner):
         self._owner = owner
         self._received = b""
-        self._response_bytes: int | None = None  # once its head is there
+        self._response_bytes: int | None = None  # known once the head is complete
         self.request: OpenLoopRequest | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the event loop."""
+        """Record the transport; called by the event loop."""
         self.transport = cast(asyncio.Transport, transport)
         self._owner.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Called by the event loop."""
+        """Buffer received bytes and report each complete response; called by the event loop."""
         if self._received:
             data = self._received + data
         self._received = data
@@ -90,17 +90,17 @@
         self._owner.response_received(self, Response(int(data[STATUS_CODE]), data))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Called by the event loop."""
+        """Report the closed connection; called by the event loop."""
         self._owner.connection_closed(self)
 
 
 def response_bytes(data: bytes) -> int | None:
-    """How long a response is by its head, head included; None while the head is not there."""
+    """Return the length of a response including its head; None until the head is complete."""
     head_end = data.find(HEAD_END)
     if head_end < 0:
         return None
-    length_at = data.lower().find(CONTENT_LENGTH, 0, head_end)
-    length = int(data[length_at + len(CONTENT_LENGTH) : data.find(b"\r", length_at)]) if length_at >= 0 else 0
+    length_start = data.lower().find(CONTENT_LENGTH, 0, head_end)
+    length = int(data[length_start + len(CONTENT_LENGTH) : data.find(b"\r", length_start)]) if length_start >= 0 else 0
     return head_end + len(HEAD_END) + length
 
 
@@ -114,9 +114,9 @@
     is_retry: bool,
     body: bytes,
 ) -> bytes:
-    """An attempt as it is written."""
+    """Return the bytes of one attempt."""
     has_key = request_class.has_idempotency_key
-    class_name = UNKNOWN_CLASS if arrival.is_invalid else request_class.name
+    class_name = UNKNOWN_REQUEST_CLASS if arrival.is_invalid else request_class.name
     lines = [
         f"{'POST' if has_key else 'GET'} /api HTTP/1.1",
         "Host: backend.local",
--- a/sloeferry/load_testing/deployment.py
+++ b/sloeferry/load_testing/deployment.py
@@ -1,4 +1,4 @@
-"""What a load plan is run on: proxies, stand-in backends, client processes, and what goes wrong with them."""
+"""Deployment that a load plan runs on: proxies, stand-in backends, client processes and injected faults."""
 
 import os
 import pathlib
@@ -9,83 +9,89 @@
 from typing import NamedTuple
 
 LOOPBACK = "127.0.0.1"
-REPOSITORY = pathlib.Path(__file__).resolve().parents[2]
-MIN_SPARE_CORES = 2  # beside the proxies' own
+REPOSITORY_ROOT = pathlib.Path(__file__).resolve().parents[2]
+MIN_SPARE_CORES = 2  # for backends and clients, besides one core per proxy
 
 
 class BackendFaultKind(StrEnum):
-    """What a faulty backend does."""
+    """Behaviour of a faulty backend."""
 
-    SILENT = "silent"  # takes everything, answers nothing
-    ERRORS = "errs"  # every request fails at once
+    SILENT = "silent"  # accepts requests but never responds
+    ERRORS = "errs"  # fails every request immediately
 
 
 class BackendFault(NamedTuple):
-    """A backend, by its index, that is faulty for a span of the run."""
+    """Fault of one backend during an interval of the run."""
 
-    backend: int
+    backend_index: int
     kind: BackendFaultKind
     since_seconds: float
     until_seconds: float
 
 
 class CpuShareChange(NamedTuple):
-    """From this second on the proxies get that share of a core."""
+    """Change of the proxies' share of a CPU core at a time of the run."""
 
     at_seconds: float
     cpu_share: float
 
 
 class Stall(NamedTuple):
-    """At this second the proxies stand still for so long."""
+    """Pause of all proxies at a time of the run."""
 
     at_seconds: float
-    stall_seconds: float
+    duration_seconds: float
 
 
 @dataclass(frozen=True)
 class Deployment:
-    """What a plan is run on.  `cpu_share` None: unthrottled; `target`: host:port of a proxy that runs already."""
+    """Processes and resources of a run.
+
+    `cpu_share` None: not throttled; `target`: host:port of a running proxy to use instead of starting one.
+    """
 
     cpu_share: float | None = 0.7  # of a core, for each proxy
-    proxies: int = 1
-    workers: int = 2  # client processes
-    backends: int = 12
+    proxy_count: int = 1
+    worker_count: int = 2  # client processes
+    backend_count: int = 12
     backend_cores: int = 4
     backend_queue: int = 40
     work_ms: float = 4.0
     answer_bytes: int = 512
-    sockets: int = 1024  # that a proxy may open
+    max_sockets: int = 1024  # per proxy
     memory_mb: int = 128
-    tree: str | None = None  # whose code the proxies run; None: this one
+    source_tree: str | None = None  # code that the proxies run; None: this source tree
     target: str | None = None
     backend_faults: tuple[BackendFault, ...] = ()
     cpu_share_changes: tuple[CpuShareChange, ...] = ()
     stalls: tuple[Stall, ...] = ()
-    restart_at_seconds: float | None = None  # the proxies are killed and started anew
-    log_folder: str | None = None  # where the proxies' logs are kept
+    restart_at_seconds: float | None = None  # kill and restart the proxies
+    log_folder: str | None = None  # to which the proxies' logs are copied
 
 
 class CoreAssignment(NamedTuple):
-    """Which core each process gets; None: any."""
+    """CPU cores of the processes; None: any core."""
 
     proxies: list[int] | list[None]
     others: set[int] | None
 
 
-def assign_cores(proxies: int) -> CoreAssignment:
-    """Proxies get one core each, the rest share what is left; nobody is bound where there are too few."""
+def assign_cores(proxy_count: int) -> CoreAssignment:
+    """Assign one core to each proxy and the remaining cores to all other processes.
+
+    No process is pinned when fewer than MIN_SPARE_CORES cores would remain.
+    """
     available = sorted(os.sched_getaffinity(0))
-    if len(available) < proxies + MIN_SPARE_CORES:
-        return CoreAssignment([None] * proxies, None)
-    return CoreAssignment(available[-proxies:], set(available[:-proxies]))
+    if len(available) < proxy_count + MIN_SPARE_CORES:
+        return CoreAssignment([None] * proxy_count, None)
+    return CoreAssignment(available[-proxy_count:], set(available[:-proxy_count]))
 
 
 def python_module(name: str) -> list[str]:
-    """The command that runs a module of this tree."""
+    """Return the command that runs a module of this source tree."""
     return [sys.executable, "-m", name]
 
 
 def temporary_folder() -> tempfile.TemporaryDirectory[str]:
-    """A folder for configurations and logs, gone with the `with` block."""
+    """Return a context manager for a folder of configurations and logs that is deleted on exit."""
     return tempfile.TemporaryDirectory(prefix="sloeferry-load-")
--- a/sloeferry/load_testing/figures.py
+++ b/sloeferry/load_testing/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a run, typed, and the record that they make."""
+"""Figures of a load run, and the JSON record made of them."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -8,7 +8,10 @@
 
 @dataclass(frozen=True)
 class ProxyFigures:
-    """What the proxies of a run used; `cpu_ratio` of one core each, lag as seen from outside."""
+    """Resource use of the proxies of a run.
+
+    `cpu_ratio` is relative to one core per proxy; event-loop lag is measured from outside the process.
+    """
 
     cpu_us_per_request: float
     cpu_us_per_request_in_time: float
@@ -16,10 +19,10 @@
     memory_mb: float
     median_lag_ms: float
     p99_lag_ms: float
-    undecided: int  # requests that a proxy answered for want of a decision
+    undecided: int  # requests that a proxy answered because no decision came in time
 
     def as_json(self) -> dict[str, Any]:
-        """As the record spells them."""
+        """Return the figures under the keys of the JSON record."""
         return {
             "cpu_us": self.cpu_us_per_request,
             "cpu_us_served": self.cpu_us_per_request_in_time,
@@ -33,27 +36,27 @@
 
 @dataclass(frozen=True)
 class LoadFigures:
-    """The figures of one run: rates a second over the span that counts, the rest over the whole run."""
+    """Figures of one run: rates per second over the measured interval, everything else over the whole run."""
 
     offered_per_second: float
     rates_per_second: dict[Outcome, float]
     counts: OutcomeCounts
-    max_client_delay_ms: float  # by how much the clients themselves ran late
-    proxies: ProxyFigures | None  # None: a proxy that the tool did not start
-    backends: dict[str, int] | None = None  # requests `served`, and attempts begun `twice`
+    max_client_delay_ms: float  # largest delay of a request in the client process
+    proxies: ProxyFigures | None  # None: the tool did not start the proxy
+    backends: dict[str, int] | None = None  # requests `served`; attempts that executed a request again: `twice`
 
     @property
     def in_time_per_second(self) -> float:
-        """The goodput."""
+        """Return the goodput."""
         return self.rates_per_second[Outcome.IN_TIME]
 
     @property
     def cpu_us_per_request(self) -> float | None:
-        """CPU time of the proxies; None where they were not measured."""
+        """Return the proxies' CPU time per request; None if it was not measured."""
         return self.proxies.cpu_us_per_request if self.proxies else None
 
     def as_json(self) -> dict[str, Any]:
-        """The record of the run."""
+        """Return the JSON record of the run."""
         return {
             "offered": self.offered_per_second,
             **{outcome.value: rate for outcome, rate in self.rates_per_second.items()},
@@ -78,7 +81,7 @@
     proxies: ProxyFigures | None = None,
     backends: dict[str, int] | None = None,
 ) -> LoadFigures:
-    """Figures whose rates are those between two whole seconds."""
+    """Return the figures of a run, with rates between two whole seconds."""
     span_seconds = max(1e-9, until_seconds - since_seconds)
     return LoadFigures(
         counts.offered(since_seconds, until_seconds) / span_seconds,
--- a/sloeferry/load_testing/load_run.py
+++ b/sloeferry/load_testing/load_run.py
@@ -1,4 +1,4 @@
-"""One run of a load plan: stand-ins, proxies and clients together, from start to figures."""
+"""Run of a load plan: starts stand-ins, proxies and clients, and collects the figures."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 
 from sloeferry.load_testing.deployment import (
     LOOPBACK,
-    REPOSITORY,
+    REPOSITORY_ROOT,
     BackendFault,
     Deployment,
     assign_cores,
@@ -28,17 +28,18 @@
 
 CLIENTS_MODULE = "sloeferry.load_testing.open_loop_clients"
 STAND_INS_MODULE = "sloeferry.load_testing.stand_in_process"
-WORKER_START_SECONDS = 1.0  # for the clients' workers, before the first arrival
-PROXY_START_SECONDS = 1.5  # beside it, as far as can be said ahead
-# Connections are opened meanwhile, and the policy knows nothing yet: it does not count in runs long enough.
+WORKER_START_SECONDS = 1.0  # for client processes to start before the first arrival
+PROXY_START_SECONDS = 1.5  # estimate for stand-ins and proxies, in addition to WORKER_START_SECONDS
+# Excluded from the rates of runs longer than MIN_WARMED_RUN_SECONDS: connections are being opened, and the policy has no
+# samples yet.
 WARM_UP_SECONDS = 1.0
 MIN_WARMED_RUN_SECONDS = 2
-PROCESS_GRACE_SECONDS = 60  # past the curve's end
-STAND_INS_END_SECONDS = 10
+PROCESS_GRACE_SECONDS = 60  # after the end of the curve
+STAND_INS_STOP_TIMEOUT_SECONDS = 10
 
 
 class DisruptionKind(StrEnum):
-    """What befalls the proxies.  At one moment they come in the order of these words."""
+    """Kind of disruption.  Disruptions at the same time are applied in alphabetical order of their values."""
 
     RESTART = "restart"
     CPU_SHARE = "share"
@@ -46,7 +47,7 @@
 
 
 class Disruption(NamedTuple):
-    """What befalls all proxies at some second: `value` is the share of a core, or the stall's seconds."""
+    """Disruption of all proxies; `value` is the share of a CPU core, or the stall's duration in seconds."""
 
     at_seconds: float
     kind: DisruptionKind
@@ -54,9 +55,9 @@
 
 
 def run_load(plan: LoadPlan, deployment: Deployment) -> LoadFigures:
-    """Runs a plan once.
+    """Run a plan once.
 
-    Raises LoadPlanError where a proxy does not come up or a worker of the clients fails.
+    Raises LoadPlanError if a proxy does not start or a client process fails.
     """
     with temporary_folder() as folder:
         run = LoadRun(plan, deployment, folder)
@@ -67,55 +68,55 @@
 
 
 class LoadRun:
-    """The processes of one run."""
+    """Processes of one run."""
 
     def __init__(self, plan: LoadPlan, deployment: Deployment, folder: str):
         self._plan = plan
         self._deployment = deployment
         self._folder = folder
-        self._cores = assign_cores(deployment.proxies)
-        ports = free_ports(LOOPBACK, deployment.backends + 1 + deployment.proxies)
+        self._cores = assign_cores(deployment.proxy_count)
+        ports = free_ports(LOOPBACK, deployment.backend_count + 1 + deployment.proxy_count)
         addresses = [(LOOPBACK, port) for port in ports]
-        self._backend_addresses = tuple(addresses[: deployment.backends])
-        self._discovery_address = addresses[deployment.backends]
-        self._proxy_addresses = addresses[deployment.backends + 1 :]
-        self._begins_at = monotonic() + PROXY_START_SECONDS + WORKER_START_SECONDS
+        self._backend_addresses = tuple(addresses[: deployment.backend_count])
+        self._discovery_address = addresses[deployment.backend_count]
+        self._proxy_addresses = addresses[deployment.backend_count + 1 :]
+        self._curve_starts_at = monotonic() + PROXY_START_SECONDS + WORKER_START_SECONDS
         self._stand_ins: subprocess.Popen[str] | None = None
         self._proxies: list[ProxyUnderLoad] = []
         self._workers: list[subprocess.Popen[str]] = []
-        self._cpu_seconds = 0.0  # that the proxies used during the curve
+        self._cpu_seconds = 0.0  # of all proxies during the curve
 
     def execute(self) -> LoadFigures:
-        """Starts everything, lets the curve run, and collects the figures."""
+        """Start all processes, run the curve and return the figures."""
         if self._deployment.target:
             host, _, port = self._deployment.target.rpartition(":")
             self._proxy_addresses = [(host, int(port))]
         else:
             self._start_stand_ins()
             self._start_proxies()
-        self._begins_at = max(self._begins_at, monotonic() + WORKER_START_SECONDS)
+        self._curve_starts_at = max(self._curve_starts_at, monotonic() + WORKER_START_SECONDS)
         self._start_clients()
-        self._let_run()
+        self._run_curve()
         return self._collect()
 
     # Start and end
 
     def _start_module(self, module: str, task: dict[str, Any]) -> subprocess.Popen[str]:
         process = subprocess.Popen(
-            python_module(module), cwd=REPOSITORY, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
+            python_module(module), cwd=REPOSITORY_ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
         )
         if self._cores.others:
             os.sched_setaffinity(process.pid, self._cores.others)
         process.stdin.write(json.dumps(task))
         process.stdin.close()
-        process.stdin = None  # communicate would flush it again
+        process.stdin = None  # communicate() would flush the closed pipe
         return process
 
     def _start_stand_ins(self) -> None:
         deployment = self._deployment
         faults = [
-            BackendFault(backend, kind, self._begins_at + since, self._begins_at + until)
-            for backend, kind, since, until in deployment.backend_faults
+            BackendFault(backend_index, kind, self._curve_starts_at + since, self._curve_starts_at + until)
+            for backend_index, kind, since, until in deployment.backend_faults
         ]
         task = StandInTask(
             self._backend_addresses,
@@ -130,10 +131,10 @@
         )
         self._stand_ins = self._start_module(STAND_INS_MODULE, asdict(task))
         if self._stand_ins.stdout.readline().strip() != "ready":
-            raise LoadPlanError("stand-ins: did not come up")
+            raise LoadPlanError("stand-ins: the process ended or wrote something other than 'ready'")
 
     def _start_proxies(self) -> None:
-        for ordinal in range(self._deployment.proxies):
+        for ordinal in range(self._deployment.proxy_count):
             self._proxies.append(self._start_proxy(ordinal))
         for proxy in self._proxies:
             proxy.wait_until_ready()
@@ -150,15 +151,15 @@
         )
 
     def _start_clients(self) -> None:
-        workers = self._deployment.workers
-        for worker in range(workers):
+        worker_count = self._deployment.worker_count
+        for worker in range(worker_count):
             address = self._proxy_addresses[worker % len(self._proxy_addresses)]
-            plan = self._plan.for_worker(worker, workers).as_json()
-            task = {"plan": plan, "address": address, "starts_at": self._begins_at}
+            plan = self._plan.for_worker(worker, worker_count).as_json()
+            task = {"plan": plan, "address": address, "starts_at": self._curve_starts_at}
             self._workers.append(self._start_module(CLIENTS_MODULE, task))
 
     def stop(self) -> None:
-        """Ends whatever still runs, and keeps the proxies' logs where that is asked for."""
+        """End all running processes, and copy the proxies' logs if the deployment has a log folder."""
         log_folder = self._deployment.log_folder
         for proxy in self._proxies:
             proxy.end()
@@ -171,19 +172,19 @@
 
     # The curve
 
-    def _let_run(self) -> None:
-        """Waits for the curve's end, with what befalls the proxies on the way."""
-        self._sleep_until(0.0)
+    def _run_curve(self) -> None:
+        """Apply the disruptions at their times and wait for the end of the curve."""
+        self._sleep_until_second(0.0)
         self._cpu_seconds = -self._total_cpu_seconds()
         for disruption in sorted(self._disruptions()):
-            self._sleep_until(disruption.at_seconds)
+            self._sleep_until_second(disruption.at_seconds)
             for ordinal in range(len(self._proxies)):
                 self._disrupt(ordinal, disruption)
-        self._sleep_until(self._plan.duration_seconds())
+        self._sleep_until_second(self._plan.duration_seconds())
         self._cpu_seconds += self._total_cpu_seconds()
 
-    def _sleep_until(self, at_seconds: float) -> None:
-        sleep(max(0.0, self._begins_at + at_seconds - monotonic()))
+    def _sleep_until_second(self, at_seconds: float) -> None:
+        sleep(max(0.0, self._curve_starts_at + at_seconds - monotonic()))
 
     def _total_cpu_seconds(self) -> float:
         return sum(proxy.cpu_seconds() for proxy in self._proxies)
@@ -218,7 +219,7 @@
         for worker in self._workers:
             text = worker.communicate(timeout=duration_seconds + PROCESS_GRACE_SECONDS)[0]
             if worker.returncode:
-                raise LoadPlanError("callers: a worker failed")
+                raise LoadPlanError("clients: a worker process exited with an error")
             part = json.loads(text)
             counts.merge(part)
             max_delay_seconds = max(max_delay_seconds, part["max_delay_seconds"])
@@ -234,7 +235,7 @@
         return ProxyFigures(
             cpu_us_per_request=self._cpu_seconds * 1e6 / max(1, offered),
             cpu_us_per_request_in_time=self._cpu_seconds * 1e6 / max(1, counts.total(Outcome.IN_TIME)),
-            cpu_ratio=self._cpu_seconds / duration_seconds / self._deployment.proxies,
+            cpu_ratio=self._cpu_seconds / duration_seconds / self._deployment.proxy_count,
             memory_mb=max(proxy.peak_memory_mb() for proxy in self._proxies),
             median_lag_ms=lags_ms[len(lags_ms) // 2] if lags_ms else float("nan"),
             p99_lag_ms=lags_ms[int(len(lags_ms) * 0.99)] if lags_ms else float("nan"),
@@ -242,12 +243,12 @@
         )
 
     def _lags_ms(self, since_seconds: float) -> list[float]:
-        """The lags of all proxies in the span that counts, the smallest first."""
-        first = self._begins_at + since_seconds
-        end = self._begins_at + self._plan.duration_seconds()
+        """Return the event-loop lags of all proxies in the measured interval, smallest first."""
+        first = self._curve_starts_at + since_seconds
+        end = self._curve_starts_at + self._plan.duration_seconds()
         samples = [sample for proxy in self._proxies for sample in proxy.lag_probe.samples]
         return sorted(sample.lag_ms for sample in samples if first <= sample.at_seconds < end)
 
     def _end_stand_ins(self) -> dict[str, int]:
         self._stand_ins.send_signal(signal.SIGTERM)
-        return json.loads(self._stand_ins.communicate(timeout=STAND_INS_END_SECONDS)[0])
+        return json.loads(self._stand_ins.communicate(timeout=STAND_INS_STOP_TIMEOUT_SECONDS)[0])
--- a/sloeferry/load_testing/loopback_testbed.py
+++ b/sloeferry/load_testing/loopback_testbed.py
@@ -1,4 +1,4 @@
-"""Real proxies on one listening socket, with backends that answer at once and a discovery, all on loopback."""
+"""Testbed on loopback: real proxies that share a listening socket, backends that answer at once, and discovery."""
 
 import asyncio
 import contextlib
@@ -15,28 +15,28 @@
 from sloeferry.stand_ins import processes
 
 LOAD_REPORT = b'{"inflight":1,"queue":0,"util":0.1}'
-LONG_ANSWER_BYTES = 32 << 20
-SMALL_ANSWER_BYTES = 64
+LONG_RESPONSE_BYTES = 32 << 20
+SMALL_RESPONSE_BYTES = 64
 CHUNK_BYTES = 65536
-BACKENDS = 12
-MAX_SOCKETS, MEMORY_MB = 1024, 192  # of each proxy
+BACKEND_COUNT = 12
+MAX_SOCKETS, MEMORY_MB = 1024, 192  # per proxy
 LISTEN_BACKLOG = 1024
 START_TIMEOUT_SECONDS = 10.0
-START_POLL_SECONDS = 0.02
-KEEP_ALIVE_SECONDS = 1.0  # between two empty lines of a watch
-# What the proxies are told of request classes and tenants; they get no load by it.
-PLAN = LoadPlan((CurvePiece(1.0, 1.0),))
+START_POLL_INTERVAL_SECONDS = 0.02
+WATCH_KEEP_ALIVE_SECONDS = 1.0  # interval between empty lines of a watch
+# Defines the proxies' request classes and tenants; its load is not run.
+SETTINGS_PLAN = LoadPlan((CurvePiece(1.0, 1.0),))
 
 
 class RunningProxy(NamedTuple):
-    """A proxy that serves, and the port of its admin address."""
+    """Process of a ready proxy, and its admin port."""
 
     process: subprocess.Popen[bytes]
     admin_port: int
 
 
 class LoopbackTestbed:
-    """Backends, discovery and the proxies' listening socket; proxies are started on it one by one."""
+    """Backends, discovery and the proxies' listening socket; each proxy is started on request."""
 
     def __init__(self, folder: str):
         self._folder = folder
@@ -46,9 +46,9 @@
         self.port = self._socket.getsockname()[1]
 
     async def __aenter__(self) -> "LoopbackTestbed":
-        backends = [(LOOPBACK, await self._serve(self._answer_request)) for _ in range(BACKENDS)]
+        backends = [(LOOPBACK, await self._listen(self._serve_backend)) for _ in range(BACKEND_COUNT)]
         self._endpoints = json.dumps(endpoint_document(backends)).encode()
-        self._discovery_port = await self._serve(self._answer_watch)
+        self._discovery_port = await self._listen(self._serve_watch)
         return self
 
     async def __aexit__(self, *_) -> None:
@@ -60,37 +60,37 @@
             server.close()
         self._socket.close()
 
-    async def _serve(self, answer) -> int:
-        self._servers.append(await asyncio.start_server(answer, LOOPBACK, 0))
+    async def _listen(self, handler) -> int:
+        self._servers.append(await asyncio.start_server(handler, LOOPBACK, 0))
         return self._servers[-1].sockets[0].getsockname()[1]
 
-    async def _answer_request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_backend(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 if head.startswith(b"GET /status"):
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(LOAD_REPORT), LOAD_REPORT))
                     continue
-                size = LONG_ANSWER_BYTES if b"/long" in head[:40] else SMALL_ANSWER_BYTES
+                size = LONG_RESPONSE_BYTES if b"/long" in head[:40] else SMALL_RESPONSE_BYTES
                 writer.write(b"HTTP/1.1 200 OK\r\nX-Load-Report: %b\r\nContent-Length: %d\r\n\r\n" % (LOAD_REPORT, size))
                 for offset in range(0, size, CHUNK_BYTES):
                     writer.write(b"x" * min(CHUNK_BYTES, size - offset))
                     await writer.drain()
         writer.close()
 
-    async def _answer_watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         line = self._endpoints + b"\n"
         writer.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(line), line))
         with contextlib.suppress(OSError, asyncio.CancelledError):
             while not writer.is_closing():
-                await asyncio.sleep(KEEP_ALIVE_SECONDS)
+                await asyncio.sleep(WATCH_KEEP_ALIVE_SECONDS)
                 writer.write(b"1\r\n\n\r\n")
 
     async def start_proxy(self) -> RunningProxy:
-        """A proxy that serves on the listening socket; raises LoadPlanError where it does not come up."""
-        with socket.create_server((LOOPBACK, 0)) as unused:
-            admin_port = unused.getsockname()[1]
+        """Start a proxy on the listening socket and return it; raises LoadPlanError if it does not become ready."""
+        with socket.create_server((LOOPBACK, 0)) as temporary_socket:
+            admin_port = temporary_socket.getsockname()[1]
         ordinal = len(self._processes) + 1
         config = pathlib.Path(self._folder, f"config{ordinal}.json")
         write_proxy_config(
@@ -98,9 +98,9 @@
             "n0",
             (LOOPBACK, self.port),
             (LOOPBACK, self._discovery_port),
-            proxy_settings(PLAN, 0, 1),
+            proxy_settings(SETTINGS_PLAN, 0, 1),
             seed=ordinal,
-            sockets=MAX_SOCKETS,
+            socket_limit=MAX_SOCKETS,
             memory_mb=MEMORY_MB,
             admin=(LOOPBACK, admin_port),
         )
@@ -115,11 +115,11 @@
         while monotonic() < give_up_at:
             if await self.is_healthy(admin_port):
                 return
-            await asyncio.sleep(START_POLL_SECONDS)
-        raise LoadPlanError(f"a daemon was not ready in {START_TIMEOUT_SECONDS:.0f} s")
+            await asyncio.sleep(START_POLL_INTERVAL_SECONDS)
+        raise LoadPlanError(f"testbed: a proxy was not ready within {START_TIMEOUT_SECONDS:.0f} s")
 
     async def is_healthy(self, admin_port: int) -> bool:
-        """Whether the proxy says so at its admin address."""
+        """Return whether the proxy's admin address reports it as healthy."""
         try:
             reader, writer = await asyncio.open_connection(LOOPBACK, admin_port)
             writer.write(b"GET /admin/health HTTP/1.1\r\n\r\n")
--- a/sloeferry/load_testing/open_loop_clients.py
+++ b/sloeferry/load_testing/open_loop_clients.py
@@ -1,8 +1,9 @@
-"""Open-loop clients, one worker process: python -m sloeferry.load_testing.open_loop_clients, with its plan as JSON on stdin.
+"""Worker process of open-loop clients: python -m sloeferry.load_testing.open_loop_clients, with its plan as JSON on stdin.
 
-Each request goes out when it is due: on a kept connection that is free, on a new one, or on one of its own.  Where all
-connections that clients may hold are taken, the newest request waits first, and for a quarter of its latency objective at
-most.  A client that gives up closes its connection.  How all ended is written as JSON on standard output.
+Each request is sent when it is due: on an idle connection, on a new connection, or on one of its own that is closed after
+it.  While the maximum number of connections is in use, requests wait for a connection, and the newest gets the next one.  A
+request waits for at most a quarter of its latency objective.  A client that gives up closes its connection.  The outcomes are
+written as JSON to standard output.
 """
 
 import asyncio
@@ -20,17 +21,17 @@
 from sloeferry.load_testing.plan import Arrival, LoadPlan, RequestClassLoad, arrivals
 from sloeferry.stand_ins.wire_protocol import REJECTED_STATUSES, STATUS_OK
 
-# A client still listens for so long past its patience, to tell a late answer from none.
-LISTEN_ON_SECONDS = 0.05
-OVERDUE_SECONDS = 0.002  # an answer so much past its deadline is overdue
-DUE_CHECK_SECONDS = 0.002  # between two looks at what is due
+# A client waits this long after its request has expired, to tell an overdue response from a lost one.
+LATE_RESPONSE_WAIT_SECONDS = 0.05
+OVERDUE_TOLERANCE_SECONDS = 0.002  # a response is overdue this long after its deadline
+DUE_CHECK_INTERVAL_SECONDS = 0.002  # maximum interval between checks for due requests
 DUE_CHECKS_PER_SWEEP = 5
 MAX_CONNECTION_WAIT_RATIO = 1 / 4  # of the latency objective
-SEED_OFFSET = 7  # from the plan's seed, which draws the arrivals
+SEED_OFFSET = 7  # added to the plan's seed, which the arrivals are drawn from
 
 
 class OpenLoopClients:
-    """All clients of one worker."""
+    """Clients of one worker process."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, plan: LoadPlan, address: tuple[str, int], starts_at: float):
         self._loop = loop
@@ -39,74 +40,74 @@
         self._starts_at = starts_at
         self._rng = Random(plan.seed + SEED_OFFSET)
         self._bodies = [b"x" * request_class.body_bytes for request_class in plan.request_classes]
-        self._idle: list[ClientConnection] = []
-        self._waiting: list[OpenLoopRequest] = []  # for a connection
+        self._idle_connections: list[ClientConnection] = []
+        self._waiting_requests: list[OpenLoopRequest] = []  # for a connection, the newest last
         self._open_requests: set[OpenLoopRequest] = set()
         self._open_connections = 0
         self._attempts = 0
         self.counts = OutcomeCounts()
-        self.max_delay_seconds = 0.0  # by how much this worker itself ran late
+        self.max_delay_seconds = 0.0  # largest delay between a request's due time and its start
 
     async def run(self) -> None:
-        """Sends the whole plan and waits for its last request to end."""
+        """Send all requests of the plan and wait for the last one to end."""
         upcoming = arrivals(self._plan)
         arrival = next(upcoming, None)
-        checks = 0
+        check_count = 0
         while arrival or self._open_requests:
             now = monotonic()
             while arrival and self._starts_at + arrival.at_seconds <= now:
-                self._take(arrival, now)
+                self._start_request(arrival, now)
                 arrival = next(upcoming, None)
-            checks += 1
-            if checks % DUE_CHECKS_PER_SWEEP == 0:
-                self._sweep(monotonic())
+            check_count += 1
+            if check_count % DUE_CHECKS_PER_SWEEP == 0:
+                self._finish_expired(monotonic())
             await asyncio.sleep(self._pause_seconds(arrival))
-        for connection in self._idle:
+        for connection in self._idle_connections:
             connection.transport.close()
 
     def _pause_seconds(self, arrival: Arrival | None) -> float:
         if arrival is None:
-            return DUE_CHECK_SECONDS
-        return min(DUE_CHECK_SECONDS, max(0, self._starts_at + arrival.at_seconds - monotonic()))
+            return DUE_CHECK_INTERVAL_SECONDS
+        return min(DUE_CHECK_INTERVAL_SECONDS, max(0, self._starts_at + arrival.at_seconds - monotonic()))
 
-    def _take(self, arrival: Arrival, now: float) -> None:
+    def _start_request(self, arrival: Arrival, now: float) -> None:
         due_at = self._starts_at + arrival.at_seconds
         self.max_delay_seconds = max(self.max_delay_seconds, now - self._starts_at - arrival.at_seconds)
         request = OpenLoopRequest(arrival, due_at)
         self._open_requests.add(request)
-        self._begin_attempt(request)
+        self._start_attempt(request)
 
     def _request_class(self, request: OpenLoopRequest) -> RequestClassLoad:
         return self._plan.request_classes[request.arrival.class_index]
 
-    def _max_wait_seconds(self, request: OpenLoopRequest) -> float:
+    def _max_connection_wait_seconds(self, request: OpenLoopRequest) -> float:
         return self._request_class(request).latency_objective_ms / 1000 * MAX_CONNECTION_WAIT_RATIO
 
-    def _sweep(self, now: float) -> None:
-        """Ends what has waited too long for a connection, or whose time is over."""
-        for request in [each for each in self._waiting if now > each.due_at + self._max_wait_seconds(each)]:
-            self._waiting.remove(request)
-            self._end(request, Outcome.UNSENT)
-        for request in [each for each in self._open_requests if now > each.ends_at + LISTEN_ON_SECONDS]:
+    def _finish_expired(self, now: float) -> None:
+        """Finish requests that waited too long for a connection, and expired requests."""
+        for request in [each for each in self._waiting_requests if now > each.due_at + self._max_connection_wait_seconds(each)]:
+            self._waiting_requests.remove(request)
+            self._finish(request, Outcome.UNSENT)
+        for request in [each for each in self._open_requests if now > each.expires_at + LATE_RESPONSE_WAIT_SECONDS]:
             connection = request.connection
             request.connection = None
             if connection:
                 connection.request = None
                 connection.transport.abort()
-            self._end(request, Outcome.LOST if request.sent_at else request.outcome)
+            self._finish(request, Outcome.LOST if request.sent_at else request.outcome)
 
     # Attempts
 
-    def _begin_attempt(self, request: OpenLoopRequest) -> None:
+    def _start_attempt(self, request: OpenLoopRequest) -> None:
         if request.is_over:
             return
-        if self._idle and not request.arrival.wants_new_connection:
-            self._send(self._idle.pop(), request)
+        if self._idle_connections and not request.arrival.wants_new_connection:
+            self._send(self._idle_connections.pop(), request)
         elif self._open_connections < self._plan.clients.max_connections:
             self._open_connections += 1
             self._loop.create_task(self._connect(request))
         else:
-            self._waiting.append(request)
+            self._waiting_requests.append(request)
 
     async def _connect(self, request: OpenLoopRequest) -> None:
         connection = ClientConnection(self)
@@ -114,7 +115,7 @@
             await self._loop.create_connection(lambda: connection, *self._address)
         except OSError:
             self._open_connections -= 1
-            self._end(request, Outcome.UNSENT)
+            self._finish(request, Outcome.UNSENT)
             return
         if request.is_over:
             self._release(connection)
@@ -122,23 +123,23 @@
             self._send(connection, request)
 
     def _release(self, connection: ClientConnection) -> None:
-        """A connection is free: the newest that waits has it, or nobody."""
-        while self._waiting:
-            request = self._waiting.pop()
+        """Use a free connection for the newest waiting request, or keep it idle."""
+        while self._waiting_requests:
+            request = self._waiting_requests.pop()
             if not request.is_over:
                 self._send(connection, request)
                 return
-        self._idle.append(connection)
+        self._idle_connections.append(connection)
 
     def _send(self, connection: ClientConnection, request: OpenLoopRequest) -> None:
         if connection.transport.is_closing():
-            self._begin_attempt(request)
+            self._start_attempt(request)
             return
         now = monotonic()
-        budget_ms = int((request.ends_at - now) * 1000)
+        budget_ms = int((request.expires_at - now) * 1000)
         if budget_ms < 1:
             self._release(connection)
-            self._end(request, request.outcome)
+            self._finish(request, request.outcome)
             return
         connection.request = request
         request.connection = connection
@@ -160,14 +161,14 @@
             body=self._bodies[arrival.class_index],
         )
 
-    # What connections tell
+    # Callbacks of connections
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """A connection is up."""
+        """Count an established connection."""
         self.counts.connections += 1
 
     def response_received(self, connection: ClientConnection, response: Response) -> None:
-        """A response has come: the request ends, or another attempt follows."""
+        """Finish the request of a response, or schedule a retry."""
         request = connection.request
         connection.request = None
         if request is None:
@@ -181,18 +182,18 @@
         else:
             self._release(connection)
         if response.status == STATUS_OK:
-            self._end(request, self._served_outcome(request, now))
+            self._finish(request, self._served_outcome(request, now))
         elif 400 <= response.status < 500 and response.status not in REJECTED_STATUSES:
-            self._end(request, Outcome.INVALID)
+            self._finish(request, Outcome.INVALID)
         else:
             self._retry_or_end(request, response, now)
 
     def _served_outcome(self, request: OpenLoopRequest, now: float) -> Outcome:
-        if now > request.ends_at + OVERDUE_SECONDS:
+        if now > request.expires_at + OVERDUE_TOLERANCE_SECONDS:
             return Outcome.OVERDUE
-        took_ms = (now - request.due_at) * 1000
-        self.counts.record_time(Outcome.IN_TIME, took_ms)
-        return Outcome.IN_TIME if took_ms <= self._request_class(request).latency_objective_ms else Outcome.LATE
+        duration_ms = (now - request.due_at) * 1000
+        self.counts.record_time(Outcome.IN_TIME, duration_ms)
+        return Outcome.IN_TIME if duration_ms <= self._request_class(request).latency_objective_ms else Outcome.LATE
 
     def _retry_or_end(self, request: OpenLoopRequest, response: Response, now: float) -> None:
         request.outcome = Outcome.REJECTED if response.status in REJECTED_STATUSES else Outcome.FAILED
@@ -203,35 +204,35 @@
         retry_after_seconds = response.retry_after_seconds()
         if retry_after_seconds is not None and self._rng.random() < clients.retry_after_ratio:
             pause_seconds = max(pause_seconds, retry_after_seconds)
-        if request.attempts > clients.max_retries or now + pause_seconds >= request.ends_at:
-            self._end(request, request.outcome)
+        if request.attempts > clients.max_retries or now + pause_seconds >= request.expires_at:
+            self._finish(request, request.outcome)
             return
         request.sent_at = 0.0
-        self._loop.call_later(pause_seconds, self._begin_attempt, request)
+        self._loop.call_later(pause_seconds, self._start_attempt, request)
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """A connection has ended; what was in flight on it is sent again."""
+        """Remove a closed connection, and send the request in flight on it again."""
         self._open_connections -= 1
-        if connection in self._idle:
-            self._idle.remove(connection)
+        if connection in self._idle_connections:
+            self._idle_connections.remove(connection)
         request = connection.request
         connection.request = None
         if request and not request.is_over:
             self._connection_lost(request)
-        elif self._waiting:
-            self._begin_attempt(self._waiting.pop())
+        elif self._waiting_requests:
+            self._start_attempt(self._waiting_requests.pop())
 
     def _connection_lost(self, request: OpenLoopRequest) -> None:
         if request.attempts > 1 + self._plan.clients.max_retries:
-            self._end(request, Outcome.LOST)
+            self._finish(request, Outcome.LOST)
             return
-        # The proxy may close an idle connection just as a request is sent on it: the client sends it once more.
+        # The proxy may close an idle connection while a request is being sent on it, so the client sends it once more.
         request.connection = None
         request.sent_at = 0.0
         request.outcome = Outcome.LOST
-        self._begin_attempt(request)
+        self._start_attempt(request)
 
-    def _end(self, request: OpenLoopRequest, outcome: Outcome) -> None:
+    def _finish(self, request: OpenLoopRequest, outcome: Outcome) -> None:
         if request.is_over:
             return
         request.is_over = True
@@ -241,9 +242,9 @@
 
 
 async def run_worker(task: dict[str, Any]) -> dict[str, Any]:
-    """Runs one worker's part of a plan; its outcomes, as `OutcomeCounts` writes them."""
+    """Run one worker's part of a plan; return its outcomes in the form of `OutcomeCounts.as_json`."""
     gc.freeze()
-    gc.disable()  # a worker lives for one run
+    gc.disable()  # not needed: a worker process lives for one run
     plan = LoadPlan.from_json(task["plan"])
     clients = OpenLoopClients(asyncio.get_running_loop(), plan, tuple(task["address"]), task["starts_at"])
     await clients.run()
--- a/sloeferry/load_testing/outcomes.py
+++ b/sloeferry/load_testing/outcomes.py
@@ -1,7 +1,7 @@
-"""How requests ended, counted by second and in HDR histograms; free of I/O.
+"""Outcomes of requests, counted by second, and their latencies in HDR histograms; free of I/O.
 
-The time of a request runs from when it was due, not from when the client came to send it: else a proxy that stands still for
-a second would hide all that should have come in it (coordinated omission).
+The latency of a request starts when the request was due, not when the client sent it: otherwise a proxy that stalls for a
+second would hide the latency of all requests due in that second (coordinated omission).
 """
 
 from enum import StrEnum
@@ -11,35 +11,35 @@
 
 
 class Outcome(StrEnum):
-    """How a request ended.  The value is the word of the tool's records."""
+    """Outcome of a request.  The values are used as keys in the tool's records."""
 
     IN_TIME = "in_time"
     LATE = "late"  # served after its latency objective
     REJECTED = "declined"
     FAILED = "reversed"
-    LOST = "lost"  # written whole, and no answer before its deadline
+    LOST = "lost"  # sent completely, without a response before its deadline
     OVERDUE = "overdue"  # served after its deadline
-    UNSENT = "unsent"  # never written, since there was no connection
-    INVALID = "refused"  # refused with a 4xx, as it deserved
+    UNSENT = "unsent"  # never sent, because no connection was available
+    INVALID = "refused"  # an invalid request, correctly refused with a 4xx status
 
 
-# Of the histograms, in microseconds; and their precision.
-LEAST_MICROSECONDS, MOST_MICROSECONDS, SIGNIFICANT_DIGITS = 1, 60_000_000, 3
+# Range of the histograms, and their precision.
+MIN_MICROSECONDS, MAX_MICROSECONDS, SIGNIFICANT_DIGITS = 1, 60_000_000, 3
 LATENCY_PERCENTILES = (50, 99, 99.9)
-RECOVERED_RATIO = 0.9  # of the valid requests of a second are served in time
+RECOVERED_RATIO = 0.9  # of a second's valid requests served in time: the proxy has recovered
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(LEAST_MICROSECONDS, MOST_MICROSECONDS, SIGNIFICANT_DIGITS)
+    return HdrHistogram(MIN_MICROSECONDS, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
 
 
 class OutcomeCounts:
-    """The outcomes of one run, or of several workers' parts of it."""
+    """Outcomes of a run, or of several workers' parts of one."""
 
     def __init__(self) -> None:
         self.by_second: dict[int, dict[Outcome, int]] = {}
-        self.served_times = _histogram()  # from when the request was due
-        self.rejection_times = _histogram()  # from when the attempt was written
+        self.served_times = _histogram()  # since the request was due
+        self.rejection_times = _histogram()  # since the attempt was sent
         self.weight_in_time = 0.0
         self.weight_offered = 0.0
         self.attempts = 0
@@ -47,7 +47,7 @@
         self.duplicate_answers = 0
 
     def count(self, due_seconds: float, outcome: Outcome, priority_weight: float = 0.0) -> None:
-        """One request, due so long after the start, has ended."""
+        """Count the outcome of a request; `due_seconds` is relative to the start of the run."""
         self._add(int(due_seconds), outcome, 1)
         if outcome is not Outcome.INVALID:
             self.weight_offered += priority_weight
@@ -57,17 +57,17 @@
         counts = self.by_second.setdefault(second, {})
         counts[outcome] = counts.get(outcome, 0) + count
 
-    def record_time(self, outcome: Outcome, took_ms: float) -> None:
-        """How long an answer took."""
+    def record_time(self, outcome: Outcome, duration_ms: float) -> None:
+        """Record the latency of a response."""
         histogram = self.rejection_times if outcome is Outcome.REJECTED else self.served_times
-        histogram.record_value(max(LEAST_MICROSECONDS, min(MOST_MICROSECONDS, int(took_ms * 1000))))
+        histogram.record_value(max(MIN_MICROSECONDS, min(MAX_MICROSECONDS, int(duration_ms * 1000))))
 
     def by_second_as_json(self) -> dict[str, dict[Outcome, int]]:
-        """The counts of each second, in the order of time."""
+        """Return the counts by second in chronological order."""
         return {str(second): counts for second, counts in sorted(self.by_second.items())}
 
     def as_json(self) -> dict[str, Any]:
-        """The form in which a worker hands its part over."""
+        """Return the JSON form in which a worker process passes on its part."""
         return {
             "by_second": self.by_second_as_json(),
             "weight_in_time": self.weight_in_time,
@@ -80,7 +80,7 @@
         }
 
     def merge(self, part: dict[str, Any]) -> None:
-        """Takes in another worker's part, as `as_json` made it."""
+        """Add the part of another worker, in the form of `as_json`."""
         for second, counts in part["by_second"].items():
             for outcome, count in counts.items():
                 self._add(int(second), Outcome(outcome), count)
@@ -93,36 +93,38 @@
         self.duplicate_answers += part["duplicate_answers"]
 
     def total(self, outcome: Outcome, since_seconds: float = 0.0, until_seconds: float = float("inf")) -> int:
-        """Requests with that outcome that were due in a span."""
+        """Return the number of requests with that outcome that were due in an interval."""
         seconds = self.by_second.items()
         return sum(counts.get(outcome, 0) for second, counts in seconds if since_seconds <= second < until_seconds)
 
     def offered(self, since_seconds: float = 0.0, until_seconds: float = float("inf")) -> int:
-        """All requests that were due in a span."""
+        """Return the number of requests that were due in an interval."""
         return sum(self.total(outcome, since_seconds, until_seconds) for outcome in Outcome)
 
     def latency_ms(self) -> dict[str, float]:
-        """Percentiles of the served requests' times."""
-        return {f"p{part:g}": self.served_times.get_value_at_percentile(part) / 1000 for part in LATENCY_PERCENTILES}
+        """Return percentiles of the served requests' latencies."""
+        return {
+            f"p{percentile:g}": self.served_times.get_value_at_percentile(percentile) / 1000 for percentile in LATENCY_PERCENTILES
+        }
 
     def median_rejection_ms(self) -> float:
-        """From the writing of an attempt to its rejection."""
+        """Return the median time from sending an attempt to its rejection."""
         return self.rejection_times.get_value_at_percentile(50) / 1000
 
     def weight_ratio(self) -> float:
-        """Of the priority weight of all valid requests, the part served in time."""
+        """Return the ratio of the valid requests' priority weight that was served in time."""
         return self.weight_in_time / self.weight_offered if self.weight_offered else 0.0
 
     def recovery_seconds(self, since_seconds: float, ratio: float = RECOVERED_RATIO) -> float | None:
-        """From then until the part of the valid requests served in time is over `ratio` and stays there; None: never."""
+        """Return the seconds until the ratio of valid requests served in time reaches `ratio` and stays there; None: never."""
         seconds = sorted(second for second in self.by_second if second >= since_seconds)
-        bad_seconds = [second for second in seconds if self._is_bad(second, ratio)]
-        if not bad_seconds:
+        degraded_seconds = [second for second in seconds if self._is_below_ratio(second, ratio)]
+        if not degraded_seconds:
             return 0.0
-        if bad_seconds[-1] == seconds[-1]:
+        if degraded_seconds[-1] == seconds[-1]:
             return None
-        return bad_seconds[-1] + 1 - since_seconds
+        return degraded_seconds[-1] + 1 - since_seconds
 
-    def _is_bad(self, second: int, ratio: float) -> bool:
+    def _is_below_ratio(self, second: int, ratio: float) -> bool:
         valid = self.offered(second, second + 1) - self.total(Outcome.INVALID, second, second + 1)
         return self.total(Outcome.IN_TIME, second, second + 1) < ratio * valid
--- a/sloeferry/load_testing/plan.py
+++ b/sloeferry/load_testing/plan.py
@@ -1,7 +1,7 @@
-"""Which requests are sent and when, drawn ahead from a seed; free of I/O and clocks.
+"""Load plans: the requests of a run and their times, generated from a seed; free of I/O and clocks.
 
-Arrivals are open-loop: none of them waits for an answer.  Within one piece of a curve they are Poisson, so that bursts come
-as chance has them.
+Arrivals are open-loop: none waits for a response.  Within a piece of the curve they form a Poisson process, so that bursts
+occur at random.
 """
 
 from collections.abc import Iterator
@@ -13,23 +13,23 @@
 
 MAX_PIECE_SECONDS = 3600
 MAX_RATE_PER_SECOND = 1e6
-# Workers' seeds must differ from one another, and from those of a plan with another seed.
+# Keeps workers' seeds distinct from one another and from those of plans with other seeds.
 SEEDS_PER_PLAN = 1009
 
 
 class LoadPlanError(UsageError):
-    """A load that cannot be run; the text names the option."""
+    """Raised when a load cannot be run; the message names the option."""
 
 
 class CurvePiece(NamedTuple):
-    """A span of constant load."""
+    """Interval of constant load."""
 
     seconds: float
     rate_per_second: float
 
 
 class TenantShare(NamedTuple):
-    """A tenant, and its part of all requests."""
+    """Tenant and its share of all requests."""
 
     name: str
     share: float
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class RequestClassLoad:
-    """One request class as clients use it; `share` is its part of all requests."""
+    """Request class as clients use it; `share` is its share of all requests."""
 
     name: str
     has_idempotency_key: bool
@@ -57,11 +57,11 @@
 
 @dataclass(frozen=True)
 class ClientProfile:
-    """How clients behave.
+    """Behaviour of clients.
 
-    `patience_ratio`: least and largest part of the deadline that a request is given; `retry_after_ratio`: part of the
-    rejections whose Retry-After is kept to; `new_connection_ratio`: part of the requests on a connection of their own;
-    `max_connections`: at once, all workers together; `invalid_ratio`: part of the requests that every proxy refuses.
+    `patience_ratio`: smallest and largest ratio of the class's deadline that a request is given; `retry_after_ratio`: ratio
+    of rejections whose Retry-After is honoured; `new_connection_ratio`: ratio of requests that use a new connection;
+    `max_connections`: open at once, over all workers; `invalid_ratio`: ratio of requests that every proxy refuses.
     """
 
     patience_ratio: tuple[float, float] = (0.7, 1.0)
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True)
 class LoadPlan:
-    """The load of one run: the curve, what is asked, and by whom."""
+    """Load of one run: its curve, request classes, tenants and client behaviour."""
 
     curve: tuple[CurvePiece, ...]
     seed: int = 1
@@ -84,16 +84,16 @@
     clients: ClientProfile = field(default_factory=ClientProfile)
 
     def duration_seconds(self) -> float:
-        """The length of the curve."""
-        return sum(length for length, _ in self.curve)
+        """Return the duration of the curve."""
+        return sum(piece_seconds for piece_seconds, _ in self.curve)
 
     def as_json(self) -> dict[str, Any]:
-        """The form that workers read."""
+        """Return the JSON form that worker processes read."""
         return asdict(self)
 
     @classmethod
     def from_json(cls, document: dict[str, Any]) -> "LoadPlan":
-        """The plan that `as_json` wrote."""
+        """Return the plan of a document written by `as_json`."""
         clients = document["clients"]
         return cls(
             tuple(CurvePiece(*piece) for piece in document["curve"]),
@@ -103,36 +103,38 @@
             ClientProfile(**clients | {"patience_ratio": tuple(clients["patience_ratio"])}),
         )
 
-    def for_worker(self, worker: int, workers: int) -> "LoadPlan":
-        """One worker's part: the sum of Poisson streams is one, too."""
-        connections, remainder = divmod(self.clients.max_connections, workers)
+    def for_worker(self, worker: int, worker_count: int) -> "LoadPlan":
+        """Return one worker's part of the plan: the sum of independent Poisson processes is a Poisson process."""
+        connections, remainder = divmod(self.clients.max_connections, worker_count)
         connections += worker < remainder
         return replace(
             self,
-            curve=tuple(CurvePiece(length, rate / workers) for length, rate in self.curve),
+            curve=tuple(CurvePiece(piece_seconds, rate / worker_count) for piece_seconds, rate in self.curve),
             seed=self.seed * SEEDS_PER_PLAN + worker,
             clients=replace(self.clients, max_connections=max(1, connections)),
         )
 
 
 def parse_curve(text: str) -> tuple[CurvePiece, ...]:
-    """A curve as typed: `2:500,1:1500` is two seconds of 500 requests a second and one of 1500; raises LoadPlanError."""
+    """Parse a curve: `2:500,1:1500` is two seconds at 500 requests per second and one at 1500.  Raises LoadPlanError."""
     pieces = []
-    for entry in text.split(","):
-        seconds, _, rate = entry.partition(":")
+    for piece_text in text.split(","):
+        seconds, _, rate = piece_text.partition(":")
         try:
             piece = CurvePiece(float(seconds), float(rate))
         except ValueError:
-            raise LoadPlanError(f"--curve: {entry!r} is not of the form seconds:rate") from None
+            raise LoadPlanError(f"--curve: {piece_text!r} is not of the form seconds:rate") from None
         if not (0 < piece.seconds <= MAX_PIECE_SECONDS and 0 <= piece.rate_per_second <= MAX_RATE_PER_SECOND):
-            raise LoadPlanError(f"--curve: {entry!r} has no length, or a rate that can't be played")
+            raise LoadPlanError(
+                f"--curve: {piece_text!r} needs a duration above 0 and up to an hour, and a rate of 0 to a million per second"
+            )
         pieces.append(piece)
     return tuple(pieces)
 
 
 @dataclass(slots=True)
 class Arrival:
-    """One request to send; `at_seconds` from the start."""
+    """Request to send, `at_seconds` after the start of the run."""
 
     at_seconds: float
     number: int
@@ -144,25 +146,25 @@
 
 
 def arrivals(plan: LoadPlan) -> Iterator[Arrival]:
-    """All arrivals of a plan in their order; the same ones for the same plan, whatever is answered."""
+    """Yield the arrivals of a plan in order; they depend only on the plan, not on any response."""
     rng = Random(plan.seed)
     number = 0
-    piece_began_at = 0.0
+    piece_start_seconds = 0.0
     class_shares = [request_class.share for request_class in plan.request_classes]
     tenant_shares = [share for _, share in plan.tenants]
-    least_patience, largest_patience = plan.clients.patience_ratio
-    for length, rate in plan.curve:
-        at_seconds = piece_began_at
-        while rate and (at_seconds := at_seconds + rng.expovariate(rate)) < piece_began_at + length:
+    min_patience_ratio, max_patience_ratio = plan.clients.patience_ratio
+    for piece_seconds, rate in plan.curve:
+        at_seconds = piece_start_seconds
+        while rate and (at_seconds := at_seconds + rng.expovariate(rate)) < piece_start_seconds + piece_seconds:
             class_index = rng.choices(range(len(class_shares)), class_shares)[0]
             yield Arrival(
                 at_seconds,
                 number,
                 class_index,
                 rng.choices(range(len(tenant_shares)), tenant_shares)[0],
-                plan.request_classes[class_index].deadline_ms * rng.uniform(least_patience, largest_patience),
+                plan.request_classes[class_index].deadline_ms * rng.uniform(min_patience_ratio, max_patience_ratio),
                 rng.random() < plan.clients.new_connection_ratio,
                 rng.random() < plan.clients.invalid_ratio,
             )
             number += 1
-        piece_began_at += length
+        piece_start_seconds += piece_seconds
--- a/sloeferry/load_testing/proxy_config.py
+++ b/sloeferry/load_testing/proxy_config.py
@@ -1,4 +1,4 @@
-"""The configuration files of the proxies under load, as the platform writes them."""
+"""Configuration files of the proxies under load, in the form that the platform writes."""
 
 import json
 import pathlib
@@ -14,19 +14,19 @@
 ZONE = "a"
 MACHINE_KIND = "m"
 WARM_UP_SECONDS = 23.0
-WARM_UP_FROM_RATIO = 0.12  # of its speed, that a backend just started has
+WARM_UP_INITIAL_RATIO = 0.12  # of its full speed: speed of a backend that has just started
 
 
-def proxy_settings(plan: LoadPlan, ordinal: int, instances: int) -> dict[str, Any]:
-    """The platform's settings for what the clients of a plan ask."""
+def proxy_settings(plan: LoadPlan, ordinal: int, proxy_count: int) -> dict[str, Any]:
+    """Return the platform's settings for the request classes and tenants of a plan."""
     return platform.proxy_settings(
         [_class_settings(each) for each in plan.request_classes],
         plan.tenants,
-        instance_count=instances,
+        instance_count=proxy_count,
         ordinal=ordinal,
         zones=[ZONE],
         machine_kinds=[MACHINE_KIND],
-        obligations=platform.ObligationTerms(slow_start_seconds=WARM_UP_SECONDS, slow_start_initial_ratio=WARM_UP_FROM_RATIO),
+        obligations=platform.ObligationTerms(slow_start_seconds=WARM_UP_SECONDS, slow_start_initial_ratio=WARM_UP_INITIAL_RATIO),
     )
 
 
@@ -49,20 +49,20 @@
     settings: dict[str, Any],
     *,
     seed: int,
-    sockets: int,
+    socket_limit: int,
     memory_mb: int,
     cores: float = 1.0,
     admin: tuple[str, int] | None = None,
 ) -> None:
-    """Writes one proxy's configuration."""
+    """Write the configuration file of one proxy."""
     config = platform.instance_config(
-        name, listen, discovery, settings, seed=seed, max_sockets=sockets, memory_mb=memory_mb, cores=cores, admin=admin
+        name, listen, discovery, settings, seed=seed, max_sockets=socket_limit, memory_mb=memory_mb, cores=cores, admin=admin
     )
     path.write_text(json.dumps(config))
 
 
 def endpoint_document(addresses: Sequence[tuple[str, int]]) -> dict[str, Any]:
-    """The endpoint list, as discovery tells it, of backends that all serve."""
+    """Return discovery's endpoint list of backends that are all ready."""
     members = [
         make_entry(f"b{index}", address, ZONE, MACHINE_KIND, BackendState.READY, 0) for index, address in enumerate(addresses)
     ]
--- a/sloeferry/load_testing/stand_in_process.py
+++ b/sloeferry/load_testing/stand_in_process.py
@@ -1,7 +1,7 @@
-"""Stand-in backends and discovery in a process of their own: python -m sloeferry.load_testing.stand_in_process.
+"""Process of stand-in backends and discovery on loopback: python -m sloeferry.load_testing.stand_in_process.
 
-Its task comes as JSON on standard input.  Loopback only.  A backend has cores and a queue; work is drawn from a seed.  It
-reports its load with each answer.  On SIGTERM the process writes what it has served on standard output and ends.
+It reads its task as JSON from standard input.  A backend has cores and a queue, draws service times from a seed, and reports
+its load with each response.  On SIGTERM the process writes its counts to standard output and ends.
 """
 
 import asyncio
@@ -23,14 +23,14 @@
 from sloeferry.stand_ins.effect_log import EffectLog
 from sloeferry.stand_ins.wire_protocol import BackendState, RequestKind
 
-WORK_SIGMA = 0.5  # of the logarithm of the work
-UNBOUNDED = 1e6  # connections, seconds: what has no bound here
-ALWAYS_ERRS = 2.0  # half of the odds of errors are drawn as a request comes: each one fails then
+WORK_SIGMA = 0.5  # of the logarithm of the service time
+UNBOUNDED = 1e6  # limit of connections and of idle seconds that is never reached
+CERTAIN_ERROR_ODDS = 2.0  # half of the error odds apply when a request arrives, so that every request fails
 
 
 @dataclass(frozen=True)
 class StandInTask:
-    """What the process plays; times of faults in seconds of the monotonic clock."""
+    """Task of the process; fault times are in seconds of the monotonic clock."""
 
     backends: tuple[tuple[str, int], ...]  # addresses
     discovery: tuple[str, int]
@@ -39,12 +39,12 @@
     work_ms: float
     answer_bytes: int
     seed: int
-    max_seconds: float  # then it ends by itself
+    max_seconds: float  # then the process ends by itself
     faults: tuple[BackendFault, ...]
 
     @classmethod
     def from_json(cls, document: dict[str, Any]) -> "StandInTask":
-        """The task that `dataclasses.asdict` and JSON made of one."""
+        """Return the task of a JSON document made with `dataclasses.asdict`."""
         backends = tuple((host, port) for host, port in document["backends"])
         host, port = document["discovery"]
         faults = tuple(BackendFault(*fault) for fault in document["faults"])
@@ -52,7 +52,7 @@
 
 
 class RequestCounter(EffectLog):
-    """All requests are alike; of what ran it is counted how often."""
+    """Effect log for requests of a single class; counts the attempts that executed a request again."""
 
     def __init__(self, task: StandInTask):
         self._mean_work_ms = task.work_ms
@@ -60,25 +60,28 @@
         self._request_class = SimpleNamespace(
             kind=RequestKind.IDEMPOTENT, work_ms=task.work_ms, response_bytes=task.answer_bytes, body_bytes=0
         )
-        self._begun: set[bytes] = set()
-        self.begun_twice = 0
+        self._started_request_ids: set[bytes] = set()
+        self.repeated_executions = 0
 
     def request_class(self, request_id: bytes) -> SimpleNamespace:
-        """The class of a request."""
+        """Return the class of a request."""
         return self._request_class
 
     def work_ms(self, request_id: bytes) -> float:
-        """What a request costs an idle backend of one core, in ms."""
+        """Return a request's service time on an idle backend of one core, in ms."""
         return self._mean_work_ms * self._rng.lognormvariate(-WORK_SIGMA * WORK_SIGMA / 2, WORK_SIGMA)
 
     def request_ran(self, backend: str, request_id: bytes, now: float) -> None:
-        """A backend has begun to work on a request."""
-        self.begun_twice += request_id in self._begun
-        self._begun.add(request_id)
+        """Record that a backend has started to execute a request."""
+        self.repeated_executions += request_id in self._started_request_ids
+        self._started_request_ids.add(request_id)
 
 
 async def serve(task: StandInTask) -> dict[str, int]:
-    """Plays backends and discovery until SIGTERM; requests `served`, and attempts begun `twice`."""
+    """Run backends and discovery until SIGTERM.
+
+    Return the number of requests `served`, and of attempts that executed a request again (`twice`).
+    """
     loop = asyncio.get_running_loop()
     is_over = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, is_over.set)
@@ -93,11 +96,11 @@
         discovery.publish(backend, BackendState.READY, 0.0)
         backends.append(backend)
     for fault in task.faults:
-        _schedule_fault(loop, fault, backends[fault.backend])
+        _schedule_fault(loop, fault, backends[fault.backend_index])
     await discovery.start()
     print("ready", flush=True)
     await is_over.wait()
-    return {"served": sum(backend.served_count for backend in backends), "twice": counter.begun_twice}
+    return {"served": sum(backend.served_count for backend in backends), "twice": counter.repeated_executions}
 
 
 def _build_backend(loop: asyncio.AbstractEventLoop, task: StandInTask, index: int, counter: RequestCounter) -> StandInBackend:
@@ -119,7 +122,7 @@
 
 
 def _schedule_fault(loop: asyncio.AbstractEventLoop, fault: BackendFault, backend: StandInBackend) -> None:
-    change = {"is_cut_off": True} if fault.kind == BackendFaultKind.SILENT else {"error_odds": ALWAYS_ERRS}
+    change = {"is_cut_off": True} if fault.kind == BackendFaultKind.SILENT else {"error_odds": CERTAIN_ERROR_ODDS}
     loop.call_later(fault.since_seconds - monotonic(), lambda: backend.change(**change))
     loop.call_later(fault.until_seconds - monotonic(), lambda: backend.change(is_cut_off=False, error_odds=0.0))
 
--- a/sloeferry/load_testing/step_report.py
+++ b/sloeferry/load_testing/step_report.py
@@ -1,4 +1,4 @@
-"""What is told of runs at shares and multiples of saturation: lines, the record, and a plot."""
+"""Report of runs at multiples of saturation: text lines, a JSON record and a plot."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -7,30 +7,30 @@
 
 from sloeferry.load_testing.figures import LoadFigures
 
-Measure = Callable[[LoadFigures], float | None]
+Metric = Callable[[LoadFigures], float | None]
 
 
 class StepRuns(NamedTuple):
-    """The runs at one multiple of saturation."""
+    """Runs at one multiple of saturation."""
 
     factor: float
     now: list[LoadFigures]
-    then: list[LoadFigures]  # of the earlier revision
+    then: list[LoadFigures]  # with the earlier revision
 
 
 class RatioSpread(NamedTuple):
-    """What pairs of runs gave."""
+    """Ratios between paired runs."""
 
-    least: float
+    minimum: float
     median: float
-    largest: float
+    maximum: float
 
 
 HEADER = "  factor       offered  in time declined    late    lost  unsent    p50    p99  p99.9  decl.  cpu/txn  lag50  lag99"
 
 
 def format_line(factor: float, figures: LoadFigures, name: str) -> str:
-    """One run under HEADER."""
+    """Format the figures of one run as a row below HEADER."""
     record = figures.as_json()
     return (
         f"  {factor:<5g} {name:>5} {record['offered']:8.0f} {record['in_time']:8.0f} {record['declined']:8.0f} "
@@ -40,18 +40,18 @@
     )
 
 
-def goodput_over_best(rows: Sequence[StepRuns]) -> dict[float, float]:
-    """By factor: goodput over the best of all, which is what overload leaves of it."""
+def goodput_to_best_ratios(rows: Sequence[StepRuns]) -> dict[float, float]:
+    """Return, by factor, the ratio of goodput to the best goodput: the part that remains under overload."""
     goodputs = [median(figures.in_time_per_second for figures in row.now) for row in rows]
     best = max(*goodputs, 1e-9)
     return {row.factor: goodput / best for row, goodput in zip(rows, goodputs, strict=True)}
 
 
-def ratios_now_over_then(rows: Sequence[StepRuns], measure: Measure) -> dict[float, RatioSpread]:
-    """By factor: the spread of the pairs' ratios; without factors where there is nothing to divide by."""
+def ratios_to_earlier_revision(rows: Sequence[StepRuns], metric: Metric) -> dict[float, RatioSpread]:
+    """Return, by factor, the spread of the ratios between pairs, without factors that have no pair to divide."""
     spreads = {}
     for row in rows:
-        pairs = [(measure(now), measure(then)) for now, then in zip(row.now, row.then, strict=False)]
+        pairs = [(metric(now), metric(then)) for now, then in zip(row.now, row.then, strict=False)]
         ratios = sorted(now / then for now, then in pairs if now is not None and then)
         if ratios:
             spreads[row.factor] = RatioSpread(ratios[0], median(ratios), ratios[-1])
@@ -59,13 +59,13 @@
 
 
 def draw_goodput(rows: Sequence[StepRuns], path: str, title: str) -> None:
-    """Goodput over offered load, one line a tree, as SVG."""
+    """Plot goodput over offered load as SVG, with one line per source tree."""
     import pygal
 
     chart = pygal.XY(
         title=title,
-        x_title="offered, txns a second",
-        y_title="in time, txns a second",
+        x_title="offered, requests per second",
+        y_title="served in time, requests per second",
         width=820,
         height=460,
         js=[],
@@ -87,41 +87,41 @@
 
 @dataclass(frozen=True)
 class StepReport:
-    """What `load step` tells in the end."""
+    """Summary that `load step` prints at its end."""
 
     saturation: float
     rows: list[StepRuns]
 
-    def _held(self) -> dict[float, float]:
-        return goodput_over_best(self.rows)
+    def _goodput_ratios(self) -> dict[float, float]:
+        return goodput_to_best_ratios(self.rows)
 
-    def _ratios(self, measure: Measure) -> dict[float, RatioSpread]:
-        return ratios_now_over_then(self.rows, measure)
+    def _ratios(self, metric: Metric) -> dict[float, RatioSpread]:
+        return ratios_to_earlier_revision(self.rows, metric)
 
     def cpu_ratios(self) -> dict[float, RatioSpread]:
-        """CPU time a request, by factor."""
+        """Return the ratios of CPU time per request to the earlier revision, by factor."""
         return self._ratios(lambda figures: figures.cpu_us_per_request)
 
     def goodput_ratios(self) -> dict[float, RatioSpread]:
-        """Requests served in time, by factor."""
+        """Return the ratios of goodput to the earlier revision, by factor."""
         return self._ratios(lambda figures: figures.in_time_per_second)
 
     def lines(self) -> list[str]:
-        """For people."""
-        held = ", ".join(f"{factor:g}x {ratio:.2f}" for factor, ratio in self._held().items())
+        """Return the report as text lines."""
+        held = ", ".join(f"{factor:g}x {ratio:.2f}" for factor, ratio in self._goodput_ratios().items())
         lines = [f"goodput over its best: {held}"]
         for name, spreads in (("cpu a txn", self.cpu_ratios()), ("goodput", self.goodput_ratios())):
             for factor, spread in spreads.items():
                 lines.append(
-                    f"{name} at {factor:g}x, now over then: {spread.median:.2f} ({spread.least:.2f} to {spread.largest:.2f})"
+                    f"{name} at {factor:g}x, now over then: {spread.median:.2f} ({spread.minimum:.2f} to {spread.maximum:.2f})"
                 )
         return lines
 
     def as_json(self) -> dict[str, Any]:
-        """For programs."""
+        """Return the report as a JSON document."""
         return {
             "saturation": self.saturation,
-            "held": self._held(),
+            "held": self._goodput_ratios(),
             "cpu": self.cpu_ratios(),
             "goodput": self.goodput_ratios(),
             "rows": [(row.factor, _records(row.now), _records(row.then)) for row in self.rows],
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -14,7 +14,7 @@
 from sloeferry.load_testing.outcomes import Outcome, OutcomeCounts
 from sloeferry.load_testing.overload_cases import OVERLOAD_CASES
 from sloeferry.load_testing.plan import ClientProfile, LoadPlan, LoadPlanError, arrivals, parse_curve
-from sloeferry.load_testing.step_report import StepRuns, goodput_over_best, ratios_now_over_then
+from sloeferry.load_testing.step_report import StepRuns, goodput_to_best_ratios, ratios_to_earlier_revision
 
 
 def figures(in_time, cpu_us):
@@ -85,10 +85,10 @@
             StepRuns(1.0, [figures(in_time=100, cpu_us=50)], [figures(in_time=50, cpu_us=100)]),
             StepRuns(4.0, [figures(in_time=90, cpu_us=30)], [figures(in_time=0, cpu_us=60)]),
         ]
-        self.assertEqual(goodput_over_best(rows), {1.0: 1.0, 4.0: 0.9})
-        cpu_ratios = ratios_now_over_then(rows, lambda each: each.cpu_us_per_request)
+        self.assertEqual(goodput_to_best_ratios(rows), {1.0: 1.0, 4.0: 0.9})
+        cpu_ratios = ratios_to_earlier_revision(rows, lambda each: each.cpu_us_per_request)
         self.assertEqual(cpu_ratios, {1.0: (0.5, 0.5, 0.5), 4.0: (0.5, 0.5, 0.5)})
-        goodput_ratios = ratios_now_over_then(rows, lambda each: each.in_time_per_second)
+        goodput_ratios = ratios_to_earlier_revision(rows, lambda each: each.in_time_per_second)
         self.assertEqual(goodput_ratios, {1.0: (2.0, 2.0, 2.0)})
 
 
@@ -97,7 +97,7 @@
         """A real daemon, stand-ins and callers: every txn drawn is counted once, and some are served.  How many in
         time is no matter here."""
         plan = LoadPlan(((1.5, 40.0),), 3, clients=ClientProfile(invalid_ratio=0.1, new_connection_ratio=0.2))
-        record = run_load(plan, Deployment(workers=1, backends=3, cpu_share=None)).as_json()
+        record = run_load(plan, Deployment(worker_count=1, backend_count=3, cpu_share=None)).as_json()
         ends = sum(count for counts in record["by_second"].values() for count in counts.values())
         self.assertEqual(ends, len(list(arrivals(plan.for_worker(0, 1)))))
         self.assertGreater(record["backends"]["served"], 0)
