--- a/tests/network/test_request_intake.py
+++ b/tests/network/test_request_intake.py
@@ -1,4 +1,4 @@
-"""Requests as they come: bad ones, ids that are in flight, clients that leave."""
+"""Invalid requests, request ids that are in flight, and clients that disconnect."""
 
 import asyncio
 from unittest import mock
@@ -18,7 +18,7 @@
     "GET /" + "x" * 20000 + " HTTP/1.1\r\n\r\n",
     "GET / HTTP/1.1\r\n" + "A: b\r\n" * 5000 + "\r\n",
     "POST /api HTTP/1.1\r\nContent-Length: 70000\r\n\r\n" + "x" * 70000,
-    # None of these ever ends, or says how long it is; more than the head is not waited for.
+    # None of these ends or has a valid length; they must be refused without waiting for more than the head.
     "GET / HTTP/1.1\r\nEndless: " + "x" * 40000,
     "GET / HTTP/1.1\r\n" + "y" * 40000,
     GOOD_HEAD + "Transfer-Encoding: chunked\r\n\r\n1;" + "x" * 40000,
@@ -34,8 +34,8 @@
 HALF_REQUESTS = ("", "GET /api HTTP/1.1\r\nX-Call", "POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nxx")
 
 
-def test_bad_requests(check_scenario: ScenarioChecker):
-    """Whatever is no good request gets a plain 4xx or a close, and the next good one is served."""
+def test_bad_requests_get_4xx_or_close(check_scenario: ScenarioChecker):
+    """Each invalid request gets a 4xx or a closed connection, and the next valid request is served."""
 
     async def scenario(harness: ProxyHarness) -> None:
         for name, value in BAD_HEADERS.items():
@@ -54,14 +54,14 @@
         for part in HALF_REQUESTS:
             _, writer = await harness.connect()
             writer.write(part.encode())
-            writer.close()  # gone half way
+            writer.close()  # in the middle of a request
         await harness.request("safe")
 
-    check_scenario(scenario, "sockets_bad_input", ProxyHarness({"b": response()}))
+    check_scenario(scenario, "bad_requests", ProxyHarness({"b": response()}))
 
 
-def test_open_request_id(check_scenario: ScenarioChecker):
-    """An id that is in flight is not taken twice; once answered it may come again."""
+def test_open_request_id_is_refused(check_scenario: ScenarioChecker):
+    """A request id that is in flight is refused a second time; once answered, it may be used again."""
     release = asyncio.Event()
 
     async def scenario(harness: ProxyHarness) -> None:
@@ -73,11 +73,11 @@
         await first
         await harness.request("safe")
 
-    check_scenario(scenario, "sockets_open_id", ProxyHarness({"b": lambda number: release if number == 1 else response()}))
+    check_scenario(scenario, "open_request_id", ProxyHarness({"b": lambda number: release if number == 1 else response()}))
 
 
-def test_client_gone(check_scenario: ScenarioChecker):
-    """A client that leaves while its request is in flight takes nobody with it."""
+def test_disconnect_affects_no_other_client(check_scenario: ScenarioChecker):
+    """A client that disconnects while its request is in flight does not affect other clients."""
 
     async def scenario(harness: ProxyHarness) -> None:
         _, writer = await harness.connect()
@@ -89,4 +89,4 @@
         writer.transport.abort()
         await harness.request("safe")
 
-    check_scenario(scenario, "sockets_client_gone", ProxyHarness({"b": lambda number: response() if number > 1 else None}))
+    check_scenario(scenario, "client_disconnect", ProxyHarness({"b": lambda number: response() if number > 1 else None}))
