--- a/sloeferry/fault_testing/audit_check.py
+++ b/sloeferry/fault_testing/audit_check.py
@@ -31,7 +31,9 @@
         self._began_at = at
         self._newest_revision = newest_revision
         # A list written within NOTIFICATION_GRACE_SECONDS may not have been read yet when the audit query arrives.
-        delivered = {proxy: written for proxy, written in self.last_written.items() if written.at < at - NOTIFICATION_GRACE_SECONDS}
+        delivered = {
+            proxy: written for proxy, written in self.last_written.items() if written.at < at - NOTIFICATION_GRACE_SECONDS
+        }
         self._notified_before = {proxy: written.revision for proxy, written in delivered.items()}
 
     def end(self, result: dict[str, Any]) -> None:
