--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What tests of several packages use: golden files, a recording policy host, a proxy between played peers."""
+"""Test support shared by several packages: golden files, a recording policy host, and a proxy with fake peers."""
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery on loopback whose endpoint list, watch events and failures a test plays."""
+"""Fake discovery on loopback: a test controls its endpoint list, watch events and failures."""
 
 import asyncio
 import json
@@ -7,31 +7,34 @@
 from tests.support.fake_backends import FakeBackends
 
 STREAM_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-CLOSED_PORT = 1  # of a backend that does not exist: nobody listens there
+CLOSED_PORT = 1  # address of a backend that does not exist: connections are refused
 
-EndpointSpec = str | tuple[str, str]  # a backend's name; or name and phase
+EndpointSpec = str | tuple[str, str]  # a backend's name, or its name and phase
 
 
 def chunk(text: str) -> bytes:
-    """One line of a stream, as one chunk."""
+    """Return one line of a stream as an HTTP chunk."""
     return b"%x\r\n%b\n\r\n" % (len(text) + 1, text.encode())
 
 
 class FakeDiscovery:
-    """Answers each poll with the list of all backends and a watch that stands, unless the test says otherwise."""
+    """Discovery that answers each poll with the list of all backends and keeps the watch open.
+
+    A test can replace the responses, push other lines, or let all polls fail.
+    """
 
     def __init__(self, backends: FakeBackends):
         self._backends = backends
-        self.is_down = False  # closes each connection behind its request
+        self.is_down = False  # closes each connection after its request
         self.revision = 1
-        self.polls: list[str] = []  # the request line of each
+        self.polls: list[str] = []  # request line of each poll
         self.watches: list[asyncio.StreamWriter] = []
-        self.scripted_responses: list[bytes] = []  # to the next polls, in place of a watch
+        self.scripted_responses: list[bytes] = []  # responses to the next polls, in place of a watch
         self.scripted_writers: list[asyncio.StreamWriter] = []
 
-    def endpoint_entries(self, *lines: EndpointSpec) -> list[dict[str, Any]]:
-        """The entries of an endpoint list."""
-        pairs = [(line, "active") if isinstance(line, str) else line for line in lines]
+    def endpoint_entries(self, *endpoints: EndpointSpec) -> list[dict[str, Any]]:
+        """Return the entries of an endpoint list."""
+        pairs = [(endpoint, "active") if isinstance(endpoint, str) else endpoint for endpoint in endpoints]
         return [
             {
                 "id": name,
@@ -47,18 +50,18 @@
         ]
 
     def push(self, text: str) -> None:
-        """One line to all watches."""
+        """Send one line to all watches."""
         for writer in self.watches:
             if not writer.is_closing():
                 writer.write(chunk(text))
 
-    def publish_endpoints(self, *lines: EndpointSpec, is_complete: bool = True) -> None:
-        """A list, or a change of it, of the next revision, to all watches."""
+    def publish_endpoints(self, *endpoints: EndpointSpec, is_complete: bool = True) -> None:
+        """Send a list, or a change of it, to all watches under the next revision."""
         self.revision += 1
-        self.push(json.dumps({"revision": self.revision, "complete": is_complete, "members": self.endpoint_entries(*lines)}))
+        self.push(json.dumps({"revision": self.revision, "complete": is_complete, "members": self.endpoint_entries(*endpoints)}))
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One poll."""
+        """Serve one poll."""
         self.polls.append((await reader.readuntil(b"\r\n\r\n")).decode().splitlines()[0])
         if self.is_down:
             writer.close()
@@ -71,6 +74,6 @@
             self.publish_endpoints(*self._backends.scripts)
 
     def close(self) -> None:
-        """Ends all connections."""
+        """Close all connections."""
         for writer in (*self.scripted_writers, *self.watches):
             writer.close()
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -1,4 +1,4 @@
-"""Golden files: the lines that a test records, compared with a file that people read."""
+"""Golden files: compares the lines that a test records with a stored, human-readable file."""
 
 import difflib
 import unittest
@@ -10,26 +10,26 @@
 
 
 class Recorder(Protocol):
-    """What records lines."""
+    """Object that records lines."""
 
     lines: list[str]
 
 
 class LineRecorder:
-    """Lines that a test records itself."""
+    """Recorder whose lines the test appends itself."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
 
 
 class GoldenFiles:
-    """The golden files of one folder."""
+    """Golden files of one folder."""
 
     def __init__(self, folder: Path):
         self.folder = folder
 
     def check(self, lines: Sequence[str], name: str) -> None:
-        """Raises AssertionError with the difference unless the lines are those of the golden file of that name."""
+        """Raise AssertionError with the difference unless the lines equal the golden file of that name."""
         expected = (self.folder / name).read_text().splitlines()
         difference = list(difflib.unified_diff(expected, list(lines), "golden file", "recorded now", lineterm=""))
         if difference:
@@ -37,7 +37,7 @@
 
 
 def compare(test: unittest.TestCase, recorder: Recorder, name: str) -> None:
-    """The same for test classes, whose golden files stand in `tests/kept`; raises the test's own failure."""
+    """Compare the lines of a unittest test with its golden file in `tests/kept`; raise the test's failure exception."""
     try:
         GoldenFiles(SHARED_GOLDEN_FOLDER).check(recorder.lines, name)
     except AssertionError as error:
--- a/tests/support/proxy_harness.py
+++ b/tests/support/proxy_harness.py
@@ -1,4 +1,4 @@
-"""The real proxy on loopback, between a client, backends and a discovery that a test plays."""
+"""Harness that runs a real proxy on loopback between fake clients, backends and discovery."""
 
 import asyncio
 import json
@@ -16,9 +16,9 @@
 from tests.support.fake_backends import FakeBackends, Script, content_length
 from tests.support.fake_discovery import FakeDiscovery
 
-DEFAULT_DUPLICATE_RESPONSE_SECONDS = connection_pool.DUPLICATE_RESPONSE_SECONDS  # as it is outside the tests
-SCENARIO_TIMEOUT_SECONDS = 60  # the longest that a scenario may take
-MAX_BODY_CHARACTERS = 40  # characters of a body that are recorded
+DEFAULT_DUPLICATE_RESPONSE_SECONDS = connection_pool.DUPLICATE_RESPONSE_SECONDS  # value outside the tests
+SCENARIO_TIMEOUT_SECONDS = 60  # a scenario that takes longer fails
+MAX_RECORDED_BODY_CHARACTERS = 40  # longer bodies are cut in records
 READY_REQUEST = "GET /ready HTTP/1.1\r\n\r\n"
 
 Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -26,20 +26,20 @@
 
 
 class ScenarioChecker(Protocol):
-    """Plays a scenario with each harness in turn, and compares what all peers saw with one golden file."""
+    """Runs a scenario with each harness in turn, and compares the peers' records with one golden file."""
 
     def __call__(self, scenario: Scenario, name: str, *harnesses: "ProxyHarness") -> None:
-        """`name` is the golden file's."""
+        """Run the scenario; `name` is the name of the golden file."""
 
 
 def run_coroutine(coroutine: Any) -> Any:
-    """Runs it on a loop of its own, for SCENARIO_TIMEOUT_SECONDS at most; what it returns."""
+    """Run a coroutine on its own event loop, for at most SCENARIO_TIMEOUT_SECONDS, and return its result."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(asyncio.wait_for(coroutine, SCENARIO_TIMEOUT_SECONDS))
 
 
 def run_scenario(scenario: Scenario, harness: "ProxyHarness") -> None:
-    """A scenario with one proxy, from its start to its end."""
+    """Start a proxy, run a scenario with it and end it."""
 
     async def run() -> None:
         async with harness:
@@ -49,16 +49,16 @@
 
 
 class ProxyHarness:
-    """One proxy and its peers.  What the peers see is recorded in `lines`, in the order in which it happens.
+    """One proxy and its peers.  Events at the peers are recorded in `lines` in the order in which they occur.
 
-    `cached_endpoints`: the list that the proxy starts with; its discovery is down then.  `deadline_ms` of the requests;
-    `poll_within_ms`: the list's age at which the proxy must ask.  `settings` are added to those below, `limits` to their
-    limits; `environment` to this process's own.
+    `cached_endpoints`: list that the proxy starts with, in which case discovery is down.  `deadline_ms`: deadline of the
+    requests.  `poll_within_ms`: age of the list at which the proxy must poll again.  `settings`, `limits` and `environment`
+    are added to the default settings, to their limits, and to the environment of this process.
     """
 
     REQUEST_CLASSES = [("safe", "retryable"), ("keyed", "dedup"), ("once", "fragile")]  # name, idempotency
-    DUPLICATE_WAIT_SECONDS = 0.0  # which connection a backend is asked on must not hang on how long the last took
-    has_pending_reload = False  # a SIGHUP came before the proxy could act on it
+    DUPLICATE_WAIT_SECONDS = 0.0  # the choice of a connection must not depend on the duration of the last request
+    has_pending_reload = False  # a SIGHUP arrived before the proxy handled signals
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
         self._servers: list[asyncio.Server] = []
 
     def record(self, text: str) -> None:
-        """One line."""
+        """Record a line."""
         self.lines.append(text)
 
     async def __aenter__(self) -> Self:
@@ -129,7 +129,7 @@
         for _, writer in self.client_connections:
             writer.close()
         self.discovery.close()
-        await asyncio.sleep(0.01)  # for the peers to see their connections end
+        await asyncio.sleep(0.01)  # for the peers to notice the closed connections
 
     def _settings_document(self) -> dict[str, Any]:
         times = {"expiry": self.deadline_ms * 1000, "sla_time": self.deadline_ms * 900, "dedup_window": 30000000}
@@ -156,53 +156,53 @@
 
     async def _until_ready(self) -> None:
         while "200" not in await self.send(READY_REQUEST, is_recorded=False):
-            if self.proxy_task.done():  # it will never be ready: its own exception says why
+            if self.proxy_task.done():  # it will not become ready: raise its own exception
                 self.proxy_task.result()
                 raise AssertionError("the proxy ended before it was ready")
             await asyncio.sleep(0.01)
 
     async def listen(self, serve_connection: Callable[..., Awaitable[None]]) -> int:
-        """A server on a port that is free, until the harness ends; the port."""
+        """Start a server on a free port for the lifetime of the harness and return the port."""
         server = await asyncio.start_server(serve_connection, "127.0.0.1", 0)
         self._servers.append(server)
         return server.sockets[0].getsockname()[1]
 
     @staticmethod
     async def free_port() -> int:
-        """A port where nobody listens."""
+        """Return a port without a listener."""
         server = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         server.close()
         return port
 
     async def ask_admin(self, text: str) -> str:
-        """Sends that to the admin address: what comes back until its end; recorded in a line."""
+        """Send a request to the admin address, record the response in a line, and return it."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.admin_port)
         writer.write(text.encode())
         received = (await reader.read()).decode()
         writer.close()
         first_line = text.splitlines()[0] if text else ""
-        found = re.search(r'"(?:state|error)": ?"[^"]*"', received)
-        self.record(f"operators: {first_line}: {' '.join(received.split()[1:2])} {found and found[0]}")
+        match = re.search(r'"(?:state|error)": ?"[^"]*"', received)
+        self.record(f"operators: {first_line}: {' '.join(received.split()[1:2])} {match and match[0]}")
         return received
 
-    # The client
+    # Client
 
     async def connect(self) -> Connection:
-        """A connection to the proxy."""
+        """Open a connection to the proxy."""
         connection = await asyncio.open_connection("127.0.0.1", self.port)
         self.client_connections.append(connection)
         return connection
 
     async def send(self, text: str | bytes, connection: Connection | None = None, is_recorded: bool = True) -> str:
-        """Sends that, on a connection of its own unless one is given: what comes back, in a line."""
+        """Send data and return the response in a line; opens a new connection unless one is given."""
         try:
             reader, writer = connection or await self.connect()
             writer.write(text if isinstance(text, bytes) else text.encode())
             head = (await reader.readuntil(b"\r\n\r\n")).decode()
             body = (await reader.readexactly(content_length(head))).decode()
             headers = re.findall(r"(?i)connection: close|retry-after.*\d", head)
-            result = " ".join([head.split()[1], body[:MAX_BODY_CHARACTERS], *headers])
+            result = " ".join([head.split()[1], body[:MAX_RECORDED_BODY_CHARACTERS], *headers])
         except asyncio.IncompleteReadError:
             result = "closed without a word"
         except OSError:
@@ -216,8 +216,11 @@
     async def request(
         self, class_name: str = "safe", body: str = "", connection: Connection | None = None, **headers: Any
     ) -> str:
-        """A well-formed request, with some headers changed (None: left out); what comes back, in a line."""
-        self.record(f"client asks: {class_name} {body[:MAX_BODY_CHARACTERS]}")
+        """Send a well-formed request and return the response in a line.
+
+        `headers` replace the default headers; None leaves one out.
+        """
+        self.record(f"client asks: {class_name} {body[:MAX_RECORDED_BODY_CHARACTERS]}")
         values: dict[str, Any] = {
             "Host": "backend.local",
             "X-Call-Id": "c1",
