--- a/tests/network/test_failing_polls.py
+++ b/tests/network/test_failing_polls.py
@@ -8,6 +8,6 @@
 
     No safety rule is broken.
     """
-    code, text = test_rig.Processes.play(["refusals"])
+    code, text = test_rig.Processes.run_plan(["refusals"])
     assert code == 0, text
     assert "rules kept" in text
