--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What all tests share: the plugins that the suite loads, golden files, and proxies between played peers."""
+"""Fixtures and plugins of all tests: logging, golden files, and scenarios with a real proxy and fake peers."""
 
 import pytest
 from loguru import logger
@@ -11,19 +11,19 @@
 
 @pytest.fixture(autouse=True)
 def disable_logging() -> None:
-    """A proxy in this process logs nothing, unless the test adds a handler."""
+    """Remove the log handlers, so that a proxy in this process logs nothing unless the test adds one."""
     logger.remove()
 
 
 @pytest.fixture
 def golden(request: pytest.FixtureRequest) -> GoldenFiles:
-    """The golden files beside the test's module."""
+    """Return the golden files in the folder of the test's module."""
     return GoldenFiles(request.path.parent / "golden")
 
 
 @pytest.fixture
 def check_scenario(golden: GoldenFiles) -> ScenarioChecker:
-    """Plays a scenario with each harness in turn, and compares what all peers saw with one golden file."""
+    """Return a function that runs a scenario with each harness and compares the records with one golden file."""
 
     def run_and_compare(scenario: Scenario, name: str, *harnesses: ProxyHarness) -> None:
         lines: list[str] = []
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,6 +1,6 @@
-"""Passes over the tests that are known to fail, and prints them: a pytest plugin that reads KNOWN-RED.txt.
+"""Pytest plugin that deselects the known failing tests listed in KNOWN-RED.txt and prints them.
 
-It acts on a run of the whole suite.  A run that is told which tests to run runs just these, listed or not.
+It only affects runs of the whole suite.  A run with selected tests runs them even if they are listed.
 """
 
 from collections.abc import Sequence
@@ -18,21 +18,21 @@
 
 
 class KnownRedError(Exception):
-    """KNOWN-RED.txt cannot be used; the text names the line or the test."""
+    """Raised when KNOWN-RED.txt is invalid; the message names the line or the test."""
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """A test that is known to fail."""
+    """Test that is known to fail."""
 
-    test: str  # as pytest names it: path::name
-    command: str  # that shows the failure, with its seed
-    seen: str
+    test: str  # pytest's node id: path::name
+    command: str  # reproduces the failure; includes the seed
+    observed: str
     issue: str
 
 
 def parse_known_red(text: str) -> list[KnownRed]:
-    """The entries of the list, one a line; empty lines and comments are passed over.  Raises KnownRedError."""
+    """Parse the list: one entry per line, ignoring empty lines and comments.  Raises KnownRedError."""
     entries: list[KnownRed] = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith(COMMENT):
@@ -48,7 +48,7 @@
 
 
 def known_red_tests(collected: Sequence[str], entries: Sequence[KnownRed]) -> set[str]:
-    """Those of the collected tests that are listed; an entry that names none of them raises KnownRedError."""
+    """Return the collected tests that are listed; raises KnownRedError if a listed test was not collected."""
     names = set(collected)
     for entry in entries:
         if entry.test not in names:
@@ -57,13 +57,13 @@
 
 
 def is_whole_suite(config: pytest.Config) -> bool:
-    """Whether the run was not told which tests to run."""
+    """Return whether the run covers the whole suite, without any selection of tests."""
     has_no_paths = config.args_source is pytest.Config.ArgsSource.TESTPATHS
     return has_no_paths and not any(config.getoption(option, None) for option in SELECTION_OPTIONS)
 
 
 class KnownRedPlugin:
-    """Takes the listed tests out of a run, and prints them at its end."""
+    """Plugin that deselects the listed tests and prints them at the end of the run."""
 
     def __init__(self, path: Path):
         self._path = path
@@ -71,7 +71,7 @@
 
     @pytest.hookimpl(tryfirst=True)
     def pytest_collection_modifyitems(self, config: pytest.Config, items: list[pytest.Item]) -> None:
-        """Deselects the listed tests; a list that cannot be used ends the run before its first test."""
+        """Deselect the listed tests; an invalid list ends the run before the first test."""
         if not is_whole_suite(config):
             return
         try:
@@ -83,11 +83,11 @@
         items[:] = [item for item in items if item.nodeid not in listed]
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        """One line for each test that was not run."""
+        """Print one line for each test that was not run."""
         for entry in self._entries:
-            terminalreporter.write_line(f"KNOWN RED, not run: {entry.test} ({entry.issue}): {entry.seen}; {entry.command}")
+            terminalreporter.write_line(f"KNOWN RED, not run: {entry.test} ({entry.issue}): {entry.observed}; {entry.command}")
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Registers the plugin for the list at the root."""
+    """Register the plugin for the list in the repository's root folder."""
     config.pluginmanager.register(KnownRedPlugin(config.rootpath / LIST_NAME), "known-red-list")
