--- a/sloeferry/load_testing/open_loop_clients.py
+++ b/sloeferry/load_testing/open_loop_clients.py
@@ -21,7 +21,7 @@
 from sloeferry.load_testing.plan import Arrival, LoadPlan, RequestClassLoad, arrivals
 from sloeferry.stand_ins.wire_protocol import REJECTED_STATUSES, STATUS_OK
 
-# A client waits this long after its request has expired, to tell an overdue response from a lost one.
+# A client waits this long after its request has expired, to distinguish an overdue response from a lost one.
 LATE_RESPONSE_WAIT_SECONDS = 0.05
 OVERDUE_TOLERANCE_SECONDS = 0.002  # a response is overdue this long after its deadline
 DUE_CHECK_INTERVAL_SECONDS = 0.002  # maximum interval between checks for due requests
--- a/sloeferry/load_testing/overload_cases.py
+++ b/sloeferry/load_testing/overload_cases.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class OverloadCase:
-    """Overload case: builds its plan and deployment from the saturation, and says when its disruption ends."""
+    """Overload case: builds its plan and deployment from the saturation, and has the time at which its disruption ends."""
 
     description: str
     build: CaseBuilder
