--- a/sloeferry/stand_ins/backends.py
+++ b/sloeferry/stand_ins/backends.py
@@ -183,7 +183,7 @@
 
     def request_received(self, connection: BackendConnection, message: Message, began_at: float) -> None:
         """Process a complete request whose first byte was received at `began_at`, in seconds."""
-        self._requests.received(connection, message, began_at)
+        self._requests.receive(connection, message, began_at)
 
     def request_arrived(self, connection: BackendConnection, message: Message) -> None:
         """Handle a request after the delay of its link, if any; keep it for later while the backend is stalled."""
--- a/sloeferry/stand_ins/connection_balancer.py
+++ b/sloeferry/stand_ins/connection_balancer.py
@@ -1,4 +1,4 @@
-"""A stand-in for the connection balancer in front of the proxies: round robin over the ready proxies of a zone."""
+"""A stand-in for the connection balancer in front of the proxies: round robin over the proxies of a zone that are up."""
 
 import asyncio
 from collections.abc import Sequence
--- a/sloeferry/stand_ins/deduplication.py
+++ b/sloeferry/stand_ins/deduplication.py
@@ -1,4 +1,4 @@
-"""Idempotency keys shared by a group of stand-in backends: a repeat does not run, it waits for the first request's response."""
+"""Deduplicates requests by idempotency key: a repeat does not run, but waits until the first request of its key is done."""
 
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, NamedTuple
--- a/sloeferry/stand_ins/request_handler.py
+++ b/sloeferry/stand_ins/request_handler.py
@@ -52,7 +52,7 @@
 
     # Arrival
 
-    def received(self, connection: "BackendConnection", message: Message, began_at: float) -> None:
+    def receive(self, connection: "BackendConnection", message: Message, began_at: float) -> None:
         """Process a complete request whose first byte was received at `began_at`, in seconds; apply the fault of its link."""
         backend = self._backend
         request_id = message.fields.get(wire_protocol.REQUEST_ID)
@@ -99,7 +99,7 @@
             backend.work.add(job)
 
     def _crash_if_overloaded(self, request_id: bytes, work_ms: float) -> bool:
-        """Crash the backend if it gets more work in its warm-up than it can do; return whether it crashed."""
+        """Crash the backend for good if it gets more work in its warm-up than it can do; return whether it crashed."""
         backend = self._backend
         now = backend.loop.time()
         if not backend.warm_up.is_overloaded(RecentWork(now, work_ms, request_id)):
