--- a/sloeferry/stand_ins/backends.py
+++ b/sloeferry/stand_ins/backends.py
@@ -63,8 +63,8 @@
         self.is_cut_off = False  # from the network: it ignores what it receives
         self.neighbour_cpu_ratio = 0.0  # of its machine's CPU time, used by another program
         self.slowdown = 1.0
-        self.error_odds = 0.0
-        self.truncation_odds = 0.0
+        self.error_odds = 0.0  # probability that a request is answered with an error
+        self.truncation_odds = 0.0  # probability that a response is truncated
         self.report_override = ""  # "idle": it always reports no load; "stuck": it repeats its last report
         self.link_faults: dict[str, LinkFault] = {}  # by proxy
         self.work = WorkQueue(loop, settings.cores, self)
--- a/sloeferry/stand_ins/rules.py
+++ b/sloeferry/stand_ins/rules.py
@@ -6,9 +6,7 @@
 class Rule(enum.StrEnum):
     """A numbered rule of the platform, or a further check of the test tools."""
 
-    ONE_ANSWER = (
-        "1"  # each accepted request gets exactly one response, its own, before its deadline; no attempt is sent afterwards
-    )
+    ONE_ANSWER = "1"  # each accepted request gets exactly one response, its own, by its deadline; no attempt is sent afterwards
     NO_REPEATED_EFFECT = "2"  # no request runs twice that must not; no rejected request has run
     NO_SEND_AFTER_DRAIN = "3"  # no new request to a backend later than the drain grace after the proxy was notified
     NO_OVERLOAD_IN_WARM_UP = "4"  # all proxies together do not overload a backend in its warm-up
