--- a/sloeferry/rehearsal/loop_handle.py
+++ b/sloeferry/rehearsal/loop_handle.py
@@ -1,4 +1,4 @@
-"""What a simulated loop was asked to call."""
+"""The handles of callbacks that are scheduled on a simulated event loop."""
 
 from collections.abc import Callable
 from contextvars import Context
@@ -8,7 +8,7 @@
 
 
 class Handle:
-    """One call; asyncio's own code reads no more of it than this."""
+    """A scheduled callback, with the methods of asyncio.Handle and TimerHandle that asyncio itself calls."""
 
     __slots__ = ("callback", "arguments", "context", "due_at")
 
@@ -19,13 +19,13 @@
         self.due_at = due_at
 
     def cancel(self) -> None:
-        """As asyncio.Handle."""
+        """Cancel the callback."""
         self.callback = None
 
     def cancelled(self) -> bool:
-        """As asyncio.Handle."""
+        """Return whether the callback was cancelled."""
         return self.callback is None
 
     def when(self) -> float | None:
-        """As asyncio.TimerHandle."""
+        """Return the time for which the callback is scheduled, None without one."""
         return self.due_at
--- a/sloeferry/rehearsal/loop_socket_calls.py
+++ b/sloeferry/rehearsal/loop_socket_calls.py
@@ -1,4 +1,4 @@
-"""A simulated loop's calls that use sockets; each costs CPU time."""
+"""The socket methods of a simulated event loop; reads, writes and connects cost CPU time."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,17 +13,17 @@
 
 
 class LoopSocketCalls(asyncio.AbstractEventLoop):
-    """The loop of a process on a host of the simulated network."""
+    """Implements the socket methods of AbstractEventLoop for a process on a simulated host."""
 
     def __init__(self, host: "SimulatedHost"):
         self.host = host
 
     def spend_cpu(self, kind: str) -> None:
-        """A call of that kind takes its CPU time."""
+        """Spend the CPU time of a call of that kind."""
         raise NotImplementedError
 
     async def sock_recv_into(self, sock: "SimulatedSocket", buffer: bytearray | memoryview) -> int:
-        """As asyncio calls it."""
+        """Read into the buffer, waiting for data, and return the number of bytes."""
         self.spend_cpu("read")
         while True:
             try:
@@ -32,7 +32,7 @@
                 await sock.waiters.until_readable()
 
     async def sock_sendall(self, sock: "SimulatedSocket", data: bytes | memoryview) -> None:
-        """As asyncio calls it."""
+        """Send all data, waiting while the send window is full."""
         self.spend_cpu("write")
         view = memoryview(data)
         while True:
@@ -44,16 +44,16 @@
                 await sock.waiters.until_writable()
 
     async def sock_connect(self, sock: "SimulatedSocket", address: "Address") -> None:
-        """As asyncio calls it."""
+        """Connect the socket to an address."""
         self.spend_cpu("dial")
         await sock.connect(address)
 
     def add_reader(self, sock: "SimulatedSocket", callback: Callback, *arguments: Any) -> None:
-        """As asyncio calls it."""
+        """Call `callback` whenever the socket is readable."""
         sock.waiters.watch(callback, *arguments)
 
     def remove_reader(self, sock: "SimulatedSocket") -> None:
-        """As asyncio calls it."""
+        """Stop watching the socket."""
         sock.waiters.watch(None)
 
     async def create_server(
@@ -65,11 +65,11 @@
         backlog: int = 128,
         **_: Any,
     ) -> "SimulatedServer":
-        """As asyncio calls it."""
+        """Listen on an address and create a protocol for each connection."""
         return self.host.network.create_server(self, factory, (host, port), backlog)
 
     async def create_connection(
         self, factory: Callable[[], asyncio.Protocol], host: str | None = None, port: int | None = None, **_: Any
     ) -> tuple["SimulatedTransport", asyncio.Protocol]:
-        """As asyncio calls it."""
+        """Connect to an address and return the transport and its protocol."""
         return await self.host.network.create_connection(self, factory, (host, port))
--- a/sloeferry/rehearsal/network.py
+++ b/sloeferry/rehearsal/network.py
@@ -1,6 +1,6 @@
-"""A TCP network in memory, on a scheduler's clock: hosts in zones, latency, bytes in pieces, resets.
+"""Simulates a TCP network in virtual time: hosts in zones, latency, segmentation and resets.
 
-What is in flight arrives in order.  A host that is cut off says nothing: its connections stand, and nothing comes or goes.
+Segments of a connection arrive in order.  A disconnected host neither sends nor receives; its connections stay open.
 """
 
 import asyncio
@@ -11,14 +11,14 @@
 from sloeferry.rehearsal.simulated_transport import SimulatedServer, SimulatedTransport
 from sloeferry.rehearsal.virtual_time import Scheduler
 
-CONNECT_RETRY_SECONDS = 1.0  # until a connect that found a full backlog is tried again, the first time
+CONNECT_RETRY_SECONDS = 1.0  # before the first retry of a connect that found a full backlog; doubled for each further retry
 MAX_RETRY_DOUBLINGS = 5
 FIRST_DESCRIPTOR = 101
 FIRST_EPHEMERAL_PORT, EPHEMERAL_PORT_COUNT = 32768, 28000
 
 
 class SimulatedHost:
-    """A machine: an address in a zone (None: a client's).  `is_cut_off`: from the network, without a word to anybody."""
+    """A host with one IP address in a zone (None for a client's); `is_cut_off` disconnects it from the network."""
 
     def __init__(self, network: "SimulatedNetwork", ip: str, zone: str | None):
         self.network = network
@@ -29,7 +29,7 @@
 
 
 class SimulatedNetwork:
-    """All hosts and what is between them.  Latencies are one way, in seconds."""
+    """Connects hosts, delivers segments and owns all sockets; latencies are one-way, in seconds."""
 
     def __init__(
         self,
@@ -57,10 +57,10 @@
         self._client_extra_seconds = client_extra_seconds
         self._jitter_ratio = jitter_ratio
         self._last_descriptor = FIRST_DESCRIPTOR - 1
-        self._port_count = FIRST_EPHEMERAL_PORT
+        self._port_counter = FIRST_EPHEMERAL_PORT
 
     def latency(self, source: SimulatedHost, target: SimulatedHost) -> float:
-        """Between two hosts, for one segment."""
+        """Return the latency of one segment between two hosts, with random jitter."""
         if source.zone is None or target.zone is None:
             seconds = self._client_extra_seconds + self.same_zone_seconds
         elif source.zone == target.zone:
@@ -70,23 +70,23 @@
         return seconds * (1 + self._jitter_ratio * self.rng.random()) if self._jitter_ratio else seconds
 
     def socket(self, process: SimulatedProcess | None = None) -> SimulatedSocket:
-        """A new socket, of the process that runs now if none is named."""
+        """Return a new socket of a process, by default the one that is running."""
         return SimulatedSocket(self, process or self.scheduler.current)
 
     def next_descriptor(self) -> int:
-        """For a new socket."""
+        """Return a descriptor for a new socket."""
         self._last_descriptor += 1
         return self._last_descriptor
 
     def next_port(self) -> int:
-        """For the near end of a connection."""
-        self._port_count += 1
-        return FIRST_EPHEMERAL_PORT + self._port_count % EPHEMERAL_PORT_COUNT
+        """Return an ephemeral port for the connecting end of a connection."""
+        self._port_counter += 1
+        return FIRST_EPHEMERAL_PORT + self._port_counter % EPHEMERAL_PORT_COUNT
 
     # Connecting
 
     def send_connect(self, sock: SimulatedSocket, address: Address, retry_count: int = 0) -> None:
-        """Sends a connect; to a machine that is not there it goes for ever."""
+        """Send a connect; to a host that does not exist it never completes."""
         target = self.hosts.get(address[0])
         if target is None or sock.is_closed:
             return
@@ -104,26 +104,26 @@
         if listener is None:
             self.scheduler.call_later(latency, sock.connection_refused)
         elif listener.is_backlog_full():
-            pause_seconds = CONNECT_RETRY_SECONDS * 2 ** min(retry_count, MAX_RETRY_DOUBLINGS)
-            self.scheduler.call_later(pause_seconds, self.send_connect, sock, address, retry_count + 1)
+            delay_seconds = CONNECT_RETRY_SECONDS * 2 ** min(retry_count, MAX_RETRY_DOUBLINGS)
+            self.scheduler.call_later(delay_seconds, self.send_connect, sock, address, retry_count + 1)
         else:
             sock.remote_address = address
-            listener.add_to_backlog(self._far_end(listener, sock, address))
+            listener.add_to_backlog(self._accepting_end(listener, sock, address))
             self.scheduler.call_later(latency, sock.connection_established)
 
-    def _far_end(self, listener: SimulatedSocket, sock: SimulatedSocket, address: Address) -> SimulatedSocket:
-        """The listener's side of a connection."""
-        far_end = SimulatedSocket(self, listener.process)
-        far_end.peer = sock
-        sock.peer = far_end
-        far_end.local_address = address
-        far_end.remote_address = sock.process.host.ip, sock.assign_port()
-        return far_end
+    def _accepting_end(self, listener: SimulatedSocket, sock: SimulatedSocket, address: Address) -> SimulatedSocket:
+        """Return the accepting end of a new connection."""
+        accepting_end = SimulatedSocket(self, listener.process)
+        accepting_end.peer = sock
+        sock.peer = accepting_end
+        accepting_end.local_address = address
+        accepting_end.remote_address = sock.process.host.ip, sock.assign_port()
+        return accepting_end
 
-    # Carrying
+    # Sending
 
     def send(self, sock: SimulatedSocket, segment: Segment, data: bytes = b"", extra_seconds: float = 0.0) -> None:
-        """Sends something to the other end, behind all before it."""
+        """Send a segment to the peer; it arrives after all segments sent before it."""
         source, peer = sock.process.host, sock.peer
         if source.is_cut_off or peer is None:
             return
@@ -136,18 +136,18 @@
         if target.is_cut_off or source.is_cut_off:
             return
         if peer.is_closed:
-            if segment is Segment.DATA:  # nobody is there any more: said so, without a socket
+            if segment is Segment.DATA:  # the kernel of the peer's host resets the connection
                 self.scheduler.call_later(self.latency(target, source), sock.connection_reset)
             return
         self.bytes_delivered += len(data)
         peer.segment_received(segment, data)
 
-    # What asyncio's protocols stand on
+    # Servers and connections of asyncio protocols
 
     def create_server(
         self, process: SimulatedProcess, factory: Callable[[], asyncio.Protocol], address: Address, backlog: int
     ) -> SimulatedServer:
-        """As a loop's `create_server`."""
+        """Listen on an address and create a protocol for each connection; see `AbstractEventLoop.create_server`."""
         sock = SimulatedSocket(self, process)
         sock.bind(address)
         sock.listen(backlog)
@@ -158,7 +158,7 @@
     async def create_connection(
         self, process: SimulatedProcess, factory: Callable[[], asyncio.Protocol], address: Address
     ) -> tuple[SimulatedTransport, asyncio.Protocol]:
-        """As a loop's `create_connection`."""
+        """Connect to an address and create a protocol; see `AbstractEventLoop.create_connection`."""
         sock = SimulatedSocket(self, process)
         try:
             await sock.connect(address)
--- a/sloeferry/rehearsal/simulated_epoll.py
+++ b/sloeferry/rehearsal/simulated_epoll.py
@@ -1,4 +1,4 @@
-"""An epoll of the simulated network."""
+"""A replacement of select.epoll for sockets of the simulated network."""
 
 import select
 from typing import TYPE_CHECKING
@@ -9,36 +9,36 @@
 
 
 class SimulatedEpoll:
-    """As much of select.epoll as the proxy uses: one-shot, for reading."""
+    """Implements the part of select.epoll that the proxy uses: EPOLLIN with EPOLLONESHOT."""
 
     def __init__(self, network: "SimulatedNetwork"):
         self._network = network
         self._ready: dict[int, None] = {}  # descriptors, in the order in which they became ready
 
     def register(self, descriptor: int, flags: int) -> None:
-        """As select.epoll."""
+        """Watch a socket and arm it for one event."""
         self._network.sockets[descriptor].waiters.epoll = self
         self.modify(descriptor, flags)
 
     def modify(self, descriptor: int, flags: int) -> None:
-        """As select.epoll: arms it anew."""
+        """Arm a watched socket for another event."""
         sock = self._network.sockets[descriptor]
         sock.waiters.is_armed = True
         if sock.is_readable():
             self._ready[descriptor] = None
 
     def became_readable(self, sock: "SimulatedSocket") -> None:
-        """A socket may be read."""
+        """Record that a watched socket became readable."""
         if sock.waiters.is_armed:
             self._ready[sock.descriptor] = None
 
     def poll(self, timeout: float, max_events: int) -> list[tuple[int, int]]:
-        """As select.epoll; never waits."""
-        found = []
+        """Return the ready sockets without waiting, at most `max_events`."""
+        events = []
         for descriptor in list(self._ready)[:max_events]:
             del self._ready[descriptor]
             sock = self._network.sockets.get(descriptor)
             if sock is not None and sock.waiters.is_armed:
                 sock.waiters.is_armed = False
-                found.append((descriptor, select.EPOLLIN))
-        return found
+                events.append((descriptor, select.EPOLLIN))
+        return events
--- a/sloeferry/rehearsal/simulated_socket.py
+++ b/sloeferry/rehearsal/simulated_socket.py
@@ -1,4 +1,4 @@
-"""A socket of the simulated network, which behaves as one that never blocks, as far as the proxy uses one."""
+"""A non-blocking TCP socket of the simulated network, with the methods that the proxy uses."""
 
 import asyncio
 import enum
@@ -16,12 +16,12 @@
 
 Address = tuple[str, int]
 
-WINDOW_BYTES = 131072  # that may be under way or unread on a connection, each way
+WINDOW_BYTES = 131072  # limit of unread bytes per connection and direction, in flight or received
 WOULD_BLOCK = BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
 
 
 class Segment(enum.Enum):
-    """What is sent over a connection."""
+    """The kind of a segment sent over a connection."""
 
     DATA = enum.auto()
     END = enum.auto()
@@ -29,12 +29,12 @@
 
 
 def os_error(number: int) -> OSError:
-    """The error that a system call fails with."""
+    """Return the OSError that a system call raises for an error number."""
     return OSError(number, os.strerror(number))
 
 
 class SimulatedSocket:
-    """One end of a connection, or a listener."""
+    """One end of a connection, or a listening socket."""
 
     def __init__(self, network: "SimulatedNetwork", process: "SimulatedProcess"):
         self.network = network
@@ -44,36 +44,36 @@
         self.local_address: Address | None = None
         self.remote_address: Address | None = None
         self.inbox: deque[bytes] = deque()
-        self.unread_bytes = 0  # sent from here, under way or not read yet
-        self.last_arrival_at = 0.0  # of what was sent last, seconds
+        self.unread_bytes = 0  # sent from this end and not read by the peer
+        self.last_arrival_at = 0.0  # arrival time of the last segment sent, seconds
         self.is_established = False
         self.is_closed = False
         self.error_number = 0
         self.waiters = SocketWaiters(self)
         self._has_received_end = False
         self._has_sent_end = False
-        self._backlog: deque[SimulatedSocket] | None = None  # of a listener
+        self._backlog: deque[SimulatedSocket] | None = None  # of a listening socket
         self._max_backlog = 0
         self._connecting: asyncio.Future[None] | None = None
         network.sockets[self.descriptor] = self
         process.sockets[self.descriptor] = self
 
-    # As a socket
+    # Methods of socket.socket
 
     def fileno(self) -> int:
-        """As socket.socket."""
+        """Return the descriptor, or -1 after `close`."""
         return -1 if self.is_closed else self.descriptor
 
     def setblocking(self, flag: bool) -> None:
-        """As socket.socket, but that none here ever blocks."""
+        """Accept only False: simulated sockets never block."""
         if flag:
-            raise ValueError("sockets here never block")
+            raise ValueError("setblocking(True): simulated sockets support only non-blocking mode")
 
     def setsockopt(self, *arguments: Any) -> None:
-        """As socket.socket; no option changes anything."""
+        """Ignore the option."""
 
     def bind(self, address: Address) -> None:
-        """As socket.socket."""
+        """Set the local address, which has to be one of the process's host."""
         if address in self.network.listeners:
             raise os_error(errno.EADDRINUSE)
         if address[0] != self.process.host.ip:
@@ -81,13 +81,13 @@
         self.local_address = address
 
     def listen(self, max_backlog: int) -> None:
-        """As socket.socket."""
+        """Listen on the local address."""
         self._backlog = deque()
         self._max_backlog = max_backlog
         self.network.listeners[self.local_address] = self
 
     def accept(self) -> tuple["SimulatedSocket", Address]:
-        """As socket.socket."""
+        """Return the next connection of the backlog and its remote address; raise BlockingIOError if there is none."""
         self.check_open()
         if not self._backlog:
             raise WOULD_BLOCK
@@ -97,7 +97,7 @@
         return sock, sock.remote_address
 
     def recv(self, max_bytes: int, flags: int = 0) -> bytes:
-        """As socket.socket; the one flag known is MSG_PEEK."""
+        """Return received bytes, at most one segment; the only supported flag is MSG_PEEK."""
         self.check_open()
         if not self.inbox:
             if self.error_number:
@@ -105,35 +105,35 @@
             if self._has_received_end:
                 return b""
             raise WOULD_BLOCK
-        piece = self.inbox[0]
+        segment_data = self.inbox[0]
         if flags & socket.MSG_PEEK:
-            return piece[:max_bytes]
-        if len(piece) <= max_bytes:
+            return segment_data[:max_bytes]
+        if len(segment_data) <= max_bytes:
             self.inbox.popleft()
         else:
-            self.inbox[0] = piece[max_bytes:]
-            piece = piece[:max_bytes]
-        self._bytes_read(len(piece))
-        return piece
+            self.inbox[0] = segment_data[max_bytes:]
+            segment_data = segment_data[:max_bytes]
+        self._bytes_read(len(segment_data))
+        return segment_data
 
     def recv_into(self, buffer: bytearray | memoryview) -> int:
-        """As socket.socket: as much as is there, a read ends at no piece's end."""
+        """Fill the buffer with received bytes, across the bounds of segments, and return their number."""
         size, count = len(buffer), 0
         while count < size:
             try:
-                piece = self.recv(size - count)
+                segment_data = self.recv(size - count)
             except OSError:
                 if count:
                     break
                 raise
-            if not piece:
+            if not segment_data:
                 break
-            buffer[count : count + len(piece)] = piece
-            count += len(piece)
+            buffer[count : count + len(segment_data)] = segment_data
+            count += len(segment_data)
         return count
 
     def send(self, data: bytes | memoryview) -> int:
-        """As socket.socket."""
+        """Send as much as the window allows and return the number of bytes; raise BlockingIOError if it is full."""
         self.check_open()
         if self.error_number:
             raise os_error(self.error_number)
@@ -145,19 +145,19 @@
         if count <= 0:
             raise WOULD_BLOCK
         self.unread_bytes += count
-        self._send_in_pieces(bytes(data[:count]))
+        self._send_in_segments(bytes(data[:count]))
         return count
 
-    def _send_in_pieces(self, data: bytes) -> None:
+    def _send_in_segments(self, data: bytes) -> None:
         network, rng = self.network, self.network.rng
         while network.split_probability and len(data) > 1 and rng.random() < network.split_probability:
-            cut = rng.randrange(1, len(data))
-            network.send(self, Segment.DATA, data[:cut], rng.random() * 2 * network.same_zone_seconds)
-            data = data[cut:]
+            split_at = rng.randrange(1, len(data))
+            network.send(self, Segment.DATA, data[:split_at], rng.random() * 2 * network.same_zone_seconds)
+            data = data[split_at:]
         network.send(self, Segment.DATA, data)
 
     def shutdown(self, how: int) -> None:
-        """As socket.socket."""
+        """Shut down the sending side unless `how` is SHUT_RD."""
         self.check_open()
         if not self.is_established or self.error_number:
             raise os_error(errno.ENOTCONN)
@@ -166,14 +166,14 @@
             self.network.send(self, Segment.END)
 
     def close(self) -> None:
-        """As socket.socket: with bytes unread it ends as a reset, as TCP has it."""
+        """Close the socket; unread bytes turn the close into a reset, as in TCP."""
         if self.is_closed:
             return
         if self._backlog is not None:
             self._stop_listening()
         elif self.peer is not None and not self.error_number:
             self._close_connection()
-        self._forget()
+        self._unregister()
 
     def _stop_listening(self) -> None:
         if self.network.listeners.get(self.local_address) is self:
@@ -182,7 +182,7 @@
             waiting.reset()
 
     def _close_connection(self) -> None:
-        if not self.is_established:  # it was still coming up
+        if not self.is_established:  # it was still being established
             self.peer.connection_reset()
         elif self.inbox:
             self.network.send(self, Segment.RESET)
@@ -190,23 +190,23 @@
             self.network.send(self, Segment.END)
 
     def reset(self) -> None:
-        """Ended from its own side, as one whose process was killed."""
+        """Close the socket with a reset, as the kernel does when a process is killed."""
         if self._backlog is None and self.peer is not None and not self.is_closed and not self.error_number:
             self.network.send(self, Segment.RESET)
-            self._forget()
+            self._unregister()
         else:
             self.close()
 
     def has_peer_ended(self) -> bool:
-        """As environment.has_peer_ended."""
+        """Return whether the peer has shut down its sending side or the connection; see `environment.has_peer_ended`."""
         return self.is_closed or self._has_received_end or bool(self.error_number)
 
     def check_open(self) -> None:
-        """Raises OSError where it has been closed."""
+        """Raise OSError if the socket has been closed."""
         if self.is_closed:
             raise os_error(errno.EBADF)
 
-    def _forget(self) -> None:
+    def _unregister(self) -> None:
         self.is_closed = True
         self.inbox.clear()
         self.network.sockets.pop(self.descriptor, None)
@@ -215,37 +215,37 @@
     # Connecting
 
     async def connect(self, address: Address) -> None:
-        """Waits until it is connected.  Raises OSError."""
+        """Connect to an address and wait until the connection is established; raise OSError if that fails."""
         self._connecting = self.process.create_future()
         self.network.send_connect(self, address)
         await self._connecting
 
     def assign_port(self) -> int:
-        """A port of its own at the near end of a connection."""
+        """Assign an ephemeral port to the connecting end and return it."""
         self.local_address = self.process.host.ip, self.network.next_port()
         return self.local_address[1]
 
     def has_backlog(self) -> bool:
-        """Whether a connection waits to be accepted."""
+        """Return whether a connection waits to be accepted."""
         return bool(self._backlog)
 
     def is_backlog_full(self) -> bool:
-        """Whether a listener takes no more connections for now."""
+        """Return whether the backlog of this listening socket is full."""
         return len(self._backlog) >= self._max_backlog
 
     def add_to_backlog(self, sock: "SimulatedSocket") -> None:
-        """A connection has come to a listener."""
+        """Add an incoming connection to the backlog of this listening socket."""
         self._backlog.append(sock)
         self.waiters.notify_readable()
 
     def connection_refused(self) -> None:
-        """Nobody listens there."""
+        """Fail the pending connect: no socket listens on the address."""
         if not self.is_closed and self._connecting and not self._connecting.done():
             self.error_number = errno.ECONNREFUSED
             self._connecting.set_exception(os_error(errno.ECONNREFUSED))
 
     def connection_established(self) -> None:
-        """The far end has taken the connection."""
+        """Complete the pending connect: the connection is in the listening socket's backlog."""
         is_cut_off = self.peer.process.host.is_cut_off or self.process.host.is_cut_off
         if self.is_closed or self.error_number or is_cut_off:
             return
@@ -254,7 +254,7 @@
             self._connecting.set_result(None)
 
     def connection_reset(self) -> None:
-        """The other side has reset it."""
+        """Handle a reset by the peer: fail the pending connect and wake up all waiters."""
         if self.is_closed or self.error_number:
             return
         self.error_number = errno.ECONNRESET
@@ -266,7 +266,7 @@
     # Reading and writing
 
     def segment_received(self, segment: Segment, data: bytes) -> None:
-        """Something has come over the network."""
+        """Handle a segment that arrived from the peer."""
         if segment is Segment.RESET:
             self.connection_reset()
             return
@@ -277,7 +277,7 @@
         self.waiters.notify_readable()
 
     def _bytes_read(self, count: int) -> None:
-        """The other side may send as much more."""
+        """Open the peer's send window by the number of bytes read."""
         if self.peer is None:
             return
         self.peer.unread_bytes -= count
@@ -285,5 +285,5 @@
             self.network.scheduler.call_later(self.network.same_zone_seconds, self.peer.waiters.notify_writable)
 
     def is_readable(self) -> bool:
-        """Whether a read, or an accept, would not block."""
+        """Return whether a read, or an accept, would not block."""
         return bool(self.inbox or self._has_received_end or self.error_number or self._backlog)
--- a/sloeferry/rehearsal/socket_waiters.py
+++ b/sloeferry/rehearsal/socket_waiters.py
@@ -1,4 +1,4 @@
-"""Who waits until a simulated socket may be read, or takes more."""
+"""Notifies the tasks, callbacks and epoll that wait until a simulated socket is readable or writable."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,68 +10,68 @@
 
 
 class SocketWaiters:
-    """Those of one socket."""
+    """The waiters of one socket."""
 
     def __init__(self, sock: "SimulatedSocket"):
         self.epoll: SimulatedEpoll | None = None
-        self.is_armed = False  # with that epoll
+        self.is_armed = False  # reports the next event to `epoll`
         self._sock = sock
         self._readable: asyncio.Future[None] | None = None
         self._writable: asyncio.Future[None] | Callable[[], object] | None = None
-        self._watcher: Callable[[], object] | None = None
-        self._is_notifying = False  # its process has been told that it may be read
+        self._read_callback: Callable[[], object] | None = None
+        self._is_notifying = False  # `_run_readers` is scheduled
 
     def notify_readable(self) -> None:
-        """Something may be read: whoever waits for that is told once its process comes to it."""
+        """Report that the socket is readable: to its epoll now, to its process in its next iteration."""
         if self.epoll is not None:
-            self.epoll.became_readable(self._sock)  # the kernel's own, which needs no process
-        if not self._is_notifying and (self._readable is not None or self._watcher):
+            self.epoll.became_readable(self._sock)  # part of the kernel, which needs no CPU time of the process
+        if not self._is_notifying and (self._readable is not None or self._read_callback):
             self._is_notifying = True
-            self._sock.process.call_on_input(self._tell_reader)
+            self._sock.process.call_on_input(self._run_readers)
 
-    def _tell_reader(self) -> None:
+    def _run_readers(self) -> None:
         self._is_notifying = False
         if self._readable is not None:
             readable = self._readable
             self._readable = None
             if not readable.done():
                 readable.set_result(None)
-        if self._watcher and not self._sock.is_closed:
-            self._watcher()
-            # Watched as a level, not an edge: what was left is seen again.
-            if self._sock.has_backlog() and self._watcher:
+        if self._read_callback and not self._sock.is_closed:
+            self._read_callback()
+            # Level-triggered: connections left in the backlog are reported again.
+            if self._sock.has_backlog() and self._read_callback:
                 self.notify_readable()
 
     def watch(self, callback: Callable[..., object] | None, *arguments: Any) -> None:
-        """Has it called whenever something may be read; None ends that."""
-        self._watcher = (lambda: callback(*arguments)) if callback else None
+        """Call `callback` whenever the socket is readable; None stops this."""
+        self._read_callback = (lambda: callback(*arguments)) if callback else None
         if callback and self._sock.is_readable():
             self.notify_readable()
 
     def until_readable(self) -> asyncio.Future[None]:
-        """A future that is done once something may be read."""
+        """Return a future that is done once the socket is readable."""
         self._sock.check_open()
         self._readable = self._sock.process.create_future()
-        if self._sock.is_readable():  # it came between the look and this
+        if self._sock.is_readable():  # data arrived between the caller's read and this call
             self.notify_readable()
         return self._readable
 
     def until_writable(self) -> asyncio.Future[None]:
-        """A future that is done once it takes more."""
+        """Return a future that is done once the socket is writable."""
         self._sock.check_open()
         self._writable = self._sock.process.create_future()
         return self._writable
 
     def call_when_writable(self, callback: Callable[[], object]) -> None:
-        """Has it called once it takes more."""
+        """Call `callback` once when the socket becomes writable."""
         self._writable = callback
 
     def is_waiting_to_write(self) -> bool:
-        """Whether somebody waits until it takes more."""
+        """Return whether a task or callback waits until the socket is writable."""
         return self._writable is not None
 
     def notify_writable(self) -> None:
-        """It takes more: whoever waits for that is told."""
+        """Notify the task or callback that waits until the socket is writable."""
         writable = self._writable
         self._writable = None
         if isinstance(writable, asyncio.Future):
