--- a/sloeferry/decision_log/__init__.py
+++ b/sloeferry/decision_log/__init__.py
@@ -1,4 +1,4 @@
-"""What a proxy acts on (versions of its program, its settings and its list), and what was done under each.
+"""Records the versions of program, settings and endpoint list that a proxy acts on, and the number of actions under each.
 
-Free of I/O but for the recorder; a proxy imports it only where the operators' file asks for it.
+Only the recorder does I/O.  A proxy imports this package only if the operators' file enables it.
 """
--- a/sloeferry/decision_log/versions.py
+++ b/sloeferry/decision_log/versions.py
@@ -1,10 +1,10 @@
-"""Versions and their order: total where there is one, and nothing where there is none.
+"""Versions of settings and endpoint lists, and their partial order.
 
-A list's revision is a counter of discovery's.  Counters start anew, and of two replicas one may lag: a revision lower
-than the one before is either, and from here nobody can tell which.  So each time it goes back a new incarnation is
-counted, and versions of two incarnations are not compared (cf. the epochs of replicated logs, which name the one who
-counts; this protocol names nobody).  Settings are counted by what was accepted: a roll-back is a new generation with an
-older digest.
+The revision of an endpoint list is a counter of discovery.  A revision lower than the previous one means that the counter was
+restarted or that a lagging replica answered; a proxy can't distinguish the two.  Each decrease therefore starts a new
+incarnation, and versions of different incarnations are not comparable (like epochs of replicated logs, but the protocol doesn't
+identify the counting replica).  Settings are numbered as a process accepts them: a rollback is a new generation with an older
+digest.
 """
 
 import enum
@@ -17,7 +17,7 @@
 
 
 class VersionOrder(enum.StrEnum):
-    """How one version stands to another."""
+    """The order of one version relative to another."""
 
     OLDER = "older"
     SAME = "same"
@@ -28,40 +28,40 @@
 class SettingsVersion(NamedTuple):
     """A version of the settings."""
 
-    generation: int  # of what this process accepted, from 1
+    generation: int  # the number of settings accepted by this process so far, from 1
     digest: str
 
 
 class ListVersion(NamedTuple):
     """A version of the endpoint list."""
 
-    incarnation: int  # how often the count went back, from 1
+    incarnation: int  # 1 plus the number of times the revision decreased
     revision: int
-    digest: str  # of what it says; addresses aside, which may differ from proxy to proxy
+    digest: str  # of the content except addresses, which may differ between proxies
 
 
 Version = SettingsVersion | ListVersion
 
 
-def compare_versions(one: Version, other: Version) -> VersionOrder:
-    """How `one` stands to `other`, both of one proxy's log."""
-    if one == other:
+def compare_versions(version: Version, other: Version) -> VersionOrder:
+    """Return the order of `version` relative to `other`; both have to be from the log of one proxy."""
+    if version == other:
         return VersionOrder.SAME
-    if isinstance(one, ListVersion):
-        if one.incarnation != other.incarnation or one.revision == other.revision:
-            return VersionOrder.NOT_COMPARABLE  # one revision that says two things comes of two counts
-        return VersionOrder.NEWER if one.revision > other.revision else VersionOrder.OLDER
-    return VersionOrder.NEWER if one.generation > other.generation else VersionOrder.OLDER
+    if isinstance(version, ListVersion):
+        if version.incarnation != other.incarnation or version.revision == other.revision:
+            return VersionOrder.NOT_COMPARABLE  # one revision with two contents comes from two counters
+        return VersionOrder.NEWER if version.revision > other.revision else VersionOrder.OLDER
+    return VersionOrder.NEWER if version.generation > other.generation else VersionOrder.OLDER
 
 
 def digest_of(value: Any) -> str:
-    """Of anything that JSON can say; the order of keys does not matter."""
+    """Return the digest of a JSON value; the order of keys does not matter."""
     return hashlib.sha256(json.dumps(value, sort_keys=True, default=str).encode()).hexdigest()[:DIGEST_DIGITS]
 
 
 def digest_of_files(files: Iterable[tuple[str, bytes]]) -> str:
-    """Of a program: (name, content) of all of its files."""
-    whole = hashlib.sha256()
+    """Return the digest of a program from the (name, content) of all its files."""
+    digest = hashlib.sha256()
     for name, content in sorted(files):
-        whole.update(b"%b\0%d\0%b" % (name.encode(), len(content), content))
-    return whole.hexdigest()[:DIGEST_DIGITS]
+        digest.update(b"%b\0%d\0%b" % (name.encode(), len(content), content))
+    return digest.hexdigest()[:DIGEST_DIGITS]
