--- a/sloeferry/errors.py
+++ b/sloeferry/errors.py
@@ -1,5 +1,5 @@
-"""The one hierarchy of the tools' errors: every command line ends on them in one way, with one line and exit status 2."""
+"""The base class of errors that end a command line tool with one line on standard error and exit status 2."""
 
 
 class UsageError(Exception):
-    """The base: what was asked for cannot be used.  The text is one line and names the key, option or place."""
+    """Raised when an argument or a file can't be used; the text is one line and names the key, option or position."""
