--- a/tests/decision_log/test_recorder.py
+++ b/tests/decision_log/test_recorder.py
@@ -1,4 +1,4 @@
-"""What operators are told of versions: the admin calls, and the file that turns them on."""
+"""Tests of the decision log's admin calls and of the operators' file that enables them."""
 
 import asyncio
 import json
@@ -24,20 +24,20 @@
 
 @pytest.fixture
 def config_file(tmp_path: Path) -> Path:
-    """The file that SIGHUP has the proxy read."""
+    """Return the path of the configuration file that a proxy reads on SIGHUP."""
     return tmp_path / "config.json"
 
 
 @pytest.fixture
 def environment(tmp_path: Path, config_file: Path) -> dict[str, str]:
-    """Of a proxy whose decision log is on."""
+    """Return the environment of a proxy whose decision log is enabled."""
     operators_file = tmp_path / "operator.toml"
     operators_file.write_text("[versions]\ntell = true\ncarry = true\n")
     return {"SLOEFERRY_OPERATOR": str(operators_file), "BALANCER_CONFIG": str(config_file)}
 
 
 async def ask(harness: ProxyHarness, call: str, is_recorded: bool = True) -> Any:
-    """What an admin call returns; recorded without what differs from run to run: ages, digests, ports."""
+    """Return the response of an admin call; the record omits ages, digests and ports, which differ between runs."""
     reader, writer = await asyncio.open_connection("127.0.0.1", harness.admin_port)
     writer.write(f"GET {call} HTTP/1.1\r\n\r\n".encode())
     head, _, body = (await reader.read()).decode().partition("\r\n\r\n")
@@ -51,12 +51,12 @@
 
 
 async def ask_versions(harness: ProxyHarness) -> Any:
-    """The versions that the proxy holds; not recorded."""
+    """Return the versions that the proxy holds, without recording them."""
     return await ask(harness, "/admin/versions", is_recorded=False)
 
 
-def test_calls(check_scenario: ScenarioChecker, environment: dict[str, str], config_file: Path):
-    """What the proxy holds, by whose word, what was refused and what was done under each version; off, there is no such call."""
+def test_admin_calls_report_versions(check_scenario: ScenarioChecker, environment: dict[str, str], config_file: Path):
+    """Reports the versions in use, their sources, refusals and counts; without the decision log the calls do not exist."""
 
     async def scenario(harness: ProxyHarness) -> None:
         await ask(harness, "/admin/versions")
@@ -81,11 +81,11 @@
             await ask(harness, f"/admin/acted?since={since}")
 
     with_log = ProxyHarness({"b": response()}, has_admin=True, environment=environment)
-    check_scenario(scenario, "versions_told", with_log, ProxyHarness({"b": response()}, has_admin=True))
+    check_scenario(scenario, "admin_calls_report_versions", with_log, ProxyHarness({"b": response()}, has_admin=True))
 
 
-def test_operators_file(golden: GoldenFiles, tmp_path: Path):
-    """A fault of the operators' file names its key, and ends the program with one line and 2."""
+def test_operators_file_errors_name_the_key(golden: GoldenFiles, tmp_path: Path):
+    """Each error in the operators' file raises a ConfigError that names the key; an empty file disables all switches."""
     lines: list[str] = []
     path = tmp_path / "operator.toml"
     for text in (
@@ -104,17 +104,17 @@
     assert read_features(ROOT / "deploy" / "operator.toml").versions.tell
     with pytest.raises(ConfigError):
         read_features(tmp_path / "none")
-    golden.check(lines, "versions_file")
+    golden.check(lines, "operators_file_errors_name_the_key")
 
 
 def output_of(code: str) -> str:
-    """What that Python program prints."""
+    """Return the standard output of a Python program."""
     return subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True).stdout
 
 
-def test_signal_at_start(check_scenario: ScenarioChecker, environment: dict[str, str], tmp_path: Path):
-    """A SIGHUP comes while the program starts.  It ends nothing, and the file is read once more."""
-    # Until there is a handler, for some 0.2 s, it would end the process: seen in the drawn fault plan 19.
+def test_sighup_during_start_reloads_file(check_scenario: ScenarioChecker, environment: dict[str, str], tmp_path: Path):
+    """A SIGHUP during the start must not end the process; the file is read again afterwards."""
+    # The process has no SIGHUP handler during the first 0.2 s, and the default action would end it (found by generated plan 19).
     code = (
         "import runpy, signal, sys; sys.modules['uvloop'] = None\n"
         "try: runpy.run_module('sloeferry', run_name='__main__')\n"
@@ -129,11 +129,13 @@
 
     (tmp_path / "operator.toml").write_text("[versions]\ntell = true\n")
     with mock.patch.object(ProxyHarness, "has_pending_reload", True):
-        check_scenario(scenario, "versions_early", ProxyHarness({"b": response()}, has_admin=True, environment=environment))
+        check_scenario(
+            scenario, "sighup_during_start_reloads_file", ProxyHarness({"b": response()}, has_admin=True, environment=environment)
+        )
 
 
-def test_off():
-    """What is off is not imported."""
+def test_disabled_decision_log_is_not_imported():
+    """A proxy without an operators' file imports neither the decision log nor the features module."""
     code = (
         "import sys; from sloeferry.lifecycle import proxy_process, startup; proxy_process._read_features({}); "
         "print([name for name in sys.modules if 'decision_log' in name or 'features' in name])"
--- a/tests/decision_log/test_versions.py
+++ b/tests/decision_log/test_versions.py
@@ -1,4 +1,4 @@
-"""Versions of settings and lists: an order that never guesses, and digests."""
+"""Tests of versions: their partial order and their digests."""
 
 from typing import Any
 
@@ -27,15 +27,15 @@
 
 
 def settings_of(*classes: dict[str, Any], **values: Any) -> Settings:
-    """Settings of these request classes."""
-    lines = {f"schemes.{index}.{key}": value for index, each in enumerate(classes) for key, value in each.items()}
-    return build_settings({"schemes.count": len(classes), **lines, **values})
+    """Return settings with these request classes."""
+    values_by_key = {f"schemes.{index}.{key}": value for index, each in enumerate(classes) for key, value in each.items()}
+    return build_settings({"schemes.count": len(classes), **values_by_key, **values})
 
 
 @settings(max_examples=200, deadline=None)
 @given(VERSIONS, VERSIONS, VERSIONS)
-def test_order(first: ListVersion, second: ListVersion, third: ListVersion):
-    """Turned round it says the opposite; newer than a newer one is newer; nothing is said across two incarnations."""
+def test_order_is_partial_and_consistent(first: ListVersion, second: ListVersion, third: ListVersion):
+    """Swapped versions compare inversely, the order is transitive, and versions of two incarnations are not comparable."""
     assert compare_versions(first, second) == OPPOSITE[compare_versions(second, first)]
     assert (compare_versions(first, second) == VersionOrder.SAME) == (first == second)
     if compare_versions(first, second) == compare_versions(second, third) == VersionOrder.NEWER:
@@ -44,9 +44,9 @@
         assert compare_versions(first, second) == VersionOrder.NOT_COMPARABLE
 
 
-def test_shared_settings():
-    """All proxies that hold the same settings have one version, whatever each held before: its own place, the order of classes
-    and those that were dropped make no other."""
+def test_shared_settings_are_equal_in_all_proxies():
+    """Proxies with the same settings have the same version, regardless of their ordinal and zone, the order of request classes
+    and the classes of earlier settings."""
     first, second, third = ({"name": name, "gain": weight} for name, weight in (("a", 1.0), ("b", 2.0), ("c", 3.0)))
     started = shared_settings(settings_of(first, second, ordinal=3, zone=1).canonical)
     former = settings_of(third, second, first, ordinal=5)
@@ -55,11 +55,11 @@
     assert shared_settings(settings_of(first, dict(second, gain=9.0)).canonical) != started
 
 
-def test_digests():
-    """A digest hangs on what is said, not on the order in which it is said."""
+def test_digests_depend_on_content_alone():
+    """A digest depends on the content, not on the order of keys or files."""
     assert digest_of({"a": 1, "b": [2, 3]}) == digest_of({"b": [2, 3], "a": 1})
     assert digest_of({"a": 1}) != digest_of({"a": 2})
     assert digest_of_files([("a", b"x"), ("b", b"y")]) == digest_of_files([("b", b"y"), ("a", b"x")])
     assert digest_of_files([("a", b"xb"), ("b", b"y")]) != digest_of_files([("a", b"x"), ("b", b"by")])
-    # A roll-back is the newer one.
+    # After a rollback, the newer generation is the newer version.
     assert compare_versions(SettingsVersion(2, "a"), SettingsVersion(1, "b")) == VersionOrder.NEWER
