--- a/sloeferry/decision_log/decision_log.py
+++ b/sloeferry/decision_log/decision_log.py
@@ -162,7 +162,7 @@
             text += f";list={list_version.incarnation}.{list_version.revision}:{list_version.digest}"
         return text
 
-    # For operators
+    # Reports of the admin calls
 
     def current(self, now: float) -> dict[str, Any]:
         """Return the versions in use, with their sources and ages, and the time since the list was last confirmed (ms)."""
--- a/sloeferry/rehearsal/live.py
+++ b/sloeferry/rehearsal/live.py
@@ -51,7 +51,7 @@
         self.folder = folder
 
     def rng(self, purpose: str) -> Random:
-        """Return a random generator whose sequence depends on the seed and the purpose alone."""
+        """Return a random generator for one purpose, independent of the generators of other purposes."""
         return Random(f"{self.seed}/{purpose}")
 
     def unix_time(self) -> float:
@@ -184,7 +184,7 @@
             self.send_signal(signal.SIGHUP)
 
 
-def check(scenario: Scenario) -> None:
+def check_limits(scenario: Scenario) -> None:
     """Raise ScenarioError if the scenario is too large or too long for a live run."""
     proxy_count = scenario.proxies.count
     if proxy_count > MAX_PROXIES:
@@ -199,7 +199,7 @@
     scenario: Scenario, seed: int, progress: Progress | None = None, show_line: ShowLine | None = None
 ) -> dict[str, Any]:
     """Run a scenario live and return its record; unlike in virtual time, two runs with one seed differ."""
-    check(scenario)
+    check_limits(scenario)
     with tempfile.TemporaryDirectory(prefix="rehearsal-") as folder:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             record = runner.run(_run_scenario(scenario, seed, folder, progress))
--- a/sloeferry/rehearsal/run_environment.py
+++ b/sloeferry/rehearsal/run_environment.py
@@ -22,7 +22,7 @@
     folder: str  # of the proxies' configuration files
 
     def rng(self, purpose: str) -> Random:
-        """Return a random generator whose sequence depends on the seed and the purpose alone."""
+        """Return a random generator for one purpose, independent of the generators of other purposes."""
 
     def unix_time(self) -> float:
         """Return the wall clock, in seconds."""
--- a/sloeferry/rehearsal/socket_waiters.py
+++ b/sloeferry/rehearsal/socket_waiters.py
@@ -16,8 +16,8 @@
         self.epoll: SimulatedEpoll | None = None
         self.is_armed = False  # reports the next event to `epoll`
         self._sock = sock
-        self._readable: asyncio.Future[None] | None = None
-        self._writable: asyncio.Future[None] | Callable[[], object] | None = None
+        self._readable_future: asyncio.Future[None] | None = None
+        self._writable_waiter: asyncio.Future[None] | Callable[[], object] | None = None
         self._read_callback: Callable[[], object] | None = None
         self._is_notifying = False  # `_run_readers` is scheduled
 
@@ -25,15 +25,15 @@
         """Report that the socket is readable: to its epoll now, to its process in its next iteration."""
         if self.epoll is not None:
             self.epoll.became_readable(self._sock)  # part of the kernel, which needs no CPU time of the process
-        if not self._is_notifying and (self._readable is not None or self._read_callback):
+        if not self._is_notifying and (self._readable_future is not None or self._read_callback):
             self._is_notifying = True
             self._sock.process.call_on_input(self._run_readers)
 
     def _run_readers(self) -> None:
         self._is_notifying = False
-        if self._readable is not None:
-            readable = self._readable
-            self._readable = None
+        if self._readable_future is not None:
+            readable = self._readable_future
+            self._readable_future = None
             if not readable.done():
                 readable.set_result(None)
         if self._read_callback and not self._sock.is_closed:
@@ -51,29 +51,29 @@
     def until_readable(self) -> asyncio.Future[None]:
         """Return a future that is done once the socket is readable."""
         self._sock.check_open()
-        self._readable = self._sock.process.create_future()
+        self._readable_future = self._sock.process.create_future()
         if self._sock.is_readable():  # data arrived between the caller's read and this call
             self.notify_readable()
-        return self._readable
+        return self._readable_future
 
     def until_writable(self) -> asyncio.Future[None]:
         """Return a future that is done once the socket is writable."""
         self._sock.check_open()
-        self._writable = self._sock.process.create_future()
-        return self._writable
+        self._writable_waiter = self._sock.process.create_future()
+        return self._writable_waiter
 
     def call_when_writable(self, callback: Callable[[], object]) -> None:
         """Call `callback` once when the socket becomes writable."""
-        self._writable = callback
+        self._writable_waiter = callback
 
     def is_waiting_to_write(self) -> bool:
         """Return whether a task or callback waits until the socket is writable."""
-        return self._writable is not None
+        return self._writable_waiter is not None
 
     def notify_writable(self) -> None:
         """Notify the task or callback that waits until the socket is writable."""
-        writable = self._writable
-        self._writable = None
+        writable = self._writable_waiter
+        self._writable_waiter = None
         if isinstance(writable, asyncio.Future):
             if not writable.done():
                 writable.set_result(None)
