--- a/sloeferry/rehearsal/__init__.py
+++ b/sloeferry/rehearsal/__init__.py
@@ -1,4 +1,4 @@
-"""Rehearsals: a whole fleet of proxies in one process, in virtual time and on a simulated network.
+"""Rehearsals run a fleet of proxies in one process, in virtual time and on a simulated network.
 
-The proxy imports none of it.
+The proxy imports nothing from this package.
 """
--- a/sloeferry/rehearsal/arrivals.py
+++ b/sloeferry/rehearsal/arrivals.py
@@ -1,4 +1,4 @@
-"""All requests of a play, drawn ahead: the same for the same seed, whatever becomes of them."""
+"""Generates all requests of a play in advance: for one seed always the same, independent of their outcomes."""
 
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
@@ -11,12 +11,12 @@
 from sloeferry.rehearsal.scenario_tables import RequestClass
 from sloeferry.stand_ins.wire_protocol import RequestOutcome
 
-SLOW_SENDER_RATIO = 0.125  # of the requests, where a scenario has some come byte by byte
+SLOW_SENDER_RATIO = 0.125  # of the requests, in a scenario where clients send some byte by byte
 
 
 @dataclass(slots=True)
 class PlannedRequest:
-    """One request as its client means it, and what became of it; times in seconds."""
+    """A request of a client with all its tries, and its outcome; times in seconds."""
 
     number: int
     starts_at: float  # from the start of the play
@@ -24,33 +24,33 @@
     tenant_index: int
     client: int
     work_ms: float
-    patience_ratio: float  # part of the deadline that a try is given
+    patience_ratio: float  # of the deadline, for which the client waits in each try
     leaves_early: bool
     sends_slowly: bool
     honours_retry_after: bool
-    always_fails: bool = False  # at any backend; worth nothing
+    always_fails: bool = False  # at every backend; does not count for service
     first_sent_at: float = 0.0
-    outcome: RequestOutcome | None = None  # None while its client is not done with it
+    outcome: RequestOutcome | None = None  # None until the client has ended its last try
     ended_at: float = 0.0
     try_count: int = 0
 
 
 class LognormalShape(NamedTuple):
-    """Parameters of a lognormal distribution: those of the logarithm."""
+    """The parameters of a lognormal distribution: mean and standard deviation of the logarithm."""
 
     log_mean: float
     log_deviation: float
 
 
 class FaultEffect(NamedTuple):
-    """What the scenario's faults make of one request."""
+    """The effect of the scenario's faults on one request."""
 
     work_ms: float
     always_fails: bool
 
 
 class LoadSegment(NamedTuple):
-    """A span of the play with one rate of requests; seconds, requests a second."""
+    """A span of the play with a constant rate of requests; in seconds and requests per second."""
 
     begins_at: float
     ends_at: float
@@ -58,17 +58,17 @@
 
 
 def unit_mean_lognormal(variation: float) -> LognormalShape:
-    """The lognormal distribution with mean 1 and that coefficient of variation."""
+    """Return the lognormal distribution with mean 1 and a given coefficient of variation."""
     variance = log(1 + variation * variation)
     return LognormalShape(-variance / 2, sqrt(variance))
 
 
 def plan_requests(scenario: Scenario, rng: Random) -> list[PlannedRequest]:
-    """All requests of a play, in order of time."""
-    return _RequestDrawer(scenario, rng).draw()
+    """Return all requests of a play in the order of their start times, which form a Poisson process in each segment."""
+    return _RequestGenerator(scenario, rng).generate()
 
 
-class _RequestDrawer:
+class _RequestGenerator:
     def __init__(self, scenario: Scenario, rng: Random):
         self._scenario = scenario
         self._rng = rng
@@ -77,27 +77,27 @@
         zone_count = len(scenario.network.zones)
         self._client_weights = [1 / (1 + clients.zone_skew) ** (client % zone_count) for client in range(clients.count)]
 
-    def draw(self) -> list[PlannedRequest]:
+    def generate(self) -> list[PlannedRequest]:
         requests: list[PlannedRequest] = []
-        for piece in self._load_segments():
-            starts_at = piece.begins_at
-            while piece.rate and (starts_at := starts_at + self._rng.expovariate(piece.rate)) < piece.ends_at:
+        for segment in self._load_segments():
+            starts_at = segment.begins_at
+            while segment.rate and (starts_at := starts_at + self._rng.expovariate(segment.rate)) < segment.ends_at:
                 requests.append(self._draw_request(len(requests), starts_at))
         return requests
 
     def _load_segments(self) -> Iterator[LoadSegment]:
-        seconds, pieces = self._scenario.seconds, list(self._scenario.clients.load_curve)
-        if sum(length for length, _ in pieces) < seconds:
-            pieces.append((seconds, pieces[-1][1]))
+        seconds, segments = self._scenario.seconds, list(self._scenario.clients.load_curve)
+        if sum(length for length, _ in segments) < seconds:
+            segments.append((seconds, segments[-1][1]))
         begins_at = 0.0
-        for length, rate in pieces:
+        for length, rate in segments:
             yield LoadSegment(begins_at, min(begins_at + length, seconds), rate)
             begins_at += length
             if begins_at >= seconds:
                 break
 
     def _draw_request(self, number: int, starts_at: float) -> PlannedRequest:
-        """Draws in a fixed order, on which the plays of a seed depend."""
+        """Generate a request with random draws in a fixed order, on which the requests of a seed depend."""
         rng, clients = self._rng, self._scenario.clients
         class_index = self._draw_index([request_class.share for request_class in self._scenario.request_classes])
         tenants = self._scenario.tenants
@@ -128,8 +128,8 @@
     def _draw_fault_effect(self, class_index: int, tenant_index: int, starts_at: float, work_ms: float) -> FaultEffect:
         always_fails = False
         for fault in self._faults:
-            is_on = fault.at <= starts_at < fault.at + fault.lasts
-            if not (self._concerns(fault, class_index, tenant_index) and is_on and self._rng.random() < fault.part):
+            is_active = fault.at <= starts_at < fault.at + fault.lasts
+            if not (self._affects(fault, class_index, tenant_index) and is_active and self._rng.random() < fault.part):
                 continue
             if isinstance(fault, HeavyRequests):
                 work_ms *= fault.times
@@ -139,8 +139,8 @@
                 always_fails = True
         return FaultEffect(work_ms, always_fails)
 
-    def _concerns(self, fault: RequestFault, class_index: int, tenant_index: int) -> bool:
-        """Whether a request is one of the fault's class, or of its tenant."""
+    def _affects(self, fault: RequestFault, class_index: int, tenant_index: int) -> bool:
+        """Return whether a fault affects requests of a class and tenant."""
         if isinstance(fault, HeavyRequests):
             return fault.class_name == self._scenario.request_classes[class_index].name
         if isinstance(fault, FailingRequests):
--- a/sloeferry/rehearsal/cli.py
+++ b/sloeferry/rehearsal/cli.py
@@ -1,4 +1,4 @@
-"""`sloeferry rehearse`: what is typed, checked and handed on."""
+"""Defines the commands of `sloeferry rehearse`: parses their arguments, runs plays and prints the results."""
 
 import json
 import pathlib
@@ -18,7 +18,7 @@
 
 
 class SeedComparison(NamedTuple):
-    """One seed, played with the design and with a baseline."""
+    """The services and violations of one seed, played with the design and with a baseline."""
 
     seed: int
     design_service: float
@@ -28,7 +28,7 @@
 
 
 class MeanDifference(NamedTuple):
-    """A mean, and by how much it may be off: two standard errors."""
+    """A mean with its uncertainty, `noise`, which is two standard errors."""
 
     mean: float
     noise: float
@@ -36,11 +36,14 @@
 
 @click.group()
 def rehearse() -> None:
-    """Plays days: stand-in nodes, discovery and clients round real proxies, judged on the wire.  All figures are simulated."""
+    """Play scenarios with real proxies and stand-in nodes, discovery and clients; check the rules on the wire.
+
+    All figures are simulated.
+    """
 
 
 def print_shipped(names: Iterable[str], read: Callable[[str], Scenario], name_width: int) -> None:
-    """A line for each scenario, or plan, that is shipped."""
+    """Print a line for each shipped scenario or plan."""
     for name in names:
         scenario = read(name)
         backend_count = sum(backends.count for backends in scenario.backends)
@@ -51,7 +54,7 @@
 
 
 def write_record(path: pathlib.Path | None, text: str) -> None:
-    """Writes a record where one is wanted."""
+    """Write a record to a file, if one is given.  Raises ScenarioError."""
     if path:
         try:
             path.write_text(text)
@@ -60,20 +63,20 @@
 
 
 def print_to_stderr(text: str) -> None:
-    """One line."""
+    """Print a line to standard error."""
     click.echo(text, err=True)
 
 
 @rehearse.command("run")
 @click.argument("scenario")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
-@click.option("--live", is_flag=True, help="Real daemons on loopback, in real time.")
+@click.option("--live", is_flag=True, help="Run real daemons on loopback addresses, in real time.")
 @click.option(
     "--policy",
     type=click.Choice(POLICIES),
     default=DESIGN,
     show_default=True,
-    help="A baseline in the place of the design; not live.",
+    help="The endpoint selection policy: the design, or a baseline (not with --live).",
 )
 @click.option(
     "--chance",
@@ -81,11 +84,13 @@
     type=click.IntRange(0),
     default=0,
     show_default=True,
-    help="The same day with other luck: of the network and the proxies alone; not live.",
+    help="Another random seed for the network and the proxies, with the same requests and faults (not with --live).",
+)
+@click.option(
+    "--record", type=click.Path(dir_okay=False, path_type=pathlib.Path), help="The file to which the record is written, as JSON."
 )
-@click.option("--record", type=click.Path(dir_okay=False, path_type=pathlib.Path), help="Where the record is written, as JSON.")
-@click.option("--json", "as_json", is_flag=True, help="The record on standard output.")
-@click.option("--log", is_flag=True, help="The proxies' log on standard error.")
+@click.option("--json", "as_json", is_flag=True, help="Print the record as JSON to standard output.")
+@click.option("--log", is_flag=True, help="Print the logs of the proxies to standard error.")
 def run_scenario(
     scenario: str,
     seed: int,
@@ -96,14 +101,14 @@
     as_json: bool,
     log: bool,
 ) -> None:
-    """Plays SCENARIO (a shipped name, or a path).  Exit 0: rules kept, 1: one broken, 2: can't be played."""
+    """Play SCENARIO, a shipped name or a path.  Exit status 0: rules kept, 1: a rule broken, 2: invalid scenario or option."""
     checked = scenarios.read_scenario(scenario)
     if live and policy != DESIGN:
-        raise ScenarioError("--policy: a live play has the design alone")
+        raise ScenarioError("--policy: has to be design in a live play; baselines run in virtual time only")
     if live and environment_seed:
-        raise ScenarioError("--chance: a live play has luck of its own")
+        raise ScenarioError("--chance: has to be 0 in a live play; it seeds the simulated network and proxies only")
     if record and not record.parent.is_dir():
-        raise ScenarioError(f"--record: {record.parent} is no folder")
+        raise ScenarioError(f"--record: {record.parent} is not a folder")
     played = play_scenario(checked, seed, live, policy, environment_seed, print_to_stderr if log else None)
     clear_progress_line()
     text = json.dumps(played, indent=1, sort_keys=True) + "\n"
@@ -116,9 +121,9 @@
 def play_scenario(
     scenario: Scenario, seed: int, live: bool, policy: str, environment_seed: int, show_line: Callable[[str], object] | None
 ) -> dict[str, Any]:
-    """The record of a play, in virtual time or live."""
+    """Play a scenario in virtual time or live, and return its record."""
     progress = make_progress_reporter(scenario.name)
-    # What a play needs is imported where it is played: the other commands are quick.
+    # Imported here, since the modules are slow to import and the other commands do not need them.
     if live:
         from sloeferry.rehearsal import live as live_play
 
@@ -130,36 +135,36 @@
 
 @rehearse.command("list")
 def list_scenarios() -> None:
-    """The scenarios that are shipped."""
+    """List the shipped scenarios."""
     print_shipped(scenarios.shipped_names(), scenarios.read_scenario, 20)
 
 
 @rehearse.command("check")
 @click.argument("scenario")
 def check(scenario: str) -> None:
-    """Reads and checks SCENARIO; exit 2 and one line where it can't be played."""
+    """Validate SCENARIO.  Exit status 2 with one line of text if it is not valid."""
     checked = scenarios.read_scenario(scenario)
     backend_count = sum(backends.count for backends in checked.backends)
     click.echo(
         f"{checked.name}: {checked.seconds:g} s, {checked.proxies.count} proxies, {backend_count} nodes, "
-        f"{len(checked.scenario_faults)} troubles: good"
+        f"{len(checked.scenario_faults)} troubles: valid"
     )
 
 
 def parse_seeds(text: str) -> range:
-    """Seeds from and to, or one."""
+    """Return the seeds of a range like 1-8, or a single one."""
     first, _, last = text.partition("-")
     try:
         seeds = range(int(first), int(last or first) + 1)
     except ValueError:
-        raise ScenarioError(f"--seeds: {text!r} is not of the form 1-8") from None
+        raise ScenarioError(f"--seeds: {text!r} is neither a seed, like 3, nor a range of seeds, like 1-8") from None
     if not 1 <= len(seeds) <= MAX_SEEDS:
-        raise ScenarioError(f"--seeds: {text!r} are not 1 to {MAX_SEEDS} seeds")
+        raise ScenarioError(f"--seeds: {text!r} has to name 1 to {MAX_SEEDS} seeds, in ascending order")
     return seeds
 
 
 def mean_difference(pairs: Sequence[SeedComparison]) -> MeanDifference:
-    """Of the services, the design's less the baseline's."""
+    """Return the mean of the design's service minus the baseline's."""
     differences = [pair.design_service - pair.baseline_service for pair in pairs]
     mean = statistics.fmean(differences)
     if len(differences) == 1:
@@ -173,23 +178,23 @@
 @click.option("--vs", "baseline", type=click.Choice(POLICIES[1:]), default="random", show_default=True)
 @click.option("--json", "as_json", is_flag=True)
 def compare(scenario: str, seeds: str, baseline: str, as_json: bool) -> None:
-    """Plays SCENARIO with the design and with a baseline, seed by seed, and tells the difference and its noise."""
+    """Play SCENARIO with the design and with a baseline for each seed, and print the mean difference with its uncertainty."""
     checked = scenarios.read_scenario(scenario)
     pairs = [compare_seed(checked, seed, baseline) for seed in parse_seeds(seeds)]
     mean, noise = mean_difference(pairs)
     if as_json:
         click.echo(json.dumps({"scenario": checked.name, "vs": baseline, "pairs": pairs, "mean": mean, "noise": noise}))
         return
-    click.echo(f"{checked.name}: the design against {baseline}\n  seed  design  {baseline}")
+    click.echo(f"{checked.name}: design compared with {baseline}\n  seed  design  {baseline}")
     for pair in pairs:
         violations = pair.design_violations, pair.baseline_violations
         text = f"  breaches: {violations[0]}, {violations[1]}" if any(violations) else ""
         click.echo(f"  {pair.seed:4d}  {pair.design_service:6.3f}  {pair.baseline_service:6.3f}" + text)
-    click.echo(f"  difference {mean:+.3f}, give or take {noise:.3f}")
+    click.echo(f"  difference {mean:+.3f} +/- {noise:.3f}")
 
 
 def compare_seed(scenario: Scenario, seed: int, baseline: str) -> SeedComparison:
-    """One seed with the design, then with a baseline."""
+    """Play one seed with the design, then with a baseline."""
     from sloeferry.rehearsal.play import play
 
     records = [
--- a/sloeferry/rehearsal/faults.py
+++ b/sloeferry/rehearsal/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong, and when: each fault of a scenario is carried out on the stand-ins and the proxies."""
+"""Injects the faults of a scenario at their times, into the stand-ins and the proxies."""
 
 import typing
 from collections.abc import Callable
@@ -15,11 +15,11 @@
 
 FaultHandlers = dict[type[Fault], Callable[[Any, Random], None]]
 
-MAX_RELOAD_DELAY_SECONDS = 0.5  # until a proxy gets its SIGHUP once discovery has moved
+MAX_RELOAD_DELAY_SECONDS = 0.5  # from a move of discovery to the SIGHUP of a proxy
 
 
 class FaultInjector:
-    """Carries out the faults of one play."""
+    """Injects the faults of one play."""
 
     def __init__(self, fleet: "ProxyFleet"):
         self._fleet = fleet
@@ -30,17 +30,17 @@
             scenario_faults.DiscoveryOutage: self._stop_discovery,
             scenario_faults.DiscoveryMove: self._move_discovery,
             scenario_faults.DiscoveryLag: self._delay_changes,
-            **dict.fromkeys(typing.get_args(scenario_faults.RequestFault), self._drawn_with_requests),
+            **dict.fromkeys(typing.get_args(scenario_faults.RequestFault), self._applied_to_requests),
         }
 
     def schedule(self, now: float) -> None:
-        """The play begins, at that time of the loop."""
+        """Schedule all faults of a play that begins at `now`, a time of the loop."""
         for index, fault in enumerate(self._fleet.scenario.scenario_faults):
             rng = self._fleet.environment.rng(f"trouble-{index}")
             self._loop.call_at(now + fault.at, self.handlers[type(fault)], fault, rng)
 
-    def _drawn_with_requests(self, fault: scenario_faults.RequestFault, rng: Random) -> None:
-        """Nothing is left to do: `arrivals.py` has drawn the requests with it."""
+    def _applied_to_requests(self, fault: scenario_faults.RequestFault, rng: Random) -> None:
+        """Do nothing: `arrivals.py` has applied the fault to the planned requests."""
 
     # Discovery
 
@@ -50,7 +50,7 @@
         self._loop.call_later(fault.lasts, lambda: self._loop.create_task(discovery.restart()))
 
     def _move_discovery(self, fault: scenario_faults.DiscoveryMove, rng: Random) -> None:
-        """It goes on elsewhere; proxies are told by a new configuration and SIGHUP."""
+        """Restart discovery at other ports, and send proxies a new configuration and SIGHUP."""
         proxies = self._fleet.proxies
         self._fleet.discovery.stop()
         self._loop.create_task(self._fleet.discovery.restart(len(proxies)))
--- a/sloeferry/rehearsal/judge.py
+++ b/sloeferry/rehearsal/judge.py
@@ -1,6 +1,7 @@
-"""The four rules, judged from the wire alone.  Free of I/O.
+"""Checks the four rules of the platform against what is observed on the wire.  Performs no I/O.
 
-Clients, backends and discovery tell what they send and see, with the time in seconds; the proxies' own word is not heard.
+Clients, backends and discovery report what they send and receive, with times in seconds.  Statements of the proxies under
+test, such as their logs, are not used.
 """
 
 from collections.abc import Sequence
@@ -17,31 +18,32 @@
 from sloeferry.stand_ins.wire_protocol import REJECTED_STATUSES, STATUS_OK, RequestKind, RequestOutcome, outcome_of_status
 
 MAX_VIOLATION_TEXTS = 20
-# Part of the work that pushed a backend over, which has to come from proxies that could know that it was cold.
+# Rule 4 is violated only if this part (numerator, denominator) of the work that overloaded a backend came from proxies that
+# could know that it was warming up.
 INFORMED_WORK_RATIO = (2, 3)
 
 
 @dataclass(slots=True)
 class ClientTry:
-    """One request on the wire, which has an id of its own; times in seconds."""
+    """One try of a planned request by its client, with a unique request id; times in seconds."""
 
     planned: PlannedRequest
     deadline: float
     proxy: str
     sent_at: float
-    answered_at: float = 0.0  # 0: not answered
+    answered_at: float = 0.0  # 0 while it is not answered
     status: int = 0
-    attempt_count: int = 0  # attempts of its proxy that came to backends
+    attempt_count: int = 0  # attempts that backends received from its proxy
     run_count: int = 0
 
 
 def format_request_id(request_id: bytes) -> str:
-    """A request id as texts have it."""
+    """Return a request id as text."""
     return request_id.decode("latin-1")
 
 
 class Judge(EffectLog):
-    """Counts what happens and what breaks a rule."""
+    """Counts what stand-ins report, and records each violation of a rule."""
 
     def __init__(self, scenario: Scenario, planned_requests: Sequence[PlannedRequest]):
         obligations = scenario.obligations
@@ -51,11 +53,11 @@
         self.proxy_zones: dict[str, str] = {}  # by proxy
         self.tries: dict[bytes, ClientTry] = {}  # by request id
         self.violation_counts = {rule.value: 0 for rule in Rule}
-        self.violation_texts: list[str] = []  # of the first ones
+        self.violation_texts: list[str] = []  # the first MAX_VIOLATION_TEXTS
         self.slack_seconds = obligations.slack_ms / 1000
         self.notifications = Notifications(scenario.discovery.deemed_notified_seconds)
         self.killed_at: dict[str, float] = {}  # by proxy
-        self.stopped_spans = ProxySpans()  # in which its machine stood still
+        self.stopped_spans = ProxySpans()  # while the proxy's machine was paused
         self.work_done_ms = 0.0
         self.health_check_work_ms = 0.0
         self.health_check_count = 0
@@ -67,57 +69,57 @@
         self._drain_grace_seconds = obligations.drain_grace_ms / 1000
 
     def violation(self, rule: str, now: float, text: str) -> None:
-        """Counts a broken rule, and keeps the texts of the first ones."""
+        """Count a violation of a rule, and keep its text if it is one of the first."""
         self.violation_counts[rule] += 1
         if len(self.violation_texts) < MAX_VIOLATION_TEXTS:
             label = f"rule {rule}" if rule.isdigit() else rule
             self.violation_texts.append(f"{now - self.began_at:9.4f} {label}: {text}")
 
-    # What backends ask
+    # Queries of backends (EffectLog)
 
     def request_class(self, request_id: bytes | None) -> RequestClass | None:
-        """See EffectLog."""
+        """Return the class of a request; None for an id that no client has used."""
         client_try = self.tries.get(request_id)
         return self.scenario.request_classes[client_try.planned.class_index] if client_try else None
 
     def work_ms(self, request_id: bytes) -> float:
-        """See EffectLog."""
+        """Return the work of a request: its service time on an idle backend of one core."""
         return self.tries[request_id].planned.work_ms
 
     def always_fails(self, request_id: bytes) -> bool:
-        """See EffectLog."""
+        """Return whether every backend answers a request with an error."""
         return self.tries[request_id].planned.always_fails
 
     def proxy_of(self, request_id: bytes) -> str:
-        """See EffectLog."""
+        """Return the name of the proxy that a request was sent to."""
         return self.tries[request_id].proxy
 
     def is_expired(self, request_id: bytes, now: float) -> bool:
-        """See EffectLog."""
+        """Return whether the deadline of a request has passed."""
         return now >= self.tries[request_id].deadline
 
     def last_request_at(self, proxy: str) -> float:
-        """When a proxy was last sent a request; 0 if it never was."""
+        """Return the time at which a client last sent a request to a proxy; 0 if none did."""
         return max((client_try.sent_at for client_try in self.tries.values() if client_try.proxy == proxy), default=0.0)
 
-    # What clients ask and tell (ClientLog)
+    # Queries and reports of clients (ClientLog)
 
     def body_bytes(self, request_id: bytes) -> int:
-        """See ClientLog."""
+        """Return the size of a request's body; an idempotent request has none."""
         request_class = self.request_class(request_id)
         return request_class.body_bytes if request_class.kind != RequestKind.IDEMPOTENT else 0
 
     def request_started(self, request_id: bytes, planned: PlannedRequest, proxy: str, now: float, deadline: float) -> None:
-        """See ClientLog."""
+        """Record that a client begins to write a request to a proxy."""
         self.tries[request_id] = ClientTry(planned, deadline, proxy, now)
 
     def request_written(self, request_id: bytes, now: float, deadline: float) -> None:
-        """See ClientLog."""
+        """Record that the last byte of a request was written, from which its deadline counts."""
         self.tries[request_id].sent_at = now
         self.tries[request_id].deadline = deadline
 
     def response_received(self, request_id: bytes, now: float, status: int, body: bytes) -> RequestOutcome:
-        """See ClientLog."""
+        """Check a complete response against rules 1 and 2, and return the outcome that its status stands for."""
         client_try, request_class = self.tries[request_id], self.request_class(request_id)
         name = format_request_id(request_id)
         if client_try.answered_at:
@@ -130,18 +132,24 @@
         if status == STATUS_OK:
             never_ran = not client_try.run_count and request_class.kind != RequestKind.DEDUPLICATED
             if never_ran or body != request_id.ljust(request_class.response_bytes):
-                self.violation(Rule.ONE_ANSWER, now, f"{name} was served what no node made for it")
+                self.violation(Rule.ONE_ANSWER, now, f"{name} was served a response that no node sent for it")
         elif status in REJECTED_STATUSES and client_try.run_count:
-            self._rejected_and_ran(request_id, now, request_class)
+            self._check_rejected_and_ran(request_id, now, request_class)
         return outcome_of_status(status)
 
     def may_send_again(self, request_id: bytes) -> bool:
-        """See ClientLog: no proxy died, and no backend has it."""
+        """Return whether a client may repeat a request whose idle connection was closed as it was sent.
+
+        It may if no backend received an attempt and the proxy was not killed.
+        """
         client_try = self.tries[request_id]
         return not client_try.attempt_count and not self.was_proxy_killed(client_try)
 
     def response_missing(self, request_id: bytes, now: float, reason: str) -> RequestOutcome:
-        """See ClientLog.  A proxy that was killed with it is excused, and one whose machine stood still."""
+        """Record a violation of rule 1 for a request without a response, and return its outcome.
+
+        A proxy that was killed while it had the request, or whose machine was paused, is exempt.
+        """
         client_try = self.tries[request_id]
         if self.was_proxy_killed(client_try):
             return RequestOutcome.PROXY_KILLED
@@ -151,16 +159,19 @@
         return RequestOutcome.UNANSWERED
 
     def request_ended(self, planned: PlannedRequest, outcome: RequestOutcome, now: float) -> None:
-        """See ClientLog."""
+        """Record the final outcome of a planned request, after all its tries."""
         planned.outcome = outcome
         planned.ended_at = now
 
     def was_proxy_killed(self, client_try: ClientTry) -> bool:
-        """Whether its proxy was killed while it had this."""
+        """Return whether the proxy was killed while it had the request."""
         return self.killed_at.get(client_try.proxy, -1.0) >= client_try.sent_at - self.slack_seconds
 
     def was_proxy_stopped(self, client_try: ClientTry) -> bool:
-        """Whether its proxy's machine stood still at its deadline, or for half of its time: nobody can answer then."""
+        """Return whether the proxy's machine was paused at the request's deadline, or for half of the time until then.
+
+        Such a proxy cannot answer in time.
+        """
         sent_at, deadline = client_try.sent_at, client_try.deadline
         spans = self.stopped_spans.spans_of(client_try.proxy)
         if any(span.since <= deadline <= span.until + self.slack_seconds for span in spans):
@@ -168,16 +179,16 @@
         overlaps = (min(span.until, deadline) - max(span.since, sent_at) for span in spans)
         return sum(max(0.0, overlap) for overlap in overlaps) >= (deadline - sent_at) / 2
 
-    # What backends tell
+    # Reports of backends (EffectLog)
 
     def body_received(self, backend_id: str, request_id: bytes | None, body: bytes, now: float) -> None:
-        """See EffectLog: the body has to be the one that its client sent."""
+        """Check that a request's body is the one that its client sent."""
         if self.request_class(request_id) and body != make_request_body(request_id, self.body_bytes(request_id)):
-            text = f"{backend_id} got {len(body)} bytes as the body of {format_request_id(request_id)}, which are not its own"
+            text = f"{backend_id} got {len(body)} bytes as the body of {format_request_id(request_id)}, not those its client sent"
             self.violation(Rule.PROTOCOL, now, text)
 
     def attempt_received(self, backend_id: str, zone: str, request_id: bytes, sent_at: float) -> None:
-        """See EffectLog."""
+        """Check an attempt against rules 1 and 3; its first byte arrived at `sent_at`."""
         client_try = self.tries[request_id]
         client_try.attempt_count += 1
         self.attempt_count += 1
@@ -194,16 +205,19 @@
             )
 
     def end_notified_at(self, proxy: str, backend_id: str) -> float | None:
-        """When a proxy was told, or counts as told, that a backend wants nothing new; None if it does want."""
+        """Return the time from which a proxy knows, or counts as knowing, that a backend takes no new requests.
+
+        None if the backend takes requests.
+        """
         times = self.notifications.end_notified_at(proxy, backend_id), self.end_deemed_at(proxy, backend_id)
         return min((time for time in times if time is not None), default=None)
 
     def end_deemed_at(self, proxy: str, backend_id: str) -> float | None:
-        """When a proxy counts as told of a backend's end, whether or not word of it arrived."""
+        """Return the time from which a proxy counts as notified of a backend's end, even if no notification arrived."""
         return self.notifications.end_deemed_at(backend_id)
 
     def request_ran(self, backend_id: str, request_id: bytes, now: float) -> None:
-        """See EffectLog."""
+        """Check against rule 2 that a backend may run a request."""
         client_try, request_class = self.tries[request_id], self.request_class(request_id)
         client_try.run_count += 1
         if client_try.run_count > 1:
@@ -215,9 +229,9 @@
                     f"{format_request_id(request_id)}, {request_class.kind}, ran again, on {backend_id}",
                 )
         if client_try.status in REJECTED_STATUSES:
-            self._rejected_and_ran(request_id, now, request_class)
+            self._check_rejected_and_ran(request_id, now, request_class)
 
-    def _rejected_and_ran(self, request_id: bytes, now: float, request_class: RequestClass) -> None:
+    def _check_rejected_and_ran(self, request_id: bytes, now: float, request_class: RequestClass) -> None:
         is_deduplicated = request_class.kind == RequestKind.DEDUPLICATED
         is_known_everywhere = is_deduplicated and request_class.deduplication_group == "all"
         if request_class.kind != RequestKind.IDEMPOTENT and not is_known_everywhere:
@@ -226,20 +240,23 @@
             )
 
     def work_done(self, work_ms: float) -> None:
-        """See EffectLog."""
+        """Add work that backends have done."""
         self.work_done_ms += work_ms
 
     def health_check_received(self, backend_id: str, work_ms: float) -> None:
-        """See EffectLog."""
+        """Count a health check and its work."""
         self.health_check_count += 1
         self.health_check_work_ms += work_ms
 
     def congestion_began(self, backend_id: str) -> None:
-        """See EffectLog."""
+        """Record that a long queue slows a backend down."""
         self.congested_backends.add(backend_id)
 
     def backend_overloaded(self, backend_id: str, now: float, capacity_ratio: float, recent: Sequence[RecentWork]) -> None:
-        """See EffectLog.  Rule 4 holds against those who could know: most of the work came from who was told."""
+        """Count a backend that was overloaded while it warmed up, and check rule 4.
+
+        The rule is violated only if most of the work came from proxies that could know of the backend's start.
+        """
         self.pushed_over_count += 1
         knowing_ms = sum(work.work_ms for work in recent if self._knew_start(backend_id, work))
         numerator, denominator = INFORMED_WORK_RATIO
@@ -249,29 +266,29 @@
     def _knew_start(self, backend_id: str, work: RecentWork) -> bool:
         return self.notifications.knew_start(self.tries[work.request_id].proxy, backend_id, work.received_at)
 
-    # What discovery and the play tell
+    # Reports of discovery and of the play
 
     def proxy_notified(self, proxy: str, backend_id: str, state: str, now: float, started_at_ms: int = 0) -> None:
-        """See EffectLog."""
+        """Record that discovery notifies a proxy of a backend's state."""
         self.notifications.proxy_notified(proxy, backend_id, state, now, started_at_ms)
 
     def state_published(self, backend_id: str, state: str, now: float) -> None:
-        """See EffectLog."""
+        """Record that a backend's state has changed in the endpoint list."""
         self.notifications.state_published(backend_id, state, now)
 
     def backend_started(self, backend_id: str, now: float, started_at_ms: int) -> None:
-        """A backend starts anew, cold; `started_at_ms` as discovery will say it."""
+        """Record that a backend restarts cold; `started_at_ms` is the start time that discovery will list."""
         self.notifications.backend_started(backend_id, now, started_at_ms)
 
     def proxy_stopped(self, proxy: str, now: float, until: float) -> None:
-        """A proxy's machine stands still until then."""
+        """Record that a proxy's machine is paused until a given time."""
         self.stopped_spans.add(proxy, now, until)
 
     def proxy_killed(self, proxy: str, now: float) -> None:
-        """A proxy has been killed on purpose."""
+        """Record that a proxy was killed by a fault of the scenario."""
         self.killed_at[proxy] = now
 
     def proxy_crashed(self, proxy: str, now: float, reason: str) -> None:
-        """A proxy has ended by itself, which it must not."""
+        """Record the violation that a proxy process ended by itself."""
         self.violation(Rule.CRASH, now, f"{proxy} ended: {reason}")
         self.proxy_killed(proxy, now)
--- a/sloeferry/rehearsal/notifications.py
+++ b/sloeferry/rehearsal/notifications.py
@@ -1,4 +1,7 @@
-"""What each proxy has been told of backends' starts and ends, and what counts as told (rules 3 and 4).  Times in seconds."""
+"""Tracks the starts and ends of backends of which each proxy was notified, or counts as notified (rules 3 and 4).
+
+Times are in seconds.
+"""
 
 from typing import NamedTuple
 
@@ -6,14 +9,14 @@
 
 
 class KnownStart(NamedTuple):
-    """A start that a proxy was told of; `started_at_ms` as discovery says it."""
+    """A start of which a proxy was notified; `started_at_ms` is the start time in the endpoint list."""
 
     started_at_ms: int
     notified_at: float
 
 
 class ColdStart(NamedTuple):
-    """A start, by the play's clock and as discovery says it."""
+    """A cold start, by the clock of the play and as the start time in the endpoint list."""
 
     started_at: float
     started_at_ms: int
@@ -23,7 +26,7 @@
 
 
 class Notifications:
-    """What there is to tell counts as told `deemed_notified_seconds` after it was listed."""
+    """Records notifications; all proxies count as notified of a change `deemed_notified_seconds` after it was published."""
 
     def __init__(self, deemed_notified_seconds: float):
         self._deemed_notified_seconds = deemed_notified_seconds
@@ -33,7 +36,7 @@
         self._cold_starts: dict[str, ColdStart] = {}  # by backend
 
     def proxy_notified(self, proxy: str, backend_id: str, state: str, now: float, started_at_ms: int) -> None:
-        """A proxy is told a backend's state."""
+        """Record that discovery notifies a proxy of a backend's state."""
         key = proxy, backend_id
         if self._known_starts.get(key, UNKNOWN_START).started_at_ms != started_at_ms:
             self._known_starts[key] = KnownStart(started_at_ms, now)
@@ -43,27 +46,27 @@
             self._end_notified_at.setdefault(key, now)
 
     def state_published(self, backend_id: str, state: str, now: float) -> None:
-        """A backend's state is listed."""
+        """Record that the endpoint list has a new state of a backend."""
         if state == BackendState.READY:
             self._end_deemed_at.pop(backend_id, None)
         else:
             self._end_deemed_at.setdefault(backend_id, now + self._deemed_notified_seconds)
 
     def backend_started(self, backend_id: str, now: float, started_at_ms: int) -> None:
-        """It runs again: what was never told of its end counts as told no more."""
+        """Record a cold start, and discard an end of the backend of which proxies only count as notified."""
         self._end_deemed_at.pop(backend_id, None)
         self._cold_starts[backend_id] = ColdStart(now, started_at_ms)
 
     def end_notified_at(self, proxy: str, backend_id: str) -> float | None:
-        """When a proxy was told that a backend wants nothing new; None if it does want."""
+        """Return the time at which a proxy was notified that a backend takes no new requests; None if it takes them."""
         return self._end_notified_at.get((proxy, backend_id))
 
     def end_deemed_at(self, backend_id: str) -> float | None:
-        """When every proxy counts as told so."""
+        """Return the time from which all proxies count as notified of a backend's end; None if the backend takes new requests."""
         return self._end_deemed_at.get(backend_id)
 
     def knew_start(self, proxy: str, backend_id: str, at: float) -> bool:
-        """Whether a proxy had been told by then that a backend has started anew, or counted as told."""
+        """Return whether a proxy was notified of a backend's latest start by the time `at`, or counted as notified."""
         start = self._cold_starts.get(backend_id, ColdStart(at, 0))
         known = self._known_starts.get((proxy, backend_id), UNKNOWN_START)
         was_notified = known.started_at_ms >= start.started_at_ms and known.notified_at <= at
--- a/sloeferry/rehearsal/record.py
+++ b/sloeferry/rehearsal/record.py
@@ -1,4 +1,4 @@
-"""The record of a play: service as the operators count it, and all figures worth telling, for one seed the same to the byte."""
+"""Makes the record of a play: service as operators compute it, and counters.  For one seed it is the same byte for byte."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 from sloeferry.stand_ins.wire_protocol import RequestOutcome
 
 WINDOW_SECONDS = 5.0
-MIN_WINDOW_RATIO = 1 / 4  # of the mean requests of a window: one with fewer is no worst one
+MIN_WINDOW_RATIO = 1 / 4  # of the mean number of requests; windows with fewer do not count as the worst
 WINDOW_OUTCOMES = (RequestOutcome.SERVED, RequestOutcome.REJECTED, RequestOutcome.FAILED)
 RECORDED_OUTCOMES = (
     RequestOutcome.SERVED,
@@ -29,7 +29,7 @@
 
 
 def make_record(judge: Judge) -> dict[str, Any]:
-    """A play's record; its keys are fixed, files that are kept have them."""
+    """Return the record of a play.  Its keys are fixed, since stored record files contain them."""
     requests = [request for request in judge.planned_requests if request.outcome]
     service = ServiceScore(judge.scenario)
     windows = split_into_windows(requests, judge.scenario.seconds)
@@ -57,32 +57,32 @@
 
 @dataclass(frozen=True)
 class ServiceScore:
-    """ServiceScore: the part of the priority weight that was served within the latency objective."""
+    """Computes service: the ratio of priority weight that was served within the latency objective."""
 
     scenario: Scenario
 
     def is_in_time(self, request: PlannedRequest) -> bool:
-        """Whether it was served within its latency objective."""
+        """Return whether a request was served within its latency objective."""
         return request.outcome == RequestOutcome.SERVED and not self.is_past_objective(request)
 
     def is_past_objective(self, request: PlannedRequest) -> bool:
-        """Whether it ended after its latency objective."""
+        """Return whether a request ended after its latency objective."""
         objective_ms = self.scenario.request_classes[request.class_index].latency_objective_ms
         return request.ended_at - request.first_sent_at > objective_ms / 1000
 
     def weight(self, requests: Iterable[PlannedRequest]) -> float:
-        """Their priority weights together."""
+        """Return the total priority weight of requests, without those that always fail."""
         classes = self.scenario.request_classes
         return sum(classes[request.class_index].priority_weight for request in requests if not request.always_fails)
 
     def ratio(self, requests: Requests) -> float | None:
-        """Service for some requests; None where nobody asked anything."""
+        """Return the service for some requests; None if their weight is 0."""
         weight = self.weight(requests)
         return self.weight(filter(self.is_in_time, requests)) / weight if weight else None
 
 
 def split_into_windows(requests: Requests, seconds: float) -> list[list[PlannedRequest]]:
-    """Requests by the time at which they were first to be sent."""
+    """Group requests into windows by the planned time of their first try."""
     windows: list[list[PlannedRequest]] = [[] for _ in range(max(1, ceil(seconds / WINDOW_SECONDS)))]
     for request in requests:
         windows[min(int(request.starts_at // WINDOW_SECONDS), len(windows) - 1)].append(request)
@@ -90,7 +90,7 @@
 
 
 def service_parts(service: ServiceScore, requests: Requests, windows: Sequence[Requests]) -> dict[str, float | None]:
-    """The parts that total service is made of."""
+    """Return the parts of the total service: for the whole play, and for its worst 10 seconds, class and tenant."""
     pairs = [first + second for first, second in pairwise(windows)] or windows
     min_requests = len(requests) / len(windows) * MIN_WINDOW_RATIO
     class_indexes = range(len(service.scenario.request_classes))
@@ -106,7 +106,7 @@
 
 
 def weighted_mean(scenario: Scenario, parts: dict[str, float | None]) -> float:
-    """Of the parts of service; where nobody asked anything, nothing was left undone."""
+    """Return the weighted mean of the parts of service; a part without requests counts as 1."""
     weights = scenario.service_weights
     part_weights = {
         "whole": weights.whole,
@@ -119,18 +119,18 @@
 
 
 def service_costs(judge: Judge, service: ServiceScore, requests: Requests) -> dict[str, float]:
-    """What is taken off service: work that helped nobody, bad news that came late, detours and health checks."""
+    """Return the costs deducted from service: for wasted work, late rejections and failures, zone crossings, health checks."""
     costs = judge.scenario.costs
     request_count = max(1, len(requests))
-    without_late_cost = (RequestOutcome.SERVED, RequestOutcome.CLIENT_LEFT)
+    exempt_outcomes = (RequestOutcome.SERVED, RequestOutcome.CLIENT_LEFT)
     late_weight = service.weight(
-        request for request in requests if request.outcome not in without_late_cost and service.is_past_objective(request)
+        request for request in requests if request.outcome not in exempt_outcomes and service.is_past_objective(request)
     )
     useful_ms = sum(request.work_ms for request in requests if request.outcome == RequestOutcome.SERVED)
-    asked_ms = sum(request.work_ms for request in requests) or 1.0
+    requested_ms = sum(request.work_ms for request in requests) or 1.0
     wasted_ms = max(0.0, judge.work_done_ms + judge.health_check_work_ms - useful_ms)
     return {
-        "waste": costs.wasted_work * wasted_ms / asked_ms,
+        "waste": costs.wasted_work * wasted_ms / requested_ms,
         "late": costs.late_answer * late_weight / (service.weight(requests) or 1.0),
         "cross": costs.cross_zone * judge.cross_zone_count / request_count,
         "probe": costs.health_check * judge.health_check_count / request_count,
@@ -138,7 +138,7 @@
 
 
 def window_record(index: int, window: Requests, service: ServiceScore) -> dict[str, Any]:
-    """One row of the table over time."""
+    """Return the record of one window: its requests, service and outcomes."""
     return {
         "at": round_figure(index * WINDOW_SECONDS),
         "asked": len(window),
@@ -148,7 +148,7 @@
 
 
 def request_counts(judge: Judge, service: ServiceScore, requests: Requests) -> dict[str, int]:
-    """How many requests ended in which way, and what was done for them."""
+    """Return the numbers of requests by outcome, and of tries, attempts, repeated runs, health checks and zone crossings."""
     outcomes = [request.outcome for request in requests]
     return {
         "asked": len(requests),
@@ -163,10 +163,10 @@
 
 
 def lowest_known(values: Iterable[float | None]) -> float | None:
-    """The lowest of those that are known."""
+    """Return the lowest value that is not None; None if there is none."""
     return min((value for value in values if value is not None), default=None)
 
 
 def round_figure(value: float | None) -> float | None:
-    """As figures stand in records."""
+    """Round a figure as records have it."""
     return None if value is None else round(value, 6)
--- a/sloeferry/rehearsal/report.py
+++ b/sloeferry/rehearsal/report.py
@@ -1,4 +1,4 @@
-"""A play's record as lines for operators, and the line that shows how far a play has got."""
+"""Formats the record of a play for operators, and shows the progress of a play."""
 
 import sys
 import time
@@ -12,7 +12,7 @@
 
 
 def format_record(record: Mapping[str, Any]) -> str:
-    """A record in some lines."""
+    """Return a record as lines of text."""
     service = record["service"]
     parts = " ".join(f"{key} {value:.3f}" for key, value in service.items() if isinstance(value, float) and key != "total")
     costs = " ".join(f"{key} {value:.3f}" for key, value in service["prices"].items())
@@ -42,20 +42,20 @@
 
 
 def make_progress_reporter(label: str) -> Callable[[float, ProxyFleet], None] | None:
-    """Shows progress on one line that is written over; None where standard error is no terminal."""
+    """Return a function that shows progress on one line of standard error, overwriting it; None if that is not a terminal."""
     if not sys.stderr.isatty():
         return None
     began_at = time.monotonic()
 
-    def show(seconds: float, fleet: ProxyFleet) -> None:
+    def show_progress(seconds: float, fleet: ProxyFleet) -> None:
         ended = sum(1 for request in fleet.judge.planned_requests if request.outcome)
         elapsed = time.monotonic() - began_at
         click.echo(f"\r{label}: {seconds:5.1f} s played in {elapsed:.0f} s, {ended} txns ended ", nl=False, err=True)
 
-    return show
+    return show_progress
 
 
 def clear_progress_line() -> None:
-    """Takes that line away."""
+    """Remove the progress line."""
     if sys.stderr.isatty():
         click.echo("\r\033[K", nl=False, err=True)
--- a/sloeferry/rehearsal/scenario_faults.py
+++ b/sloeferry/rehearsal/scenario_faults.py
@@ -1,6 +1,6 @@
-"""The faults that a scenario may name: what each does, and how much of it.
+"""Defines the faults that a scenario may contain, with their parameters.
 
-The key `what` names the kind, by the word in its class's `tag`.
+The key `what` in the file selects the kind of fault by the `tag` of its class.
 """
 
 from typing import Literal
@@ -11,75 +11,75 @@
 
 
 class Fault(Table, tag_field="what"):
-    """Something that goes wrong at a time (seconds from the start)."""
+    """A fault that begins at a time, in seconds from the start of the play."""
 
     at: NonNegative
-    zone: str = ""  # where; everywhere if empty
+    zone: str = ""  # the affected zone; all zones if empty
 
 
 class LastingFault(Fault):
-    """One that is over after a time."""
+    """A fault that ends after a duration."""
 
     lasts: Positive = 10.0  # seconds
-    part: Ratio = 0.3  # of the backends, or of what it strikes
+    part: Ratio = 0.3  # of the backends, proxies or requests that it may affect
 
 
 # Backends
 
 
 class BackendStalls(LastingFault, tag="stall"):
-    """Backends stand still, again and again."""
+    """Backends are paused repeatedly, at intervals."""
 
     stall_ms: Positive = field(default=200.0, name="ms")
     interval_ms: Positive = field(default=2500.0, name="every_ms")
 
 
 class NoisyNeighbour(LastingFault, tag="neighbour"):
-    """Another program takes so much of the machine, on and off."""
+    """Another program takes a share of the machines of backends, on and off at intervals."""
 
     machine_share: Ratio = field(default=0.5, name="takes")
     interval_ms: Positive = field(default=3000.0, name="every_ms")
 
 
 class BackendSlowdown(LastingFault, tag="slow"):
-    """Backends are so many times slower."""
+    """Service times of backends are multiplied."""
 
     times: AtLeastOne = 3.0
 
 
 class BackendErrors(LastingFault, tag="errs"):
-    """Backends answer 500 for so much of what they get, half at once, half when the work is done."""
+    """Backends answer a ratio of the requests with 500, half of these at once and half when the work is done."""
 
     odds: Ratio = 0.5
 
 
 class TruncatedResponses(LastingFault, tag="cuts"):
-    """Backends break off in the middle of a response's head."""
+    """Backends close the connection within the header section of a response."""
 
     odds: Ratio = 0.2
 
 
 class RefusedConnections(LastingFault, tag="refuses"):
-    """Backends do not listen; what is open goes on."""
+    """Backends refuse new connections; open connections continue."""
 
 
 class BackendCrash(LastingFault, tag="crash"):
-    """Backends die at once, and come back cold when it is over."""
+    """Backends crash all at the same time, and restart cold when the fault ends."""
 
 
 class BackendCutOff(LastingFault, tag="silent"):
-    """Backends are cut off from the network without a word, and come back cold."""
+    """Backends are cut off from the network while connections stay open, and restart cold when the fault ends."""
 
 
 class RollingDeploy(LastingFault, tag="deploy"):
-    """Backends are replaced a batch at a time; each drains first, its successor starts cold."""
+    """Backends are replaced batch by batch: each one drains, and its successor starts cold."""
 
     batch_ratio: PositiveRatio = field(default=0.15, name="batch")
     drain_seconds: NonNegative = field(default=3.0, name="drain_s")
 
 
 class FalseLoadReports(LastingFault, tag="false-reports"):
-    """Backends are slower, and report that they are idle, or still what they held when it began."""
+    """Backends are slower, and report either that they are idle or the load at the start of the fault."""
 
     times: AtLeastOne = 2.0
     shows: Literal["idle", "stuck"] = "idle"
@@ -89,9 +89,9 @@
 
 
 class OneSidedLoss(LastingFault, tag="one-sided"):
-    """Backends lose so much of what some proxies send them, half of it unseen and half when the work is done.
+    """Backends lose a ratio of the requests of some proxies: half of these are never received, half lose their response.
 
-    They serve the other proxies, and all health checks.
+    Backends still serve the other proxies, and answer all health checks.
     """
 
     proxies: Ratio = 0.5
@@ -99,7 +99,7 @@
 
 
 class LossyZoneLink(LastingFault, tag="lossy-way"):
-    """Between `zone` and the others so much of the requests is lost, either way, and the rest takes longer each way."""
+    """A ratio of the requests between `zone` and the other zones is lost in either direction, and the others are delayed."""
 
     odds: Ratio = 0.2
     delay_ms: NonNegative = 80.0
@@ -109,18 +109,18 @@
 
 
 class HeavyRequests(LastingFault, tag="heavy"):
-    """So much of one class costs many times its work."""
+    """The work of a part of the requests of one class is multiplied."""
 
     class_name: str = field(default="", name="scheme")
     times: Positive = 12.0
 
 
 class FailingRequests(LastingFault, tag="bad-txns"):
-    """So much of what is sent fails at once at any backend, harms none and is worth nothing."""
+    """A part of all requests fails at once at every backend, without costing work or counting for service."""
 
 
 class TenantDelay(LastingFault, tag="waits"):
-    """So much of one tenant's requests keeps its place so much longer, at any backend."""
+    """A part of one tenant's requests occupies a place longer, at every backend."""
 
     tenant_name: str = field(default="", name="customer")
     delay_ms: Positive = field(default=500.0, name="ms")
@@ -130,25 +130,25 @@
 
 
 class ProxyCrash(LastingFault, tag="proxies-die"):
-    """Proxies are killed; back after `lasts` with nothing but their last list."""
+    """Proxies are killed, and restart after `lasts` with only the endpoint list that they had last."""
 
 
 class ProxyRollingRestart(LastingFault, tag="proxies-roll"):
-    """Proxies are told to end, one after the other, and started again."""
+    """Proxies are shut down and restarted one after the other."""
 
 
 class ProxyQuiesce(LastingFault, tag="proxies-quiesce"):
-    """Proxies are told by their operators to send clients away, and to take them in again when it is over."""
+    """Operators quiesce proxies, which send their clients away, and resume them when the fault ends."""
 
 
 class ProxyPause(LastingFault, tag="proxies-stop"):
-    """Proxies get no time at all, once."""
+    """Proxies get no CPU time, once."""
 
     pause_ms: Positive = field(default=500.0, name="ms")
 
 
 class ProxyCpuLimit(LastingFault, tag="proxies-starve"):
-    """Proxies get so much of a core."""
+    """Proxies are limited to a share of a core."""
 
     cpu_share: PositiveRatio = field(default=0.3, name="share")
 
@@ -157,20 +157,20 @@
 
 
 class DiscoveryOutage(LastingFault, tag="discovery-out"):
-    """Discovery is down."""
+    """Discovery is unavailable."""
 
 
 class DiscoveryMove(Fault, tag="discovery-move"):
-    """Discovery goes on at other ports."""
+    """Discovery moves to other ports."""
 
 
 class DiscoveryLag(LastingFault, tag="discovery-lag"):
-    """Changes are listed later."""
+    """Changes reach the endpoint list with an additional delay."""
 
     extra_delay_seconds: Positive = field(default=5.0, name="more_s")
 
 
-RequestFault = HeavyRequests | FailingRequests | TenantDelay  # those that are drawn with the requests
+RequestFault = HeavyRequests | FailingRequests | TenantDelay  # faults that are applied when requests are generated
 ScenarioFault = (
     BackendStalls
     | NoisyNeighbour
