--- a/sloeferry/rehearsal/cli.py
+++ b/sloeferry/rehearsal/cli.py
@@ -127,10 +127,10 @@
     if live:
         from sloeferry.rehearsal import live as live_play
 
-        return live_play.play(scenario, seed, progress, show_line)
-    from sloeferry.rehearsal import play as virtual_play
+        return live_play.run_live(scenario, seed, progress, show_line)
+    from sloeferry.rehearsal import simulation as virtual_play
 
-    return virtual_play.play(scenario, seed, policy, progress, show_line, environment_seed)
+    return virtual_play.simulate(scenario, seed, policy, progress, show_line, environment_seed)
 
 
 @rehearse.command("list")
@@ -195,10 +195,11 @@
 
 def compare_seed(scenario: Scenario, seed: int, baseline: str) -> SeedComparison:
     """Play one seed with the design, then with a baseline."""
-    from sloeferry.rehearsal.play import play
+    from sloeferry.rehearsal.simulation import simulate
 
     records = [
-        play(scenario, seed, policy, make_progress_reporter(f"{scenario.name} {seed} {policy}")) for policy in (DESIGN, baseline)
+        simulate(scenario, seed, policy, make_progress_reporter(f"{scenario.name} {seed} {policy}"))
+        for policy in (DESIGN, baseline)
     ]
     clear_progress_line()
     services = [record["service"]["total"] for record in records]
