--- a/sloeferry/rehearsal/arrivals.py
+++ b/sloeferry/rehearsal/arrivals.py
@@ -1,4 +1,4 @@
-"""Generates all requests of a play in advance: for one seed always the same, independent of their outcomes."""
+"""Generates all requests of a run in advance: for one seed always the same, independent of their outcomes."""
 
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
     """A request of a client with all its tries, and its outcome; times in seconds."""
 
     number: int
-    starts_at: float  # from the start of the play
+    starts_at: float  # from the start of the run
     class_index: int
     tenant_index: int
     client: int
@@ -50,7 +50,7 @@
 
 
 class LoadSegment(NamedTuple):
-    """A span of the play with a constant rate of requests; in seconds and requests per second."""
+    """A span of the run with a constant rate of requests; in seconds and requests per second."""
 
     begins_at: float
     ends_at: float
@@ -64,7 +64,7 @@
 
 
 def plan_requests(scenario: Scenario, rng: Random) -> list[PlannedRequest]:
-    """Return all requests of a play in the order of their start times, which form a Poisson process in each segment."""
+    """Return all requests of a run in the order of their start times, which form a Poisson process in each segment."""
     return _RequestGenerator(scenario, rng).generate()
 
 
--- a/sloeferry/rehearsal/cli.py
+++ b/sloeferry/rehearsal/cli.py
@@ -1,4 +1,4 @@
-"""Defines the commands of `sloeferry rehearse`: parses their arguments, runs plays and prints the results."""
+"""Defines the commands of `sloeferry rehearse`: parses their arguments, runs scenarios and prints the results."""
 
 import json
 import pathlib
@@ -18,7 +18,7 @@
 
 
 class SeedComparison(NamedTuple):
-    """The services and violations of one seed, played with the design and with a baseline."""
+    """The services and violations of one seed, run with the design and with a baseline."""
 
     seed: int
     design_service: float
@@ -36,7 +36,7 @@
 
 @click.group()
 def rehearse() -> None:
-    """Play scenarios with real proxies and stand-in nodes, discovery and clients; check the rules on the wire.
+    """Run scenarios with real proxies and stand-in nodes, discovery and clients; check the rules on the wire.
 
     All figures are simulated.
     """
@@ -101,36 +101,36 @@
     as_json: bool,
     log: bool,
 ) -> None:
-    """Play SCENARIO, a shipped name or a path.  Exit status 0: rules kept, 1: a rule broken, 2: invalid scenario or option."""
+    """Run SCENARIO, a shipped name or a path.  Exit status 0: rules kept, 1: a rule broken, 2: invalid scenario or option."""
     checked = scenarios.read_scenario(scenario)
     if live and policy != DESIGN:
-        raise ScenarioError("--policy: has to be design in a live play; baselines run in virtual time only")
+        raise ScenarioError("--policy: has to be design in a live run; baselines run in virtual time only")
     if live and environment_seed:
-        raise ScenarioError("--chance: has to be 0 in a live play; it seeds the simulated network and proxies only")
+        raise ScenarioError("--chance: has to be 0 in a live run; it seeds the simulated network and proxies only")
     if record and not record.parent.is_dir():
         raise ScenarioError(f"--record: {record.parent} is not a folder")
-    played = play_scenario(checked, seed, live, policy, environment_seed, print_to_stderr if log else None)
+    run_record = record_run(checked, seed, live, policy, environment_seed, print_to_stderr if log else None)
     clear_progress_line()
-    text = json.dumps(played, indent=1, sort_keys=True) + "\n"
+    text = json.dumps(run_record, indent=1, sort_keys=True) + "\n"
     write_record(record, text)
-    click.echo(text if as_json else format_record(played), nl=not as_json)
-    is_clean = not any(played["rules"].values()) and not played["faults"]
+    click.echo(text if as_json else format_record(run_record), nl=not as_json)
+    is_clean = not any(run_record["rules"].values()) and not run_record["faults"]
     sys.exit(0 if is_clean else 1)
 
 
-def play_scenario(
+def record_run(
     scenario: Scenario, seed: int, live: bool, policy: str, environment_seed: int, show_line: Callable[[str], object] | None
 ) -> dict[str, Any]:
-    """Play a scenario in virtual time or live, and return its record."""
+    """Run a scenario in virtual time or live, and return its record."""
     progress = make_progress_reporter(scenario.name)
     # Imported here, since the modules are slow to import and the other commands do not need them.
     if live:
-        from sloeferry.rehearsal import live as live_play
+        from sloeferry.rehearsal import live as live_run
 
-        return live_play.run_live(scenario, seed, progress, show_line)
-    from sloeferry.rehearsal import simulation as virtual_play
+        return live_run.run_live(scenario, seed, progress, show_line)
+    from sloeferry.rehearsal import simulation
 
-    return virtual_play.simulate(scenario, seed, policy, progress, show_line, environment_seed)
+    return simulation.simulate(scenario, seed, policy, progress, show_line, environment_seed)
 
 
 @rehearse.command("list")
@@ -178,7 +178,7 @@
 @click.option("--vs", "baseline", type=click.Choice(POLICIES[1:]), default="random", show_default=True)
 @click.option("--json", "as_json", is_flag=True)
 def compare(scenario: str, seeds: str, baseline: str, as_json: bool) -> None:
-    """Play SCENARIO with the design and with a baseline for each seed, and print the mean difference with its uncertainty."""
+    """Run SCENARIO with the design and with a baseline for each seed, and print the mean difference with its uncertainty."""
     checked = scenarios.read_scenario(scenario)
     pairs = [compare_seed(checked, seed, baseline) for seed in parse_seeds(seeds)]
     mean, noise = mean_difference(pairs)
@@ -194,7 +194,7 @@
 
 
 def compare_seed(scenario: Scenario, seed: int, baseline: str) -> SeedComparison:
-    """Play one seed with the design, then with a baseline."""
+    """Run one seed with the design, then with a baseline."""
     from sloeferry.rehearsal.simulation import simulate
 
     records = [
--- a/sloeferry/rehearsal/faults.py
+++ b/sloeferry/rehearsal/faults.py
@@ -19,7 +19,7 @@
 
 
 class FaultInjector:
-    """Injects the faults of one play."""
+    """Injects the faults of one run."""
 
     def __init__(self, fleet: "ProxyFleet"):
         self._fleet = fleet
@@ -34,7 +34,7 @@
         }
 
     def schedule(self, now: float) -> None:
-        """Schedule all faults of a play that begins at `now`, a time of the loop."""
+        """Schedule all faults of a run that begins at `now`, a time of the loop."""
         for index, fault in enumerate(self._fleet.scenario.scenario_faults):
             rng = self._fleet.environment.rng(f"trouble-{index}")
             self._loop.call_at(now + fault.at, self.handlers[type(fault)], fault, rng)
--- a/sloeferry/rehearsal/judge.py
+++ b/sloeferry/rehearsal/judge.py
@@ -258,15 +258,15 @@
         The rule is violated only if most of the work came from proxies that could know of the backend's start.
         """
         self.pushed_over_count += 1
-        knowing_ms = sum(work.work_ms for work in recent if self._knew_start(backend_id, work))
+        informed_work_ms = sum(work.work_ms for work in recent if self._knew_start(backend_id, work))
         numerator, denominator = INFORMED_WORK_RATIO
-        if knowing_ms >= sum(work.work_ms for work in recent) * numerator / denominator:
+        if informed_work_ms >= sum(work.work_ms for work in recent) * numerator / denominator:
             self.violation(Rule.NO_OVERLOAD_IN_WARM_UP, now, f"{backend_id} fell over at {capacity_ratio:.2f} of its capacity")
 
     def _knew_start(self, backend_id: str, work: RecentWork) -> bool:
         return self.notifications.knew_start(self.tries[work.request_id].proxy, backend_id, work.received_at)
 
-    # Reports of discovery and of the play
+    # Reports of discovery and of the run
 
     def proxy_notified(self, proxy: str, backend_id: str, state: str, now: float, started_at_ms: int = 0) -> None:
         """Record that discovery notifies a proxy of a backend's state."""
--- a/sloeferry/rehearsal/notifications.py
+++ b/sloeferry/rehearsal/notifications.py
@@ -16,7 +16,7 @@
 
 
 class ColdStart(NamedTuple):
-    """A cold start, by the clock of the play and as the start time in the endpoint list."""
+    """A cold start, by the clock of the run and as the start time in the endpoint list."""
 
     started_at: float
     started_at_ms: int
--- a/sloeferry/rehearsal/record.py
+++ b/sloeferry/rehearsal/record.py
@@ -1,4 +1,4 @@
-"""Makes the record of a play: service as operators compute it, and counters.  For one seed it is the same byte for byte."""
+"""Makes the record of a run: service as operators compute it, and counters.  For one seed it is the same byte for byte."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
@@ -29,7 +29,7 @@
 
 
 def make_record(judge: Judge) -> dict[str, Any]:
-    """Return the record of a play.  Its keys are fixed, since stored record files contain them."""
+    """Return the record of a run.  Its keys are fixed, since stored record files contain them."""
     requests = [request for request in judge.planned_requests if request.outcome]
     service = ServiceScore(judge.scenario)
     windows = split_into_windows(requests, judge.scenario.seconds)
@@ -90,7 +90,7 @@
 
 
 def service_parts(service: ServiceScore, requests: Requests, windows: Sequence[Requests]) -> dict[str, float | None]:
-    """Return the parts of the total service: for the whole play, and for its worst 10 seconds, class and tenant."""
+    """Return the parts of the total service: for the whole run, and for its worst 10 seconds, class and tenant."""
     pairs = [first + second for first, second in pairwise(windows)] or windows
     min_requests = len(requests) / len(windows) * MIN_WINDOW_RATIO
     class_indexes = range(len(service.scenario.request_classes))
--- a/sloeferry/rehearsal/report.py
+++ b/sloeferry/rehearsal/report.py
@@ -1,4 +1,4 @@
-"""Formats the record of a play for operators, and shows the progress of a play."""
+"""Formats the record of a run for operators, and shows the progress of a run."""
 
 import sys
 import time
@@ -50,7 +50,7 @@
     def show_progress(seconds: float, fleet: ProxyFleet) -> None:
         ended = sum(1 for request in fleet.judge.planned_requests if request.outcome)
         elapsed = time.monotonic() - began_at
-        click.echo(f"\r{label}: {seconds:5.1f} s played in {elapsed:.0f} s, {ended} txns ended ", nl=False, err=True)
+        click.echo(f"\r{label}: {seconds:5.1f} s of the run in {elapsed:.0f} s, {ended} txns ended ", nl=False, err=True)
 
     return show_progress
 
--- a/sloeferry/rehearsal/scenario.py
+++ b/sloeferry/rehearsal/scenario.py
@@ -32,7 +32,7 @@
 from sloeferry.stand_ins.wire_protocol import RequestKind
 
 SHIPPED_FOLDER = pathlib.Path(__file__).parent / "scenarios"
-MAX_CURVE_LENGTH_RATIO = 10  # of the length of the load curve to that of the play
+MAX_CURVE_LENGTH_RATIO = 10  # of the length of the load curve to that of the run
 
 
 class ScenarioError(UsageError):
@@ -183,7 +183,7 @@
         if not 0 < lowest <= highest:
             self._fail("callers.patience", "the least must be above 0 and no more than the most")
         if sum(length for length, _ in clients.load_curve) > MAX_CURVE_LENGTH_RATIO * self._scenario.seconds:
-            self._fail("callers.curve", "must not be more than ten times as long as the play")
+            self._fail("callers.curve", "must not be more than ten times as long as the run")
 
     def _check_fault(self, key: str, fault: ScenarioFault) -> None:
         self._check_zone(f"{key}.zone", fault.zone)
--- a/sloeferry/rehearsal/scenario_faults.py
+++ b/sloeferry/rehearsal/scenario_faults.py
@@ -11,7 +11,7 @@
 
 
 class Fault(Table, tag_field="what"):
-    """A fault that begins at a time, in seconds from the start of the play."""
+    """A fault that begins at a time, in seconds from the start of the run."""
 
     at: NonNegative
     zone: str = ""  # the affected zone; all zones if empty
