--- a/sloeferry/decision_log/decision_log.py
+++ b/sloeferry/decision_log/decision_log.py
@@ -122,7 +122,7 @@
 
     # ExtensionPoint: it is told, and decides nothing
 
-    def rejection_delay_ms(
+    def retry_after_if_rejected_ms(
         self, now: float, request_class: Any, tenant_index: int, is_retry: bool, has_waited: bool
     ) -> float | None:
         """Rejects nothing."""
--- a/sloeferry/dispatch/dispatcher.py
+++ b/sloeferry/dispatch/dispatcher.py
@@ -54,13 +54,15 @@
 
     # Requests
 
-    def rejection_delay_ms(self, class_index: int, tenant_index: int, is_retry: bool, has_waited: bool = False) -> float | None:
+    def retry_after_if_rejected_ms(
+        self, class_index: int, tenant_index: int, is_retry: bool, has_waited: bool = False
+    ) -> float | None:
         """Return the Retry-After of a request to be rejected on arrival, or None to accept it.
 
         `has_waited`: the request has spent the longest permitted time in the admission queue.
         """
         now = environment.monotonic_ms()
-        return self.policy.rejection_delay_ms(now, class_index, tenant_index, is_retry, has_waited)
+        return self.policy.retry_after_if_rejected_ms(now, class_index, tenant_index, is_retry, has_waited)
 
     def accept_request(
         self, class_index: int, tenant_index: int, time_left_ms: float, is_retry: bool, affinity_key: Hashable = 0
@@ -125,14 +127,14 @@
         """
         if not context.is_answered and context.has_client_left and context.has_client_left():
             self.client_left(context)
-            return self.guard.record_refusal(Refusal.CLIENT_GONE)
+            return self.guard.is_allowed(Refusal.CLIENT_GONE)
         now = environment.monotonic_ms()
         refusal = self.guard.request_refusal(now, context, attempt_number)
-        return self.guard.record_refusal(refusal or self.guard.endpoint_refusal(now, endpoint_id))
+        return self.guard.is_allowed(refusal or self.guard.endpoint_refusal(now, endpoint_id))
 
     def may_begin_health_check(self, endpoint_id: EndpointId) -> bool:
         """Check safety rule 3 before a health check's first byte, since the list may have changed during the connect."""
-        return self.guard.record_refusal(self.guard.endpoint_refusal(environment.monotonic_ms(), endpoint_id))
+        return self.guard.is_allowed(self.guard.endpoint_refusal(environment.monotonic_ms(), endpoint_id))
 
     def attempt_begins(self, context: RequestContext, attempt_number: int, endpoint_id: EndpointId) -> None:
         """Have the send guard audit an attempt whose first byte is about to be written."""
@@ -210,6 +212,6 @@
 
     # For operators
 
-    def guard_figures(self) -> dict[str, Any]:
+    def guard_counters(self) -> dict[str, Any]:
         """Return the send guard's counters and the current age of the endpoint list."""
-        return self.guard.figures() | {"list": self.endpoint_events.figures()}
+        return self.guard.counters() | {"list": self.endpoint_events.staleness_report()}
--- a/sloeferry/dispatch/endpoint_events.py
+++ b/sloeferry/dispatch/endpoint_events.py
@@ -145,7 +145,7 @@
             )
             self._stale_since = None
 
-    def figures(self) -> dict[str, Any]:
+    def staleness_report(self) -> dict[str, Any]:
         """Return the usability and age of the endpoint list for operators."""
         now = environment.monotonic_ms()
         return {
--- a/sloeferry/dispatch/send_guard.py
+++ b/sloeferry/dispatch/send_guard.py
@@ -88,7 +88,7 @@
         request = self._policy.requests.by_id.get(context.request_id)
         return request is None or self._policy.rules.may_repeat(request, now, attempt_number)
 
-    def record_refusal(self, refusal: Refusal | None) -> bool:
+    def is_allowed(self, refusal: Refusal | None) -> bool:
         """Count a refusal, if there is one, and return whether there is none."""
         if refusal is None:
             return True
@@ -133,7 +133,7 @@
         self.violations[Violation.CLOSED_UNANSWERED] += 1
         logger.error("send guard violation: cause={!r} request={}", Violation.CLOSED_UNANSWERED.value, context.request_id)
 
-    def figures(self) -> dict[str, Any]:
+    def counters(self) -> dict[str, Any]:
         """Return the counters for operators."""
         return {
             "refused": {refusal.value: self.refusals[refusal] for refusal in Refusal},
--- a/sloeferry/lifecycle/proxy_process.py
+++ b/sloeferry/lifecycle/proxy_process.py
@@ -98,7 +98,7 @@
         )
         self.dispatcher.loop_monitor.catch_up = self.discovery.catch_up
         self.clients = ClientServer(loop, self.dispatcher, config, client_budget, buffers, self.attempts, tasks, self.lifecycle)
-        self.admin = AdminServer(loop, self.lifecycle, buffers, self.clients.connection_counts, self.dispatcher.guard_figures)
+        self.admin = AdminServer(loop, self.lifecycle, buffers, self.clients.connection_counts, self.dispatcher.guard_counters)
         self.reload = ConfigReload(
             config,
             environ,
@@ -169,7 +169,7 @@
             if task.done():
                 logger.error("task ended by itself: task={!r}", task)
         await self.clients.shutdown.run()
-        logger.info("shutdown ends: send_guard={}", self.dispatcher.guard_figures())
+        logger.info("shutdown ends: send_guard={}", self.dispatcher.guard_counters())
 
     def close(self) -> None:
         """Release the takeover folder and close all sockets."""
--- a/sloeferry/lifecycle/snapshot_store.py
+++ b/sloeferry/lifecycle/snapshot_store.py
@@ -53,12 +53,12 @@
 class SnapshotStore:
     """The shared folder, as one process uses it; raises OSError if the folder cannot be used."""
 
-    def __init__(self, path: str, name: str, site: str):
+    def __init__(self, path: str, name: str, indexed_names_digest: str):
         """Open the subfolder for the proxy's `name` and `site`, a digest of the lists that its settings refer to by index."""
-        digest = hashlib.sha256(f"{name} {site}".encode()).hexdigest()[:16]
+        digest = hashlib.sha256(f"{name} {indexed_names_digest}".encode()).hexdigest()[:16]
         self.path = os.path.join(path, "sloeferry-" + digest)
         self._name = name
-        self._site = site
+        self._indexed_names_digest = indexed_names_digest
         os.makedirs(self.path, exist_ok=True)
         self._process_id = secrets.token_hex(8)  # not the pid, which another container may use as well
         self.last_error: Exception | None = None  # of the last write; None if it succeeded
@@ -119,7 +119,7 @@
                 {
                     "v": FORMAT_VERSION,
                     "name": self._name,
-                    "site": self._site,
+                    "site": self._indexed_names_digest,
                     "now": now,
                     "boot": self._boot_id,
                     "known": endpoints,
@@ -149,7 +149,7 @@
         if hashlib.sha256(text).hexdigest().encode() != digest:
             raise SnapshotError("cut short or changed")
         snapshot = json.loads(text)  # the digest matches, so it is valid JSON
-        if (snapshot["v"], snapshot["name"], snapshot["site"]) != (FORMAT_VERSION, self._name, self._site):
+        if (snapshot["v"], snapshot["name"], snapshot["site"]) != (FORMAT_VERSION, self._name, self._indexed_names_digest):
             raise SnapshotError("of another version or proxy")
         if snapshot["boot"] != self._boot_id or not 0 <= now - snapshot["now"] < MAX_AGE_MS:
             raise SnapshotError("too old, or from another boot")
--- a/sloeferry/lifecycle/state.py
+++ b/sloeferry/lifecycle/state.py
@@ -4,7 +4,7 @@
 that there is a list); whether operators drain this process; whether SIGTERM was received; and the number of other processes
 that serve on the same listening socket.  Times are float milliseconds of the monotonic clock.
 
-| state | discovery settled | drained by operators | SIGTERM | beside others that serve |
+| state | first poll ended | drained by operators | SIGTERM | beside others that serve |
 | --- | --- | --- | --- | --- |
 | STARTING | no | no | no | |
 | READY | yes | no | no | |
@@ -39,7 +39,7 @@
     """Holds the inputs of the state and derives the state and its consequences."""
 
     def __init__(self):
-        self.is_discovery_settled = False
+        self.has_first_poll_ended = False
         self.is_stopping = False  # SIGTERM was received
         self._draining_since: float | None = None
         self.other_ready_processes = 0  # of this proxy, on the same listening socket
@@ -47,10 +47,10 @@
 
     # Events
 
-    def discovery_settled(self) -> None:
+    def first_poll_ended(self) -> None:
         """Record the end of the first poll, with an endpoint list or without one."""
-        if not self.is_discovery_settled:
-            self.is_discovery_settled = True
+        if not self.has_first_poll_ended:
+            self.has_first_poll_ended = True
             self._changed()
 
     def stop(self) -> None:
@@ -87,11 +87,11 @@
             return LifecycleState.REPLACED if self.other_ready_processes else LifecycleState.STOPPING
         if self._draining_since is not None:
             return LifecycleState.DRAINING if connections else LifecycleState.DRAINED
-        return LifecycleState.READY if self.is_discovery_settled else LifecycleState.STARTING
+        return LifecycleState.READY if self.has_first_poll_ended else LifecycleState.STARTING
 
     def is_ready(self) -> bool:
         """Return whether this process is ready to serve, as reported to operators."""
-        return self.is_discovery_settled and not self.closes_connections()
+        return self.has_first_poll_ended and not self.closes_connections()
 
     def reports_ready(self) -> bool:
         """Return the readiness reported to the platform.
--- a/sloeferry/lifecycle/takeover.py
+++ b/sloeferry/lifecycle/takeover.py
@@ -107,7 +107,7 @@
             await asyncio.sleep(PEER_CHECK_SECONDS)
             self.update_peers()
             now = environment.monotonic()
-            is_serving = self._lifecycle.is_discovery_settled and not self._lifecycle.is_stopping
+            is_serving = self._lifecycle.has_first_poll_ended and not self._lifecycle.is_stopping
             if now - written_at >= SNAPSHOT_INTERVAL_SECONDS and is_serving:
                 written_at = now
                 self._write_snapshot(now * 1000)
--- a/sloeferry/network/admission_queue.py
+++ b/sloeferry/network/admission_queue.py
@@ -112,7 +112,7 @@
         try:
             length = connection.sock.recv_into(buffer)
             if length and connection.reader.reject_unparsed(buffer, length, has_waited=True):
-                reply = client_replies.rejection_reply(connection.reader.rejection_delay_ms)
+                reply = client_replies.rejection_reply(connection.reader.retry_after_if_rejected_ms)
                 data = writer.response(reply.status, headers=reply.headers)
                 if connection.sock.send(data) == len(data):
                     connection.waiting_since, connection.is_new = environment.monotonic(), False
--- a/sloeferry/network/client_connection.py
+++ b/sloeferry/network/client_connection.py
@@ -77,7 +77,7 @@
         if outcome is ReadOutcome.CLOSING:
             return False
         if outcome is ReadOutcome.REJECTED:
-            return await self.reply_writer.reject(self.reader.rejection_delay_ms)
+            return await self.reply_writer.reject(self.reader.retry_after_if_rejected_ms)
         message = self.reader.take_message()
         if message is None:
             return await self.reply_writer.refuse(self._refusal_status())
@@ -85,9 +85,9 @@
         unread_ms = self.reader.take_unread_ms(message)
         if unread_ms and message.attributes and message.attributes.time_left_ms <= unread_ms:
             # Its deadline passed while the event loop was stalled: reject it, regardless of free capacity.
-            message.rejection_delay_ms = self.server.intake.rejection_delay_ms(message, has_waited=True)
-        if message.rejection_delay_ms is not None:  # it was incomplete or not in plain form, so it was parsed first
-            return await self.reply_writer.reject(message.rejection_delay_ms, self._keeps_alive(message))
+            message.retry_after_if_rejected_ms = self.server.intake.retry_after_if_rejected_ms(message, has_waited=True)
+        if message.retry_after_if_rejected_ms is not None:  # it was incomplete or not in plain form, so it was parsed first
+            return await self.reply_writer.reject(message.retry_after_if_rejected_ms, self._keeps_alive(message))
         return await self._reply(message, await self.request_runner.start(message, unread_ms))
 
     def _refusal_status(self) -> int | None:
--- a/sloeferry/network/connection_pool.py
+++ b/sloeferry/network/connection_pool.py
@@ -56,33 +56,33 @@
         else:
             self.addresses[endpoint_id] = address
 
-    async def acquire(self, endpoint_id: str, needs_settled: bool, dial_deadline: float) -> BackendConnection | AttemptEnd:
+    async def acquire(self, endpoint_id: str, must_have_been_idle: bool, dial_deadline: float) -> BackendConnection | AttemptEnd:
         """Return a connection that is ready for a request, or the reason why there is none.
 
-        `needs_settled`: the connection must have been idle for `DUPLICATE_RESPONSE_SECONDS`, so that no duplicate response is
-        still due on it.  `dial_deadline` (ms): until then, dials that fail with a local error are retried.
+        `must_have_been_idle`: the connection must have been idle for `DUPLICATE_RESPONSE_SECONDS`, so that no duplicate response
+        is still due on it.  `dial_deadline` (ms): until then, dials that fail with a local error are retried.
         """
-        return await self._take_idle(endpoint_id, needs_settled) or await self._dial(endpoint_id, dial_deadline)
+        return await self._take_idle(endpoint_id, must_have_been_idle) or await self._dial(endpoint_id, dial_deadline)
 
-    async def _take_idle(self, endpoint_id: str, needs_settled: bool) -> BackendConnection | None:
+    async def _take_idle(self, endpoint_id: str, must_have_been_idle: bool) -> BackendConnection | None:
         """Take an idle connection that is still usable; return None if there is none.
 
-        Among the settled connections the most recently used is taken, which its backend will close last.  On a connection that
-        is not settled, a late duplicate response could be taken for the next request's response, and a duplicate rejection
-        could cause a request that runs to be sent again (rules 1 and 2).  If none is settled, the oldest is waited for: a new
-        connection costs its backend more than a few ms.
+        Among the connections idle for `DUPLICATE_RESPONSE_SECONDS` the most recently used is taken, which its backend will close
+        last.  On one idle for a shorter time, a late duplicate response could be taken for the next request's response, and a
+        duplicate rejection could cause a request that runs to be sent again (rules 1 and 2).  If all were used more recently,
+        the oldest is waited for: a new connection costs its backend more than a few ms.
         """
         while idle_connections := self.idle.get(endpoint_id):
             now = environment.monotonic()
-            settled_before = now - DUPLICATE_RESPONSE_SECONDS
+            idle_before = now - DUPLICATE_RESPONSE_SECONDS
             connection = next(
-                (each for each in reversed(idle_connections) if each.idle_since <= settled_before), idle_connections[0]
+                (each for each in reversed(idle_connections) if each.idle_since <= idle_before), idle_connections[0]
             )
             if not connection.is_usable():
                 connection.close()
                 continue
             connection.mark_in_use()
-            if needs_settled and (seconds_left := connection.idle_since + DUPLICATE_RESPONSE_SECONDS - now) > 0:
+            if must_have_been_idle and (seconds_left := connection.idle_since + DUPLICATE_RESPONSE_SECONDS - now) > 0:
                 try:
                     await asyncio.sleep(seconds_left)
                 except asyncio.CancelledError:
--- a/sloeferry/network/discovery_client.py
+++ b/sloeferry/network/discovery_client.py
@@ -89,7 +89,7 @@
         self.apply_list(cached, is_cached=True)
         is_any_ready = any(each.state is EndpointState.READY for each in self.known_endpoints.values())
         if is_any_ready and not is_other_process_serving:
-            self._lifecycle.discovery_settled()
+            self._lifecycle.first_poll_ended()
 
     def update_config(self, config: InstanceConfig) -> None:
         """Apply the timeouts of a configuration, at the start and after a reload.
@@ -114,7 +114,7 @@
         The first watch starts without a command where no list is available, since no clients are sent here before there is
         one.  Where the list is pushed, a watch is always kept open.
         """
-        if self._is_pushed or not self._lifecycle.is_discovery_settled:
+        if self._is_pushed or not self._lifecycle.has_first_poll_ended:
             self._start_watch()
         while True:
             await self._host.poll_commands.next()
@@ -145,7 +145,7 @@
             return  # the watch that replaced this one reports its own result
         self.is_watching = False
         self.use_cached_list()
-        self._lifecycle.discovery_settled()
+        self._lifecycle.first_poll_ended()
         has_watch_ended = watch.phase is PollPhase.WATCHING and watch.silent_since is None
         self.events.watch_unavailable(has_watch_ended)
         if self._is_pushed:  # reconnect even if the former watch is open: it knows nothing of the new discovery address
@@ -175,7 +175,7 @@
         if self._fallback_list:
             self.apply_list(self._fallback_list, is_cached=True)
         if self.known_endpoints:
-            self._lifecycle.discovery_settled()
+            self._lifecycle.first_poll_ended()
 
     def update_address(self, address: Address) -> None:
         """Poll the complete list at discovery's new address, since revisions are valid for one discovery service only."""
@@ -271,7 +271,7 @@
         if self._former_watch:
             self._former_watch.cancel()
         self._former_watch, self.is_watching = None, True
-        self._lifecycle.discovery_settled()
+        self._lifecycle.first_poll_ended()
 
 
 def _log_list(poll: int, revision: int, is_complete: bool, endpoints: Mapping[str, ListedEndpoint]) -> None:
--- a/sloeferry/network/exchange.py
+++ b/sloeferry/network/exchange.py
@@ -45,7 +45,7 @@
     on_first_byte: Callable[[], None] | None = None  # called right before the first byte is written
     body: RequestBodyStream | None = None  # a body of which `make_request` contains only the first part
     attempt_number: int = 0
-    needs_settled: bool = False  # see `ConnectionPool.acquire`
+    must_have_been_idle: bool = False  # see `ConnectionPool.acquire`
     dial_deadline: float = 0.0  # until then, dials that fail with a local error are retried
 
 
@@ -91,7 +91,7 @@
     async def _begin(self) -> bool:
         """Connect, and return whether the request may be written."""
         plan = self._plan
-        connection = await self._pool.acquire(plan.endpoint_id, plan.needs_settled, plan.dial_deadline)
+        connection = await self._pool.acquire(plan.endpoint_id, plan.must_have_been_idle, plan.dial_deadline)
         if isinstance(connection, AttemptEnd):
             self._end = connection
             return False
--- a/sloeferry/network/http1/message.py
+++ b/sloeferry/network/http1/message.py
@@ -52,7 +52,7 @@
         "completed_at",
         "is_streamed",
         "attributes",
-        "rejection_delay_ms",
+        "retry_after_if_rejected_ms",
         "body_stream",
     )
 
@@ -73,7 +73,7 @@
         self.completed_at = 0.0  # seconds, monotonic
         self.is_streamed = False  # the body is streamed: at its end the message is not added to those completed
         self.attributes: RequestAttributes | None = None  # of a client's request; None for one to /ready
-        self.rejection_delay_ms: float | None = None  # Retry-After if rejected before acceptance; None: not rejected
+        self.retry_after_if_rejected_ms: float | None = None  # Retry-After if rejected before acceptance; None: not rejected
         self.body_stream: ResponseBodyStream | None = None  # of a response whose body is incomplete
 
     def header(self, name: bytes) -> bytes | None:
--- a/sloeferry/network/request_intake.py
+++ b/sloeferry/network/request_intake.py
@@ -78,14 +78,14 @@
         rejected without having been sent, so the client may retry it (safety rule 2).
         """
         if message.attributes and not self.accepts_head(message):
-            message.rejection_delay_ms = message.attributes.time_left_ms if self._sends_retry_after else 0.0
+            message.retry_after_if_rejected_ms = message.attributes.time_left_ms if self._sends_retry_after else 0.0
 
     # Heads
 
     def accepts_head(self, message: Message) -> bool:
         """Return whether a head is that of a valid request or of one to /ready.
 
-        Sets the message's `attributes` and, during load shedding, its `rejection_delay_ms`.
+        Sets the message's `attributes` and, during load shedding, its `retry_after_if_rejected_ms`.
         """
         was_admitted, self._was_admitted_unparsed = self._was_admitted_unparsed, False
         if message.method not in METHODS:
@@ -99,7 +99,7 @@
             return False
         message.attributes = attributes
         if not was_admitted and self._dispatcher.overload.is_shedding() and not self._lifecycle.is_stopping:
-            message.rejection_delay_ms = self.rejection_delay_ms(message)
+            message.retry_after_if_rejected_ms = self.retry_after_if_rejected_ms(message)
         return True
 
     def _attributes(self, headers: Mapping[bytes, bytes | None]) -> RequestAttributes | None:
@@ -119,13 +119,13 @@
 
     # Rejections
 
-    def rejection_delay_ms(self, message: Message, has_waited: bool = False) -> float | None:
+    def retry_after_if_rejected_ms(self, message: Message, has_waited: bool = False) -> float | None:
         """Return the Retry-After with which a request is rejected before it is accepted; None if it is not rejected."""
         class_index, tenant_index, _ = message.attributes
         is_retry = message.header(protocol.IS_RETRY) == protocol.TRUE
-        return self._dispatcher.rejection_delay_ms(class_index, tenant_index, is_retry, has_waited)
+        return self._dispatcher.retry_after_if_rejected_ms(class_index, tenant_index, is_retry, has_waited)
 
-    def unparsed_rejection_delay_ms(self, buffer: bytearray, length: int, has_waited: bool = False) -> float | None:
+    def retry_after_if_rejected_unparsed_ms(self, buffer: bytearray, length: int, has_waited: bool = False) -> float | None:
         """Return the Retry-After with which unparsed bytes are rejected; None if they have to be parsed.
 
         Only one complete plain request can be rejected unparsed, and only during load shedding.
@@ -140,7 +140,7 @@
         if class_index is None or tenant_index is None or not headers.get(protocol.TIME_LEFT_MS, b"").isdigit():
             return None
         is_retry = headers.get(protocol.IS_RETRY) == protocol.TRUE
-        delay_ms = self._dispatcher.rejection_delay_ms(class_index, tenant_index, is_retry, has_waited)
+        delay_ms = self._dispatcher.retry_after_if_rejected_ms(class_index, tenant_index, is_retry, has_waited)
         if delay_ms is None:
             self._was_admitted_unparsed = True
         return delay_ms
--- a/sloeferry/network/request_reader.py
+++ b/sloeferry/network/request_reader.py
@@ -39,7 +39,7 @@
         )
         self.is_reading = False
         self._is_overdue = False
-        self.rejection_delay_ms = 0.0  # of the last request that was rejected unparsed
+        self.retry_after_if_rejected_ms = 0.0  # of the last request that was rejected unparsed
         self.queued_since_ms: float | None = None  # earliest time from which it may have waited to be accepted
         self.unread_ms = 0.0  # how long its bytes were unread while the event loop was stalled
         self.receiving_body_since: float | None = None  # seconds; the sweeper checks the read timeout against it
@@ -122,10 +122,10 @@
 
         A plain request that has waited too long (`has_waited`) is always rejected.
         """
-        delay_ms = self._server.intake.unparsed_rejection_delay_ms(buffer, length, has_waited)
+        delay_ms = self._server.intake.retry_after_if_rejected_unparsed_ms(buffer, length, has_waited)
         if delay_ms is None:
             return False
-        self.rejection_delay_ms = delay_ms
+        self.retry_after_if_rejected_ms = delay_ms
         return True
 
     def time_out(self) -> None:
--- a/sloeferry/policy/admission.py
+++ b/sloeferry/policy/admission.py
@@ -45,7 +45,7 @@
         self._arrivals = models.arrivals
         self._load_refresher = load_refresher
         reporting = models.reporting
-        self._has_health_check_reports = bool(reporting.health_checks_per_request) or reporting.comes_with_health_checks
+        self._has_health_check_reports = bool(reporting.health_checks_per_request) or reporting.reports_only_with_health_checks
         self._max_lateness_ms = models.check_timeout_ms / 2
         self.held: list[Request] = []
         self._is_review_scheduled = False
@@ -125,8 +125,8 @@
         """Give up the last requests beyond what the endpoints complete while a request may be held, by Little's law."""
         in_flight = sum(endpoint.own_in_flight for endpoint in self._table.active.values()) if still_held else 0
         while len(still_held) > 1:
-            last = still_held[-1].request_class
-            if len(still_held) <= 1 + in_flight * last.objective_ms / 4 / last.typical_latency_ms():
+            last_class = still_held[-1].request_class
+            if len(still_held) <= 1 + in_flight * last_class.objective_ms / 4 / last_class.typical_latency_ms():
                 return
             self._requests.give_up(still_held.pop())
 
--- a/sloeferry/policy/attempt_feedback.py
+++ b/sloeferry/policy/attempt_feedback.py
@@ -68,9 +68,9 @@
         endpoint, request_class = attempt.endpoint, request.request_class
         is_slow = took_ms > attempt.expected_ms and endpoint.path_quality == 1.0
         # An endpoint that answers no health check loses the attempts of all classes, not of this one alone.
-        is_unresponsive = bool(endpoint.health_checks_in_flight) and self._outliers.is_silent(endpoint, now)
+        is_check_unanswered = bool(endpoint.health_checks_in_flight) and self._outliers.is_unresponsive(endpoint, now)
         is_class_lost = request_class in endpoint.class_ejections or self._attribution.is_loss_likely(request_class, endpoint)
-        if is_slow and not is_unresponsive and is_class_lost:
+        if is_slow and not is_check_unanswered and is_class_lost:
             endpoint.eject_for(request_class, now, REPORT_MAX_AGE_MS)  # for this class alone: the endpoint may serve others
         elif is_slow and not (self._rules.may_hedge and attempt.is_overtaken()):
             self._latency.learn(request, attempt, took_ms * GIVEN_UP_LATENCY_MULTIPLE, now, self._table.ready, outcome)
@@ -78,7 +78,7 @@
             endpoint.counted_in_flight_until.append(now + took_ms)
         is_timed_out = outcome is AttemptOutcome.TIMED_OUT
         is_very_late = is_timed_out and took_ms > VERY_LATE_MULTIPLE * attempt.expected_ms
-        is_outlier = self._reporting.is_report_age_unknown and is_very_late or self._outliers.is_silent(endpoint, now)
+        is_outlier = self._reporting.is_report_age_unknown and is_very_late or self._outliers.is_unresponsive(endpoint, now)
         if is_outlier and not (request.is_at_fault() or endpoint.is_ejected_for(request_class, now)):
             self._outliers.record_failure(endpoint, now)
 
@@ -98,7 +98,7 @@
         del endpoint.health_checks_in_flight[:1]
         is_served = outcome is AttemptOutcome.SERVED
         is_informative = outcome not in UNINFORMATIVE_OUTCOMES
-        if self._reporting.comes_with_health_checks and is_informative:
+        if self._reporting.reports_only_with_health_checks and is_informative:
             # Tracked separately from attempts: health checks may succeed on a path where attempts are lost.
             self._table.health_check_trackers[endpoint.zone].record(now, is_served)
         if is_served:
--- a/sloeferry/policy/candidates.py
+++ b/sloeferry/policy/candidates.py
@@ -55,18 +55,18 @@
         if now < table.candidates_chosen_at + self._refresh_ms:
             return self.all
         elapsed_ms, table.candidates_chosen_at = now - table.candidates_chosen_at, now
-        listed = table.ready if self._staleness.is_usable(now) else []
+        usable = table.ready if self._staleness.is_usable(now) else []
         table.drop_inactive(now, REPORT_MAX_AGE_MS)
-        self.ejected_endpoint_ids = self._outliers.ejected_endpoint_ids(now, len(listed))
-        sample = self._rng.sample(listed, min(len(listed), INACTIVE_SAMPLE_SIZE))
+        self.ejected_endpoint_ids = self._outliers.ejected_endpoint_ids(now, len(usable))
+        sample = self._rng.sample(usable, min(len(usable), INACTIVE_SAMPLE_SIZE))
         active = [
             endpoint
             for endpoint in table.active.values()
-            if endpoint.state is EndpointState.READY and endpoint.endpoint_id not in self.ejected_endpoint_ids and listed
+            if endpoint.state is EndpointState.READY and endpoint.endpoint_id not in self.ejected_endpoint_ids and usable
         ]
         self.all = active + [endpoint for endpoint in sample if endpoint.endpoint_id not in table.active]
         self._attribution.review(now, self.all)
         self.local = [endpoint for endpoint in self.all if endpoint.zone == self.local_zone]
         self.remote = [endpoint for endpoint in self.all if endpoint.zone != self.local_zone]
-        self._load.refresh(now, elapsed_ms, self.all, len(listed))
+        self._load.refresh(now, elapsed_ms, self.all, len(usable))
         return self.all
--- a/sloeferry/policy/endpoint_polling.py
+++ b/sloeferry/policy/endpoint_polling.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from sloeferry.config.settings import Settings
-from sloeferry.policy.endpoint_staleness import SHORT_WATCH_MS, ListStaleness, StalenessLimits
+from sloeferry.policy.endpoint_staleness import MAX_GAPLESS_MS, ListStaleness, StalenessLimits
 from sloeferry.policy.fleet import FleetShare
 from sloeferry.policy.interface import ListScope, PolicyHost
 from sloeferry.policy.timers import Timers
@@ -71,12 +71,12 @@
             self._failures, self._watch_list_at = 0, self._watch_list_at or now
             self.staleness.poll_succeeded(now)
             return
-        self.staleness.poll_unanswered(now)
+        self.staleness.list_unavailable(now)
         watch_lasted_ms = now - self._watch_list_at if self._watch_list_at is not None else 0.0
         self._watch_list_at = None
-        if scope is ListScope.WATCH_ENDED and watch_lasted_ms >= SHORT_WATCH_MS:
+        if scope is ListScope.WATCH_ENDED and watch_lasted_ms >= MAX_GAPLESS_MS:
             # The list may have changed meanwhile, and a poll soon shows whether discovery is reachable.
-            self._timers.schedule(now + self._rng.random() * SHORT_WATCH_MS / 2, self._poll)
+            self._timers.schedule(now + self._rng.random() * MAX_GAPLESS_MS / 2, self._poll)
             return
         self._failures = min(self._failures + 1, MAX_BACKOFF_DOUBLINGS)
         self._timers.schedule(now + self._backoff_ms() * (0.5 + self._rng.random()), self._poll)
--- a/sloeferry/policy/endpoint_selection.py
+++ b/sloeferry/policy/endpoint_selection.py
@@ -101,7 +101,7 @@
         saved_cost = QUEUE_POSITION_COST * saved_positions if self._is_report_age_unknown and saved_positions < inf else 0.0
         return (self._cross_zone_cost - saved_cost) * self._classes.mean_weight
 
-    def must_send_without_reports(self) -> bool:
+    def may_send_uninformed(self) -> bool:
         """Return whether requests arrive too fast for health checks and too few are in flight to bring load reports."""
         return self._arrivals.is_faster_than_health_checks() and self.load.may_send_without_reports(self.candidates.all)
 
@@ -110,7 +110,7 @@
 
         Requests that trigger health checks skip them, unless only the requests themselves can bring load reports.
         """
-        return not self.must_send_without_reports() and self.checks_load_per_request
+        return not self.may_send_uninformed() and self.checks_load_per_request
 
 
 class _Search:
--- a/sloeferry/policy/endpoint_staleness.py
+++ b/sloeferry/policy/endpoint_staleness.py
@@ -20,7 +20,7 @@
 ENDED_WATCH_NOTIFICATION_LIMIT_MS = 2000.0  # the same for a change that ended a watch instead of being sent on it
 WATCH_DELAY_MS = NOTIFICATION_LIMIT_MS / 15  # a message on a watch may miss changes made up to this long before it
 # A poll this soon after the end of a watch or of a failed poll leaves no gap in which a change could be missed.
-SHORT_WATCH_MS = NOTIFICATION_LIMIT_MS / 24
+MAX_GAPLESS_MS = NOTIFICATION_LIMIT_MS / 24
 FAILED_POLL_FACTOR = 4  # multiple of the settings' age limit that holds after a failed poll
 
 
@@ -95,7 +95,7 @@
         self.trusted_until = max(self.trusted_until, at - WATCH_DELAY_MS)
         self.cause = StalenessCause.WATCHED
         self.usable_until = self.trusted_until + self.limits.notification_limit_ms
-        self._may_be_outage, self._outage_gap_ms, self.is_watch_overdue = True, SHORT_WATCH_MS, False
+        self._may_be_outage, self._outage_gap_ms, self.is_watch_overdue = True, MAX_GAPLESS_MS, False
 
     def poll_began(self, now: float) -> None:
         """Record the start of a poll, from which the limit of the settings runs in the simulator, where it is the only one."""
@@ -107,7 +107,7 @@
         if not self._is_on_sockets:
             self.trusted_until, self.cause, self.usable_until = now, StalenessCause.WATCHED, inf
 
-    def poll_unanswered(self, now: float) -> None:
+    def list_unavailable(self, now: float) -> None:
         """Record a failed poll.  Has an effect in the simulator alone: on sockets the events below are more precise."""
         if not self._is_on_sockets:
             self.cause = StalenessCause.POLL_FAILED
--- a/sloeferry/policy/extension_points.py
+++ b/sloeferry/policy/extension_points.py
@@ -19,12 +19,12 @@
         """Install an extension point; it is called after those installed earlier."""
         self._installed.append(extension)
 
-    def rejection_delay_ms(
+    def retry_after_if_rejected_ms(
         self, now: float, request_class: Any, tenant_index: int, is_retry: bool, has_waited: bool
     ) -> float | None:
         """Return the Retry-After of the first extension point that rejects the request, or None."""
         for extension in self._installed:
-            delay_ms = extension.rejection_delay_ms(now, request_class, tenant_index, is_retry, has_waited)
+            delay_ms = extension.retry_after_if_rejected_ms(now, request_class, tenant_index, is_retry, has_waited)
             if delay_ms is not None:
                 return delay_ms
         return None
--- a/sloeferry/policy/fault_attribution.py
+++ b/sloeferry/policy/fault_attribution.py
@@ -88,7 +88,7 @@
         for each in all_trackers:  # the late attempts that this kind caused don't count against the others
             if not each.is_at_fault:
                 each.rate = max(each.rate, MIN_RATE_AFTER_FAULT)
-            each.uncounted_attempts.clear()
+            each.attempts_to_count.clear()
         if self._may_cancel:
             for attempt in kind.open_attempts:
                 request = attempt.request
--- a/sloeferry/policy/health_checks.py
+++ b/sloeferry/policy/health_checks.py
@@ -59,7 +59,7 @@
         In the second case each endpoint is checked once a second, or more often as far as `PERIODIC_CHECK_COST_RATIO` allows.
         """
         interval_ms = CHECK_INTERVAL_MS
-        if self._reporting.comes_with_health_checks:
+        if self._reporting.reports_only_with_health_checks:
             ready = self._table.ready
             affordable_ms = len(ready) * self._cost / PERIODIC_CHECK_COST_RATIO * self._arrivals.mean_gap_ms
             interval_ms = min(interval_ms, max(interval_ms * MIN_INTERVAL_RATIO, affordable_ms))
--- a/sloeferry/policy/interface.py
+++ b/sloeferry/policy/interface.py
@@ -157,7 +157,7 @@
     def update_settings(self, settings: Settings) -> None:
         """Apply other settings from now on."""
 
-    def rejection_delay_ms(
+    def retry_after_if_rejected_ms(
         self, now: float, class_index: int, tenant_index: int, is_retry: bool, has_waited: bool
     ) -> float | None:
         """Return None if a request may be accepted, or else the Retry-After of its rejection."""
@@ -214,7 +214,7 @@
 class ExtensionPoint(Protocol):
     """Another subsystem's part in the policy's decisions, free of I/O; the host installs it in `Policy.extensions`."""
 
-    def rejection_delay_ms(
+    def retry_after_if_rejected_ms(
         self, now: float, request_class: "RequestClass", tenant_index: int, is_retry: bool, has_waited: bool
     ) -> float | None:
         """Return None if a request may be accepted, or else the Retry-After of its rejection.
--- a/sloeferry/policy/load_reporting.py
+++ b/sloeferry/policy/load_reporting.py
@@ -18,7 +18,7 @@
 
     in_flight_index: int | None  # field of a report with the requests in flight; None where there is none
     may_health_check: bool
-    comes_with_health_checks: bool  # load reports come with health checks alone
+    reports_only_with_health_checks: bool  # load reports come with health checks alone
     # Load reports come with responses and endpoints can't be health-checked, so that a report may be of any age.
     is_report_age_unknown: bool
     health_checks_per_request: int  # maximum before an endpoint is selected; 0: none are sent for requests
@@ -34,7 +34,7 @@
         return cls(
             in_flight_index=fields.index(IN_FLIGHT_FIELD) if IN_FLIGHT_FIELD in fields else None,
             may_health_check=may_health_check,
-            comes_with_health_checks=reports.has_health_check_reports,
+            reports_only_with_health_checks=reports.has_health_check_reports,
             is_report_age_unknown=reports.has_response_reports and not may_health_check,
             health_checks_per_request=max_checks if reports.has_response_reports and may_health_check else 0,
         )
--- a/sloeferry/policy/outlier_detection.py
+++ b/sloeferry/policy/outlier_detection.py
@@ -26,7 +26,7 @@
 RECOVERY_SMOOTHING_REQUESTS = 8  # failed requests over which the ratio of those that another endpoint served is averaged
 HIGH_RECOVERY_RATIO = 0.5
 # An attempt that failed counts as in flight for this multiple of the typical latency.
-ABANDONED_LATENCY_MULTIPLE = 4
+FAILED_LATENCY_MULTIPLE = 4
 LATENESS_MULTIPLE = 4  # of the host's lateness: a late host reads the answers to health checks late, too
 
 
@@ -58,7 +58,7 @@
         is_unreachable = outcome is AttemptOutcome.UNREACHABLE
         self.unreachable_rate += opened_connection * (is_unreachable - self.unreachable_rate) / ERROR_SMOOTHING_ATTEMPTS
 
-    def is_silent(self, endpoint: Endpoint, now: float) -> bool:
+    def is_unresponsive(self, endpoint: Endpoint, now: float) -> bool:
         """Return whether the endpoint is unresponsive.
 
         Where health checks are sent regularly, one is unanswered past its timeout.  Elsewhere, nothing was received from the
@@ -66,21 +66,21 @@
         """
         # A proxy with one request a second receives nothing but the responses to its own long requests: the time between them
         # doesn't show that an endpoint is unresponsive, so that health checks decide where there are any.
-        if self._reporting.may_health_check and not self._reporting.comes_with_health_checks:
+        if self._reporting.may_health_check and not self._reporting.reports_only_with_health_checks:
             sent = endpoint.health_checks_in_flight
             timeout_ms = max(self._check_timeout_ms, LATENESS_MULTIPLE * self._timers.lateness_ms)
             return bool(sent) and now - sent[0] > timeout_ms
         since = endpoint.unanswered_since
         return since is not None and now - since > self._latency.longest_ms
 
-    def ejected_endpoint_ids(self, now: float, listed_count: int) -> Collection[EndpointId]:
+    def ejected_endpoint_ids(self, now: float, ready_count: int) -> Collection[EndpointId]:
         """Return the endpoints that get no attempts now; none where that would be half of the listed ones or more."""
         ejected = {
             endpoint.endpoint_id
             for endpoint in self._table.active.values()
-            if endpoint.state is EndpointState.READY and (endpoint.ejected_until > now or self.is_silent(endpoint, now))
+            if endpoint.state is EndpointState.READY and (endpoint.ejected_until > now or self.is_unresponsive(endpoint, now))
         }
-        return ejected if len(ejected) < MAX_EJECTED_RATIO * listed_count else ()
+        return ejected if len(ejected) < MAX_EJECTED_RATIO * ready_count else ()
 
     def record_failure(self, endpoint: Endpoint, now: float) -> None:
         """Record an error, a refused connection or a missing response, and eject the endpoint if due."""
@@ -121,4 +121,4 @@
 
     def count_as_in_flight(self, request: Request, endpoint: Endpoint, now: float) -> None:
         """Keep counting a failed attempt as in flight for a while: fast errors must not make an endpoint look idle."""
-        endpoint.counted_in_flight_until.append(now + ABANDONED_LATENCY_MULTIPLE * request.typical_latency_ms())
+        endpoint.counted_in_flight_until.append(now + FAILED_LATENCY_MULTIPLE * request.typical_latency_ms())
--- a/sloeferry/policy/overload_control.py
+++ b/sloeferry/policy/overload_control.py
@@ -133,7 +133,7 @@
         """Return whether requests may have to wait, or be rejected, now."""
         return self.concurrency_limit < inf or self.is_stalled
 
-    def rejection_delay_ms(
+    def retry_after_if_rejected_ms(
         self, now: float, request_class: Any, tenant_index: int, is_retry: bool, has_waited: bool
     ) -> float | None:
         """Return the Retry-After of a request that is rejected before it is accepted, or None (`ExtensionPoint`)."""
--- a/sloeferry/policy/policy.py
+++ b/sloeferry/policy/policy.py
@@ -121,12 +121,12 @@
 
     # Requests
 
-    def rejection_delay_ms(
+    def retry_after_if_rejected_ms(
         self, now: float, class_index: int, tenant_index: int, is_retry: bool, has_waited: bool
     ) -> float | None:
         """Return None if a request may be accepted, or else the Retry-After of its rejection."""
         request_class = self.classes.all[class_index]
-        delay_ms = self.extensions.rejection_delay_ms(now, request_class, tenant_index, is_retry, has_waited)
+        delay_ms = self.extensions.retry_after_if_rejected_ms(now, request_class, tenant_index, is_retry, has_waited)
         if delay_ms is not None:
             self.arrivals.record_arrival(now)
         return delay_ms
--- a/sloeferry/policy/retry_policy.py
+++ b/sloeferry/policy/retry_policy.py
@@ -87,11 +87,11 @@
         if not is_lost and may_hedge and now < wait_ends:
             self._timers.schedule(wait_ends, self._review, request, attempt)
             return
-        if not (is_lost or self._reporting.comes_with_health_checks or was_checked):
+        if not (is_lost or self._reporting.reports_only_with_health_checks or was_checked):
             self._health_checks.send(endpoint, now)
             self._timers.schedule(now + self._check_timeout_ms + self._tick_ms, self._review, request, attempt, True)
             return
-        is_lost = is_lost or self._outliers.is_silent(endpoint, now)
+        is_lost = is_lost or self._outliers.is_unresponsive(endpoint, now)
         if is_lost and self._replace(request, attempt, now):
             return
         next_review = now + request.request_class.typical_latency_ms() / REVIEWS_PER_TYPICAL_LATENCY
--- a/sloeferry/policy/success_rate.py
+++ b/sloeferry/policy/success_rate.py
@@ -20,7 +20,7 @@
         self.rate = 1.0  # exponential moving average
         self.last_recorded_at = -inf  # ms
         self.open_attempts: dict[Attempt, bool] = {}
-        self.uncounted_attempts: dict[Attempt, bool] = {}  # open attempts that will count, oldest first
+        self.attempts_to_count: dict[Attempt, bool] = {}  # open attempts that will count, oldest first
         self.is_at_fault = False  # late at all endpoints, therefore limited to one attempt at a time
         self.was_last_late = False
         self.relative_rate = 1.0  # relative to the best rate in its group
@@ -42,18 +42,18 @@
         """Record the start of an attempt; `is_counted` tells whether its end will count."""
         self.open_attempts[attempt] = True
         if is_counted:
-            self.uncounted_attempts[attempt] = True
+            self.attempts_to_count[attempt] = True
 
     def attempt_ended(self, now: float, attempt: "Attempt", in_time: bool | None) -> None:
         """Record the end of an attempt; `in_time` is None where the end says nothing about lateness."""
         self.open_attempts.pop(attempt, None)
-        if self.uncounted_attempts.pop(attempt, False) and in_time is not None:
+        if self.attempts_to_count.pop(attempt, False) and in_time is not None:
             self.record(now, in_time)
 
     def count_overdue(self, now: float) -> None:
         """Count the attempts that are overdue by now as not answered in time."""
-        while self.uncounted_attempts and now > (oldest := next(iter(self.uncounted_attempts))).overdue_at:
-            del self.uncounted_attempts[oldest]
+        while self.attempts_to_count and now > (oldest := next(iter(self.attempts_to_count))).overdue_at:
+            del self.attempts_to_count[oldest]
             self.record(now, 0.0)
 
 
--- a/tests/dispatch/test_send_guard.py
+++ b/tests/dispatch/test_send_guard.py
@@ -45,10 +45,10 @@
     stale = recorder.policy.polling.staleness.usable_until + 1
     assert guard.endpoint_refusal(stale, "b") == Refusal.LIST_STALE
     for cause in Refusal:
-        assert not guard.record_refusal(cause)
-    assert guard.record_refusal(None)
-    assert guard.figures()["refused"] == {cause.value: 1 for cause in Refusal}
-    assert guard.figures()["refused_stale"] == {"watched": 1}
+        assert not guard.is_allowed(cause)
+    assert guard.is_allowed(None)
+    assert guard.counters()["refused"] == {cause.value: 1 for cause in Refusal}
+    assert guard.counters()["refused_stale"] == {"watched": 1}
 
 
 def test_non_idempotent_request_that_may_have_run_is_not_repeated(recorder: PolicyRecorder, guard: SendGuard):
@@ -74,7 +74,7 @@
         assert guard.audit_attempt(at, request, 0, endpoint_id) == violation
     guard.endpoint_listed(2000.0, "a", True)
     assert guard.audit_attempt(900.0, context(), 0, "a") is None
-    assert sum(guard.figures()["violations"].values()) == 4
+    assert sum(guard.counters()["violations"].values()) == 4
 
 
 def test_oldest_leaving_endpoints_are_forgotten(guard: SendGuard):
--- a/tests/lifecycle/test_state.py
+++ b/tests/lifecycle/test_state.py
@@ -23,7 +23,7 @@
 
 
 EVENTS: Mapping[str, Event] = {
-    "list": Lifecycle.discovery_settled,
+    "list": Lifecycle.first_poll_ended,
     "quiesce": lambda lifecycle: lifecycle.drain(0.0),
     "resume": Lifecycle.resume,
     "sigterm": Lifecycle.stop,
--- a/tests/network/test_admission_queue.py
+++ b/tests/network/test_admission_queue.py
@@ -49,7 +49,7 @@
         self.is_in_queue_epoll = False
         self.waiting_since = 0.0
         self.is_new = True
-        self.reader = types.SimpleNamespace(rejection_delay_ms=5.0, reject_unparsed=self._reject_unparsed)
+        self.reader = types.SimpleNamespace(retry_after_if_rejected_ms=5.0, reject_unparsed=self._reject_unparsed)
         self.own_end, self.client_end = socket.socketpair()
         self.own_end.setblocking(False)
         self._calls = calls
--- a/tests/network/test_http1.py
+++ b/tests/network/test_http1.py
@@ -210,7 +210,7 @@
 def shedding_intake() -> RequestIntake:
     """Return a request intake during load shedding."""
     overload = types.SimpleNamespace(is_shedding=lambda: True)
-    dispatcher = types.SimpleNamespace(overload=overload, rejection_delay_ms=lambda *_: 5.0)
+    dispatcher = types.SimpleNamespace(overload=overload, retry_after_if_rejected_ms=lambda *_: 5.0)
     names = {"schemes.count": 1, "schemes.0.name": "safe", "tenants.count": 1, "tenants.0.name": "acme"}
     return RequestIntake(dispatcher, types.SimpleNamespace(is_stopping=False), build_settings(names))
 
@@ -220,7 +220,7 @@
 def test_rejected_unparsed_is_one_complete_request(seed: int):
     """Bytes that are rejected unparsed are exactly one complete request to the parser."""
     text = draw_plain_request(random.Random(seed))
-    if shedding_intake().unparsed_rejection_delay_ms(bytearray(text), len(text)) is not None:
+    if shedding_intake().retry_after_if_rejected_unparsed_ms(bytearray(text), len(text)) is not None:
         framing = MessageFraming(False)
         framing.feed(text, len(text))
         assert (len(framing.completed), framing.has_begun, framing.fault) == (1, False, None)
--- a/tests/network/test_load_shedding.py
+++ b/tests/network/test_load_shedding.py
@@ -21,7 +21,7 @@
             mock.patch.object(OverloadController, "available_slots", lambda self: 1),
         ):
             kept = await harness.connect()
-            with mock.patch.object(OverloadController, "rejection_delay_ms", lambda *_: 250.0):
+            with mock.patch.object(OverloadController, "retry_after_if_rejected_ms", lambda *_: 250.0):
                 await harness.request("safe", connection=kept)
                 await harness.request("once", "a body", kept)
                 in_pieces = await harness.connect()
--- a/tests/policy/test_endpoint_staleness.py
+++ b/tests/policy/test_endpoint_staleness.py
@@ -8,8 +8,8 @@
 
 from sloeferry.policy.endpoint_staleness import (
     ENDED_WATCH_NOTIFICATION_LIMIT_MS,
+    MAX_GAPLESS_MS,
     NOTIFICATION_LIMIT_MS,
-    SHORT_WATCH_MS,
     SOCKET_LIMITS,
     WATCH_DELAY_MS,
     ListStaleness,
@@ -107,7 +107,7 @@
     """A change may have been missed between the watch's end and the first poll, so that no outage is assumed."""
     staleness = staleness_of_watched_list()
     staleness.watch_ended(10000.0)
-    staleness.poll_failed(11500.0, PollEnd.UNANSWERED, 10000.0 + SHORT_WATCH_MS + 1, 10000.0 + SHORT_WATCH_MS + 1)
+    staleness.poll_failed(11500.0, PollEnd.UNANSWERED, 10000.0 + MAX_GAPLESS_MS + 1, 10000.0 + MAX_GAPLESS_MS + 1)
     assert staleness.usable_until == TRUSTED_UNTIL + NOTIFICATION_LIMIT_MS
 
 
@@ -164,7 +164,7 @@
     staleness = ListStaleness(0.0, POLL_WITHIN_MS, True, StalenessLimits())
     staleness.poll_began(100.0)
     assert staleness.usable_until == 100.0 + POLL_WITHIN_MS
-    staleness.poll_unanswered(200.0)
+    staleness.list_unavailable(200.0)
     assert staleness.usable_until == 200.0 + 4 * POLL_WITHIN_MS
     staleness.poll_succeeded(300.0)
     assert staleness.usable_until == math.inf
--- a/tests/policy/test_overload_control.py
+++ b/tests/policy/test_overload_control.py
@@ -85,7 +85,7 @@
     request_id = 0
     for tenant_index in (1, 0):
         accepted = 0
-        while controller.rejection_delay_ms(now, classes[0], tenant_index, False, False) is None:
+        while controller.retry_after_if_rejected_ms(now, classes[0], tenant_index, False, False) is None:
             request_id += 1
             accepted += 1
             controller.request_accepted(now, Request(request_id, classes[0], now, 900.0, tenant_index))
@@ -93,7 +93,7 @@
             f"bound {controller.concurrency_limit:.0f}: customer {tenant_index} gets {accepted}, open {controller.open_requests}"
         )
     for name, class_index, is_retry in (("usual", 0, False), ("best gain", 2, False), ("best gain again", 2, True)):
-        delay_ms = controller.rejection_delay_ms(now, classes[class_index], 0, is_retry, False)
+        delay_ms = controller.retry_after_if_rejected_ms(now, classes[class_index], 0, is_retry, False)
         lines.append(f"{name}: {'outside' if delay_ms else 'in'}")
     golden.check(lines, "overload_tenant_quota")
 
@@ -152,7 +152,7 @@
 
 def check_rejections(controller: OverloadController, now: float, classes: list[RequestClass], tenant_index: int) -> None:
     """Check which request classes the controller would reject now."""
-    delays_ms = [controller.rejection_delay_ms(now, each, tenant_index, False, False) for each in classes]
+    delays_ms = [controller.retry_after_if_rejected_ms(now, each, tenant_index, False, False) for each in classes]
     if not controller.is_shedding():
         assert delays_ms == [None] * 3
     assert all(delay_ms is None or delay_ms >= 0 for delay_ms in delays_ms)
