--- a/sloeferry/config/instance.py
+++ b/sloeferry/config/instance.py
@@ -124,7 +124,7 @@
     memory_mb = limits.get("memory_mb", DEFAULT_MEMORY_MB)
     is_number = isinstance(memory_mb, (int, float)) and not isinstance(memory_mb, bool)
     if not is_number or not MIN_MEMORY_MB <= memory_mb < MAX_MEMORY_MB:
-        raise ConfigError("limits.memory_mb", f"{memory_mb!r} is not a number from {MIN_MEMORY_MB} up")
+        raise ConfigError("limits.memory_mb", f"{memory_mb!r} is not a number from {MIN_MEMORY_MB} up, or is too large")
     return descriptors, memory_mb
 
 
--- a/sloeferry/dispatch/dispatcher.py
+++ b/sloeferry/dispatch/dispatcher.py
@@ -57,7 +57,7 @@
     def retry_after_if_rejected_ms(
         self, class_index: int, tenant_index: int, is_retry: bool, has_waited: bool = False
     ) -> float | None:
-        """Return the Retry-After of a request to be rejected on arrival, or None to accept it.
+        """Return the Retry-After of a request to be rejected on arrival (0.0: rejected without one), or None to accept it.
 
         `has_waited`: the request has spent the longest permitted time in the admission queue.
         """
@@ -94,7 +94,10 @@
         context.deadline = environment.monotonic_ms() + time_left_ms
 
     def client_left(self, context: RequestContext) -> None:
-        """End a request without a decision of the policy: the client has disconnected, or no decision was made in time."""
+        """End a request without a decision of the policy.
+
+        The client has disconnected, the policy has not decided in time, or the proxy closes the connection.
+        """
         if not context.is_answered:
             self.host.finish(context, Abandon())
             self.policy.client_left(environment.monotonic_ms(), context.request_id)
--- a/sloeferry/dispatch/limits.py
+++ b/sloeferry/dispatch/limits.py
@@ -1,3 +1,4 @@
-"""Protocol limits that several parts of the proxy share."""
+"""Tolerance of the time limits on sockets, shared by several parts of the proxy."""
 
-SOCKET_SLACK_MS = 50.0  # added to each time limit on sockets, as opposed to the simulator
+# The proxy's time limits on sockets differ from the simulator's by this tolerance.
+SOCKET_SLACK_MS = 50.0
--- a/sloeferry/dispatch/send_guard.py
+++ b/sloeferry/dispatch/send_guard.py
@@ -89,14 +89,14 @@
         return request is None or self._policy.rules.may_repeat(request, now, attempt_number)
 
     def is_allowed(self, refusal: Refusal | None) -> bool:
-        """Count a refusal, if there is one, and return whether there is none."""
+        """Return whether there is no refusal, and count it if there is one."""
         if refusal is None:
             return True
         self.count_refusal(refusal)
         return False
 
     def count_refusal(self, refusal: Refusal) -> None:
-        """Count something that was not sent for that reason."""
+        """Count an attempt or health check that was not sent, by its reason."""
         self.refusals[refusal] += 1
         if refusal is Refusal.LIST_STALE:
             self.stale_refusals[self._policy.polling.staleness.cause.value] += 1
@@ -134,7 +134,7 @@
         logger.error("send guard violation: cause={!r} request={}", Violation.CLOSED_UNANSWERED.value, context.request_id)
 
     def counters(self) -> dict[str, Any]:
-        """Return the counters for operators."""
+        """Return the counts of refusals and violations for operators."""
         return {
             "refused": {refusal.value: self.refusals[refusal] for refusal in Refusal},
             "refused_stale": dict(self.stale_refusals),
--- a/sloeferry/lifecycle/reload.py
+++ b/sloeferry/lifecycle/reload.py
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from sloeferry.decision_log.recorder import DecisionRecorder
 
-# Values that stay fixed for the lifetime of a process, by the key in the log line.  They are compared with the file read last, so
-# that a changed value is logged once.
+# Values that stay fixed for the lifetime of a process, by the name that the log line gives them ("sockets" is the limit of file
+# descriptors, "memory" that of memory).  They are compared with the file read last, so that a changed value is logged once.
 FIXED_CONFIG: dict[str, Callable[[InstanceConfig], Any]] = {
     "name": lambda config: config.name,
     "listen": lambda config: config.listen,
@@ -21,7 +21,8 @@
     "sockets": lambda config: config.max_descriptors,
     "memory": lambda config: config.memory_limit_bytes,
 }
-# Settings used only when the parts are built: source and fields of load reports, the number and index of proxies, the zone.
+# Settings used only when the parts are built: the discovery mode, source and fields of load reports, the number and index of
+# proxies, the zone.
 # Costs, health checks, affinity keys, the tick, zones and machine kinds are fixed, too, but not logged (docs/operations.md).
 FIXED_SETTINGS: dict[str, Callable[[Settings], Any]] = {
     "discovery": lambda settings: settings.discovery_mode,
--- a/sloeferry/lifecycle/snapshot_store.py
+++ b/sloeferry/lifecycle/snapshot_store.py
@@ -19,7 +19,8 @@
 MAX_AGE_MS = 60_000.0  # learned state older than this is obsolete
 PROCESS_FILE = "process-"
 SNAPSHOT_FILE = "snapshot"
-READY, NOT_READY = b"ready", b"apart"  # contents of a process's file, of equal length
+# Contents of a process's file, of equal length, in the format of earlier releases.
+READY, NOT_READY = b"ready", b"apart"
 BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
 
 
@@ -42,7 +43,10 @@
 
 
 def boot_id() -> str:
-    """Return the id of the machine's current boot, or "" if it is unavailable; a wall clock may be stepped, this id is not."""
+    """Return the id of the machine's current boot, or "" if it is unavailable.
+
+    Unlike a boot time derived from the wall clock, the id cannot change while the machine runs.
+    """
     try:
         with open(BOOT_ID_PATH, encoding="ascii") as file:
             return file.read().strip()
@@ -54,7 +58,7 @@
     """The shared folder, as one process uses it; raises OSError if the folder cannot be used."""
 
     def __init__(self, path: str, name: str, indexed_names_digest: str):
-        """Open the subfolder for the proxy's `name` and `site`, a digest of the lists that its settings refer to by index."""
+        """Open the subfolder for the proxy's `name` and a digest of the lists that its settings refer to by index."""
         digest = hashlib.sha256(f"{name} {indexed_names_digest}".encode()).hexdigest()[:16]
         self.path = os.path.join(path, "sloeferry-" + digest)
         self._name = name
--- a/sloeferry/lifecycle/startup.py
+++ b/sloeferry/lifecycle/startup.py
@@ -15,7 +15,7 @@
 from sloeferry.lifecycle.proxy_process import serve
 
 LOG_FORMAT = "{time:HH:mm:ss.SSS} {level} {message}"
-GC_THRESHOLDS = (20000, 20, 50)
+GC_THRESHOLDS = (20000, 20, 50)  # above Python's defaults: each collection stalls the event loop
 CONFIG_ERROR_EXIT_STATUS = 2
 
 
--- a/sloeferry/network/client_shutdown.py
+++ b/sloeferry/network/client_shutdown.py
@@ -17,9 +17,9 @@
 if TYPE_CHECKING:
     from sloeferry.network.client_server import ClientServer
 
-# After SIGTERM, connections are accepted for the first period, which the protocol sets (the last may still be in transit at its
-# end), and their first requests for the second.
+# Connections are accepted for this time after SIGTERM, which the protocol sets.
 NEW_CONNECTION_GRACE_SECONDS = 0.4 + SOCKET_SLACK_MS / 1000
+# Their first requests are accepted for this much longer, since the last connection may still be in transit at that time.
 LAST_REQUEST_GRACE_SECONDS = 0.2
 # The protocol allows SIGKILL from this time plus the longest deadline after SIGTERM.
 KILL_DELAY_SECONDS = 0.7 - SOCKET_SLACK_MS / 1000
@@ -31,7 +31,7 @@
 
     def __init__(self, server: "ClientServer"):
         self._server = server
-        self.is_grace_over = False  # connections without a request may be closed as well
+        self.is_grace_over = False  # True: connections that never sent a request may be closed as well
 
     async def run(self) -> None:
         """Run the shutdown from SIGTERM until the last connection has ended."""
--- a/sloeferry/network/connection_sweeper.py
+++ b/sloeferry/network/connection_sweeper.py
@@ -76,7 +76,7 @@
                 close()
 
     async def check_loop_and_requests(self) -> None:
-        """Every 10 ms, report a loop iteration to the three stall detectors and check each open request.
+        """Every 10 ms, report a loop iteration to the loop monitor and the stall accounting, and check each open request.
 
         Clients that have left are reported to the dispatcher. A request that the policy has failed to answer by its deadline is
         ended here.
--- a/sloeferry/network/discovery_client.py
+++ b/sloeferry/network/discovery_client.py
@@ -111,8 +111,8 @@
     async def run(self) -> None:
         """Start a watch whenever the policy commands a poll, until cancelled.
 
-        The first watch starts without a command where no list is available, since no clients are sent here before there is
-        one.  Where the list is pushed, a watch is always kept open.
+        The first watch starts without a command where no list is available, since the platform routes no clients to this proxy
+        until it reports ready.  Where the list is pushed, a watch is always kept open.
         """
         if self._is_pushed or not self._lifecycle.has_first_poll_ended:
             self._start_watch()
--- a/sloeferry/network/exchange.py
+++ b/sloeferry/network/exchange.py
@@ -40,9 +40,9 @@
 
     endpoint_id: str
     deadline: float
-    may_begin: Callable[[], bool]  # called right before the first byte is written
-    make_request: Callable[[], bytes]  # called once the connection is established
-    on_first_byte: Callable[[], None] | None = None  # called right before the first byte is written
+    may_begin: Callable[[], bool]  # called once the connection is established, before `make_request`
+    make_request: Callable[[], bytes]  # called after `may_begin` has returned True
+    on_first_byte: Callable[[], None] | None = None  # called after `make_request`, immediately before the first byte
     body: RequestBodyStream | None = None  # a body of which `make_request` contains only the first part
     attempt_number: int = 0
     must_have_been_idle: bool = False  # see `ConnectionPool.acquire`
--- a/sloeferry/network/health_checker.py
+++ b/sloeferry/network/health_checker.py
@@ -38,7 +38,7 @@
             self._tasks.spawn(self._check(command.endpoint_id))
 
     async def _check(self, endpoint_id: str) -> None:
-        # A health check does not need a settled connection: waiting for one could exceed the policy's `check_timeout_ms`, and a
+        # A health check may use a connection that was just used: waiting could exceed the policy's `check_timeout_ms`, and a
         # duplicate response to an earlier request is harmless here.  The connect timeout bounds the whole check.
         started_at = environment.monotonic_ms()
         plan = ExchangePlan(
--- a/sloeferry/network/http1/message.py
+++ b/sloeferry/network/http1/message.py
@@ -73,7 +73,8 @@
         self.completed_at = 0.0  # seconds, monotonic
         self.is_streamed = False  # the body is streamed: at its end the message is not added to those completed
         self.attributes: RequestAttributes | None = None  # of a client's request; None for one to /ready
-        self.retry_after_if_rejected_ms: float | None = None  # Retry-After if rejected before acceptance; None: not rejected
+        # Retry-After if the request is rejected before acceptance (0.0: none is sent); None if it is not rejected.
+        self.retry_after_if_rejected_ms: float | None = None
         self.body_stream: ResponseBodyStream | None = None  # of a response whose body is incomplete
 
     def header(self, name: bytes) -> bytes | None:
--- a/sloeferry/network/json_stream.py
+++ b/sloeferry/network/json_stream.py
@@ -14,7 +14,8 @@
 class JsonStream:
     """Parses objects as soon as their last byte has arrived.
 
-    A line that does not begin an object, or that cannot be continued to valid JSON, is dropped without those that follow.
+    A line that does not begin an object, or that cannot be continued to valid JSON, is dropped; the lines after it are still
+    parsed.
     `pending` is the text of the incomplete object; the caller has to limit its length.
     """
 
--- a/sloeferry/network/request_intake.py
+++ b/sloeferry/network/request_intake.py
@@ -120,13 +120,16 @@
     # Rejections
 
     def retry_after_if_rejected_ms(self, message: Message, has_waited: bool = False) -> float | None:
-        """Return the Retry-After with which a request is rejected before it is accepted; None if it is not rejected."""
+        """Return the Retry-After with which a request is rejected before it is accepted; None if it is not rejected.
+
+        0.0 rejects the request without a Retry-After.
+        """
         class_index, tenant_index, _ = message.attributes
         is_retry = message.header(protocol.IS_RETRY) == protocol.TRUE
         return self._dispatcher.retry_after_if_rejected_ms(class_index, tenant_index, is_retry, has_waited)
 
     def retry_after_if_rejected_unparsed_ms(self, buffer: bytearray, length: int, has_waited: bool = False) -> float | None:
-        """Return the Retry-After with which unparsed bytes are rejected; None if they have to be parsed.
+        """Return the Retry-After with which unparsed bytes are rejected (0.0: without one); None if they have to be parsed.
 
         Only one complete plain request can be rejected unparsed, and only during load shedding.
         """
--- a/sloeferry/network/request_runner.py
+++ b/sloeferry/network/request_runner.py
@@ -135,7 +135,10 @@
         return context
 
     def drop(self) -> None:
-        """Abandon the request because its client no longer waits: discard pending commands, let open attempts finish."""
+        """Detach the request from the connection without a decision of the policy.
+
+        Pending commands are discarded, and open attempts finish.
+        """
         if context := self._release():
             try:
                 for response in self._server.dispatcher.abandon(context):
--- a/sloeferry/policy/admission.py
+++ b/sloeferry/policy/admission.py
@@ -23,7 +23,7 @@
 
 
 class AdmissionController:
-    """Holds requests for a short time and sends those of the highest weight first."""
+    """Holds requests for a short time and sends those of the highest weight per millisecond of work first."""
 
     def __init__(
         self,
@@ -58,7 +58,8 @@
     def review(self, now: float) -> None:
         """Send the requests that are likely to be answered in time, the highest weight per millisecond of work first.
 
-        Requests that were held for too long, or that exceed the expected capacity, are given up.
+        A request is given up if it was held for too long, exceeds the expected capacity, has a class or tenant that is at fault
+        and may not send another attempt yet, or would no longer be answered in time even by an idle endpoint.
         """
         still_held: list[Request] = []
         misses = searches = 0
--- a/sloeferry/policy/attempt_feedback.py
+++ b/sloeferry/policy/attempt_feedback.py
@@ -10,7 +10,7 @@
 from sloeferry.policy.safety_rules import SafetyRules
 
 GIVEN_UP_OUTCOMES = (AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED)
-# Multiple of its age as which the latency of an attempt that was given up counts: it would have taken longer.
+# An attempt that was given up is learned with its duration times this factor, since it would have taken longer.
 GIVEN_UP_LATENCY_MULTIPLE = 1.5
 VERY_LATE_MULTIPLE = 2  # multiple of the expected latency
 
--- a/sloeferry/policy/candidates.py
+++ b/sloeferry/policy/candidates.py
@@ -15,7 +15,7 @@
 from sloeferry.policy.outlier_detection import OutlierDetector
 
 REFRESH_TICKS = 4
-# Endpoints without any recorded state that become candidates. They are interchangeable, and comparing all of them costs time.
+# Number of inactive endpoints sampled as candidates: without recorded state they are interchangeable, and comparing all is slow.
 INACTIVE_SAMPLE_SIZE = 9
 
 
--- a/sloeferry/policy/endpoint_polling.py
+++ b/sloeferry/policy/endpoint_polling.py
@@ -12,13 +12,14 @@
 from sloeferry.policy.interface import ListScope, PolicyHost
 from sloeferry.policy.timers import Timers
 
-# The backoff is a part of the longest time allowed between two polls, or of this time if that is shorter.
+# The mean backoff is `BACKOFF_BASE_RATIO` of the poll limit (the longest time allowed between two polls), which counts as at most
+# `MAX_BACKOFF_BASE_MS`, and doubles with each failure.
 MAX_BACKOFF_BASE_MS = 10000.0
-BACKOFF_BASE_RATIO = 1 / 16  # of that time
+BACKOFF_BASE_RATIO = 1 / 16
 MAX_BACKOFF_DOUBLINGS = 3
-# Longest mean backoff, as a part of the time after which a change counts as notified.  Including the longest wait for an
-# answer before and after it (discovery takes less than a quarter of MAX_BACKOFF_BASE_MS), a continuing outage is detected
-# within that time.
+# Longest mean backoff, as a ratio of the notification limit.  A continuing outage is then detected within the notification limit,
+# even with the longest wait for an answer before and after the backoff: discovery takes less than a quarter of
+# `MAX_BACKOFF_BASE_MS` to answer.
 MAX_BACKOFF_NOTICE_RATIO = 2 / 9
 
 
--- a/sloeferry/policy/endpoint_selection.py
+++ b/sloeferry/policy/endpoint_selection.py
@@ -26,6 +26,8 @@
 # and more than this multiple of its latency at an idle endpoint: sending it there would only add to the overload.
 OVERLOAD_LATENCY_RATIO, OVERLOAD_SLOWDOWN = 0.55, 1.5
 LONG_WORK_RATIO = 0.3  # of the latency objective
+# Rate of failed connects above which an endpoint without an open connection ranks worse: its rank is scaled by the inverse of the
+# probability that a connect succeeds, which is assumed to be at least the second value.
 HIGH_UNREACHABLE_RATE, MIN_CONNECT_PROBABILITY = 0.1, 0.05
 # Ratio of the mean request weight that each queue position costs the requests behind it.
 QUEUE_POSITION_COST = 0.1
--- a/sloeferry/policy/endpoint_staleness.py
+++ b/sloeferry/policy/endpoint_staleness.py
@@ -28,8 +28,8 @@
     """The end of a poll that returned no list."""
 
     UNREACHABLE = "no connection came up"
-    NOT_SENT = "no descriptor for it"
-    REFUSED = "discovery ended it at once"
+    NOT_SENT = "no descriptor for it"  # or the dial failed with a local error
+    REFUSED = "discovery ended it at once"  # or a response began, but brought no list
     UNANSWERED = "discovery ended it after a wait"
 
 
@@ -77,12 +77,11 @@
         self.is_watch_overdue = False  # a watch was closed as silent, and no list was received since
         self._is_polled = is_polled
         self._is_on_sockets = limits.notification_limit_ms < inf
-        # Whether notifications may have stopped because discovery is out of reach, and the start of such an outage.
+        # Start of a possible outage, and whether notifications may have stopped because discovery is out of reach.
         self._outage_since = now
         self._may_be_outage = True
-        self._outage_gap_ms = (
-            limits.notification_limit_ms
-        )  # before its first poll a proxy has no watch whose end would show an outage
+        # Initially the whole notification limit: there has been no watch whose end could date the outage.
+        self._outage_gap_ms = limits.notification_limit_ms
 
     def is_usable(self, now: float) -> bool:
         """Return whether requests may be sent by this list."""
@@ -108,7 +107,10 @@
             self.trusted_until, self.cause, self.usable_until = now, StalenessCause.WATCHED, inf
 
     def list_unavailable(self, now: float) -> None:
-        """Record a failed poll.  Has an effect in the simulator alone: on sockets the events below are more precise."""
+        """Record a failed poll or an ended watch.
+
+        Has an effect in the simulator alone: on sockets the events below are more precise.
+        """
         if not self._is_on_sockets:
             self.cause = StalenessCause.POLL_FAILED
             self.usable_until = now + FAILED_POLL_FACTOR * self.poll_within_ms
--- a/sloeferry/policy/endpoint_table.py
+++ b/sloeferry/policy/endpoint_table.py
@@ -64,7 +64,10 @@
         endpoint.state = EndpointState.READY if endpoint.is_unlisted else state
 
     def _drop_gone(self) -> None:
-        """Drop gone endpoints with nothing in flight: new endpoints have new ids, so that memory would grow without bound."""
+        """Drop gone endpoints with nothing in flight.
+
+        Otherwise memory would grow without bound, since new endpoints have new ids.
+        """
         for endpoint in list(self.by_id.values()):
             has_anything_in_flight = endpoint.own_in_flight or endpoint.health_checks_in_flight
             if endpoint.state is EndpointState.GONE and not has_anything_in_flight:
--- a/sloeferry/policy/endpoints.py
+++ b/sloeferry/policy/endpoints.py
@@ -101,8 +101,8 @@
         self.learned_at = now
 
     def decayed_slowdown(self, fraction: float) -> float:
-        """Return the slowdown decayed towards that of its machine kind, of which this fraction is left."""
+        """Return the slowdown of its machine kind plus this fraction of the endpoint's deviation from it."""
         kind_slowdown = self.machine_kind.slowdown()
-        if self.slowdown == 1.0:
+        if self.slowdown == 1.0:  # nothing learned yet
             return kind_slowdown
         return kind_slowdown + (self.slowdown - kind_slowdown) * fraction
--- a/sloeferry/policy/extension_points.py
+++ b/sloeferry/policy/extension_points.py
@@ -1,4 +1,4 @@
-"""Extension points by which other subsystems take part in the policy's decisions, in the order of installation.  Free of I/O."""
+"""Calls the extension points by which other subsystems take part in the policy's decisions.  Free of I/O."""
 
 from typing import Any
 
@@ -22,7 +22,10 @@
     def retry_after_if_rejected_ms(
         self, now: float, request_class: Any, tenant_index: int, is_retry: bool, has_waited: bool
     ) -> float | None:
-        """Return the Retry-After of the first extension point that rejects the request, or None."""
+        """Return the Retry-After of the first extension point that rejects the request, or None to accept it.
+
+        0.0 rejects the request without a Retry-After.
+        """
         for extension in self._installed:
             delay_ms = extension.retry_after_if_rejected_ms(now, request_class, tenant_index, is_retry, has_waited)
             if delay_ms is not None:
--- a/sloeferry/policy/fault_attribution.py
+++ b/sloeferry/policy/fault_attribution.py
@@ -43,8 +43,8 @@
         """Update which request kinds are at fault and the quality of the paths to the candidates.
 
         A request kind that is late at all endpoints takes capacity from the others.  It is limited to one attempt at a time,
-        which shows when it recovers.  A path that is bad for this proxy alone appears in no load report, so that endpoints
-        behind it get a lower path quality.
+        which shows when it recovers.  A path that is bad for this proxy alone appears in no load report; therefore the
+        endpoints behind it get a lower path quality.
         """
         if now < self._reviewed_at + self._classes.shortest_objective_ms / REVIEWS_PER_OBJECTIVE:
             return
@@ -78,7 +78,7 @@
 
     def _review_kind(self, kind: SuccessRateTracker, all_trackers: Sequence[SuccessRateTracker]) -> None:
         was_at_fault = kind.is_at_fault
-        # A kind that overloads all endpoints makes the others as late as itself, so that its own rate alone clears it.
+        # A kind that overloads all endpoints makes the others as late as itself; therefore only its own rate clears it.
         if was_at_fault:
             kind.is_at_fault = kind.rate < CLEARED_RATE
         else:
@@ -95,7 +95,7 @@
                 self._host.cancel_attempt(request.request_id, request.attempts.index(attempt))
 
     def _review_path(self, path: SuccessRateTracker, now: float) -> None:
-        """Set the path's quality; a low one decays towards 1 with its age, or the path would never be tried again."""
+        """Raise a low relative rate towards 1 with its age; otherwise the path would never be tried again."""
         decayed_rate = 1 - (1 - path.relative_rate) * 0.5 ** ((now - path.last_recorded_at) / REPORT_MAX_AGE_MS)
         path.relative_rate = max(MIN_PATH_QUALITY, decayed_rate) if decayed_rate < BAD_PATH_RELATIVE_RATE else 1.0
 
--- a/sloeferry/policy/health_checks.py
+++ b/sloeferry/policy/health_checks.py
@@ -10,7 +10,7 @@
 from sloeferry.policy.load_reporting import LoadReporting
 from sloeferry.policy.timers import Timers
 
-# Of the mean weight of a request: what periodic health checks may cost per request.
+# Cost of periodic health checks allowed per request, as a ratio of the mean request weight.
 PERIODIC_CHECK_COST_RATIO = 0.005
 CHECK_INTERVAL_MS = 1000.0  # between two periodic health checks of an endpoint
 MIN_INTERVAL_RATIO = 1 / 5  # of the interval, where health checks are cheap
@@ -54,9 +54,10 @@
             self._host.send_health_check(endpoint.endpoint_id)
 
     def _check_periodically(self, now: float, turn: int) -> None:
-        """Check each endpoint that failed or, where only health checks bring load reports, the next ready endpoint in turn.
+        """Check each endpoint that failed or has an unanswered health check.
 
-        In the second case each endpoint is checked once a second, or more often as far as `PERIODIC_CHECK_COST_RATIO` allows.
+        Where only health checks bring load reports, check the next ready endpoint in turn instead: each endpoint is then
+        checked once a second, or more often as far as `PERIODIC_CHECK_COST_RATIO` allows.
         """
         interval_ms = CHECK_INTERVAL_MS
         if self._reporting.reports_only_with_health_checks:
--- a/sloeferry/policy/interface.py
+++ b/sloeferry/policy/interface.py
@@ -160,7 +160,7 @@
     def retry_after_if_rejected_ms(
         self, now: float, class_index: int, tenant_index: int, is_retry: bool, has_waited: bool
     ) -> float | None:
-        """Return None if a request may be accepted, or else the Retry-After of its rejection."""
+        """Return None if a request may be accepted, or else the Retry-After of its rejection (0.0: rejected without one)."""
 
     def endpoints_listed(self, now: float, scope: ListScope, entries: Sequence[EndpointEntry], answers_poll: bool = True) -> None:
         """Process an endpoint list, or a poll that failed.
@@ -205,7 +205,7 @@
         """Process the end of a health check."""
 
     def client_left(self, now: float, request_id: int) -> None:
-        """Process the disconnection of a client; its request needs no answer."""
+        """Close a request that needs no answer of the policy: its client has disconnected, or none was decided in time."""
 
     def timer_fired(self, now: float, token: int) -> None:
         """Run the timer whose wake-up is due."""
@@ -217,13 +217,16 @@
     def retry_after_if_rejected_ms(
         self, now: float, request_class: "RequestClass", tenant_index: int, is_retry: bool, has_waited: bool
     ) -> float | None:
-        """Return None if a request may be accepted, or else the Retry-After of its rejection.
+        """Return None if a request may be accepted, or else the Retry-After of its rejection (0.0: rejected without one).
 
         `has_waited` if it has waited in the queue for the longest time allowed.
         """
 
     def may_retry(self, now: float, request: "Request") -> bool:
-        """Return whether a further attempt may be sent; called before each attempt after the first."""
+        """Return whether a further attempt may be sent; called before each retry and each hedge or cancellation.
+
+        It is not called for a request that passes admission again.
+        """
 
     def request_accepted(self, now: float, request: "Request") -> None:
         """Note that a request was accepted; called once per request."""
--- a/sloeferry/policy/latency_model.py
+++ b/sloeferry/policy/latency_model.py
@@ -98,7 +98,10 @@
         ready: list[Endpoint],
         outcome: AttemptOutcome = AttemptOutcome.SERVED,
     ) -> None:
-        """Update the latencies of the request's class, of the endpoint and of all attempts from one served or given up."""
+        """Update the latencies of the request's class, of the endpoint and of all attempts.
+
+        The attempt learned from was served, given up or rejected.
+        """
         self._sample_index = (self._sample_index + 1) % HIGH_RATE_SAMPLING_INTERVAL
         if (
             self._sample_index
@@ -133,4 +136,5 @@
 
     def review_after_ms(self, expected_ms: float, may_hedge: bool) -> float:
         """Return the time after which an attempt that is still in flight is reviewed."""
+        # Where hedging is allowed, a review does not have to cancel the attempt to replace it, so that it may come earlier.
         return min(self.longest_ms, 3 * expected_ms if may_hedge else inf)
--- a/sloeferry/policy/load_estimate.py
+++ b/sloeferry/policy/load_estimate.py
@@ -61,10 +61,12 @@
         """Return the estimated number of requests in flight at the endpoint.
 
         That is the latest report of the other proxies' requests plus this proxy's own attempts.  A report decays
-        exponentially towards the mean of fresh ones, with the latency of an attempt as its half-life, and is ignored
-        beyond `REPORT_MAX_AGE_MS`: otherwise all proxies would send to the endpoint that last reported itself idle.
+        exponentially towards the mean of fresh ones, with a half-life of the fastest class's typical latency, or of half
+        `REPORT_MAX_AGE_MS` for loaded endpoints where the age of reports is unknown.  It is ignored beyond
+        `REPORT_MAX_AGE_MS`.  Without the decay all proxies would send to the endpoint that last reported itself idle.
         """
-        ended = endpoint.counted_in_flight_until  # roughly in order: an entry behind a later time is counted until that time
+        # The times are roughly in order; an entry is dropped only after those before it.
+        ended = endpoint.counted_in_flight_until
         while ended and ended[0] <= now:
             ended.pop(0)
         own = endpoint.own_in_flight + len(ended)
--- a/sloeferry/policy/load_refresh.py
+++ b/sloeferry/policy/load_refresh.py
@@ -13,7 +13,7 @@
 
 
 class PendingReport(NamedTuple):
-    """An endpoint whose health check is awaited, and the time of the request."""
+    """An endpoint whose health check is awaited, and the time at which its report was requested."""
 
     endpoint: Endpoint
     requested_at: float
@@ -38,7 +38,7 @@
     def refresh(self, now: float) -> Sequence[PendingReport]:
         """Send health checks to the endpoints of lowest rank and return the pending reports; none if one is known to be idle."""
         candidates = self._candidates.refresh(now) if self.budget.may_spend() else ()
-        # Without a report, an endpoint that warms up ranks like others: ranked lower, it would use up the whole budget.
+        # Without a report, an endpoint that warms up ranks like others: given a better rank, it would use up the whole budget.
         ranked = [(self._load.current_rank(endpoint, now), endpoint) for endpoint in candidates]
         if any(self._is_fresh(endpoint, now) and rank < IDLE_RANK for rank, endpoint in ranked):
             self.budget.refund(CHECKS_PER_WAVE)  # saved for later requests, even if this one spent some
--- a/sloeferry/policy/outlier_detection.py
+++ b/sloeferry/policy/outlier_detection.py
@@ -19,7 +19,7 @@
 # Where endpoints can't be health-checked, the first failure ejects, and for longer: no second request is spent to confirm it.
 UNCHECKED_EXTRA_DOUBLINGS = 2
 EJECTION_JITTER = 0.5  # ratio of the ejection time, so that ejected endpoints don't return all at once
-MAX_EJECTED_RATIO = 0.5  # of the listed endpoints: where as many would be ejected, the cause lies elsewhere
+MAX_EJECTED_RATIO = 0.5  # of the ready endpoints: where as many would be ejected, the cause lies elsewhere
 # An endpoint is at fault for consecutive errors if the probability that the requests caused all of them is below this.
 MAX_COINCIDENCE_PROBABILITY = 0.001
 ERROR_SMOOTHING_ATTEMPTS = 32  # attempts over which the error rate is averaged
@@ -61,8 +61,8 @@
     def is_unresponsive(self, endpoint: Endpoint, now: float) -> bool:
         """Return whether the endpoint is unresponsive.
 
-        Where health checks are sent regularly, one is unanswered past its timeout.  Elsewhere, nothing was received from the
-        endpoint for longer than attempts take.
+        Where load reports come with responses and health checks are allowed, a health check is unanswered past its timeout.
+        Otherwise nothing was received from the endpoint, with an attempt in flight, for longer than attempts take.
         """
         # A proxy with one request a second receives nothing but the responses to its own long requests: the time between them
         # doesn't show that an endpoint is unresponsive, so that health checks decide where there are any.
@@ -74,7 +74,7 @@
         return since is not None and now - since > self._latency.longest_ms
 
     def ejected_endpoint_ids(self, now: float, ready_count: int) -> Collection[EndpointId]:
-        """Return the endpoints that get no attempts now; none where that would be half of the listed ones or more."""
+        """Return the endpoints that get no attempts now; none where that would be half of the ready ones or more."""
         ejected = {
             endpoint.endpoint_id
             for endpoint in self._table.active.values()
@@ -83,7 +83,11 @@
         return ejected if len(ejected) < MAX_EJECTED_RATIO * ready_count else ()
 
     def record_failure(self, endpoint: Endpoint, now: float) -> None:
-        """Record an error, a refused connection or a missing response, and eject the endpoint if due."""
+        """Record a failure of the endpoint, and eject it after `FAILURES_TO_EJECT` in a row.
+
+        A failure is an error, a rejection, a failed connection or health check, or a missing response.  Where the age
+        of reports is unknown, the first failure ejects.
+        """
         endpoint.consecutive_failures += 1
         self._table.activate(endpoint)
         if endpoint.is_unlisted:
--- a/sloeferry/policy/overload_control.py
+++ b/sloeferry/policy/overload_control.py
@@ -112,6 +112,7 @@
         if self._min_lag_ms == inf:
             return
         if self._min_lag_ms > self.lag_sample_interval_ms:
+            # Requests that take longer than the target even without overload must not be limited for that.
             target_time_ms = max(TARGET_TIME_RATIO * self._objective_ms, 1.5 * self._unlimited_time_ms)
             self.concurrency_limit = max(MIN_CONCURRENCY_LIMIT, self.served_per_ms * target_time_ms)
         elif self.concurrency_limit < inf and (self._min_lag_ms < self.lag_sample_interval_ms / 4 or not self._min_queue_length):
@@ -136,7 +137,7 @@
     def retry_after_if_rejected_ms(
         self, now: float, request_class: Any, tenant_index: int, is_retry: bool, has_waited: bool
     ) -> float | None:
-        """Return the Retry-After of a request that is rejected before it is accepted, or None (`ExtensionPoint`)."""
+        """Return None if a request may be accepted, or else the Retry-After of its rejection (0.0: rejected without one)."""
         if self.concurrency_limit == inf and not self.is_stalled and not has_waited:
             return None
         self.active_tenants.add(tenant_index)
--- a/sloeferry/policy/policy.py
+++ b/sloeferry/policy/policy.py
@@ -98,7 +98,7 @@
 
         Open requests keep the classes under which they were accepted, and learned state is kept.  Settings that a component
         copied in its constructor remain unchanged: the source of load reports and whether health checks are allowed, costs,
-        affinity keys, whether only draining binds, this instance's position in the fleet, and the tick.
+        affinity keys, whether unlisted endpoints may be used, this instance's position in the fleet, and the tick.
         """
         self.settings = settings
         self.classes.update(settings)
@@ -124,7 +124,7 @@
     def retry_after_if_rejected_ms(
         self, now: float, class_index: int, tenant_index: int, is_retry: bool, has_waited: bool
     ) -> float | None:
-        """Return None if a request may be accepted, or else the Retry-After of its rejection."""
+        """Return None if a request may be accepted, or else the Retry-After of its rejection (0.0: rejected without one)."""
         request_class = self.classes.all[class_index]
         delay_ms = self.extensions.retry_after_if_rejected_ms(now, request_class, tenant_index, is_retry, has_waited)
         if delay_ms is not None:
@@ -163,7 +163,7 @@
         self.client_left(now, request_id)
 
     def client_left(self, now: float, request_id: int) -> None:
-        """Close the request of a client that has disconnected; it needs no answer."""
+        """Close a request that needs no answer of the policy: its client has disconnected, or none was decided in time."""
         if request := self.requests.by_id.get(request_id):
             self.requests.close(request)
 
--- a/sloeferry/policy/request_classes.py
+++ b/sloeferry/policy/request_classes.py
@@ -7,7 +7,8 @@
 from sloeferry.policy.histogram import MANY_BINS_BELOW_UNIT, Histogram
 from sloeferry.policy.success_rate import SuccessRateTracker
 
-HIGH_LOSS_RATE = 0.1  # unanswered attempts, of those that no endpoint rejected
+# Loss rate (timed-out or cancelled attempts, of those and the served ones) above which a class counts as losing many.
+HIGH_LOSS_RATE = 0.1
 LOSS_SMOOTHING = 16  # attempts over which the loss rate is averaged
 MIN_COMPARABLE_ATTEMPTS = 12  # of another class, before the loss rates of both are compared
 LATENCY_SAMPLES = 200  # attempts after which the weight of earlier latencies is halved
@@ -50,18 +51,17 @@
             self.tracker, self.loss_rate = former.tracker, former.loss_rate
 
     def attempt_ended(self, now: float, is_served: bool) -> None:
-        """Update the loss rate with an attempt that was answered or left unanswered."""
+        """Update the loss rate with an attempt that was served, timed out or was cancelled."""
         self.loss_rate += ((not is_served) - self.loss_rate) / LOSS_SMOOTHING
         self.recent_end_times.append(now)
         if self.loss_rate > HIGH_LOSS_RATE:
             self.high_loss_since = min(self.high_loss_since, now)
-        elif (
-            self.loss_rate < HIGH_LOSS_RATE / 4
-        ):  # the loss has ended and is not only paused while endpoints are ejected for this class
+        elif self.loss_rate < HIGH_LOSS_RATE / 4:
+            # The loss has ended, and has not only paused while endpoints are ejected for this class.
             self.high_loss_since = inf
 
     def can_be_compared_with(self, other: "RequestClass") -> bool:
-        """Return whether enough attempts ended since the other class began to lose many; rare classes lag behind."""
+        """Return whether this class has ended enough attempts since the other began to lose many; a rare class takes longer."""
         return len(self.recent_end_times) == MIN_COMPARABLE_ATTEMPTS and self.recent_end_times[0] > other.high_loss_since
 
     def typical_latency_ms(self) -> float:
--- a/sloeferry/policy/requests.py
+++ b/sloeferry/policy/requests.py
@@ -16,7 +16,8 @@
     from sloeferry.policy.endpoints import Endpoint
 
 NEVER_RAN_OUTCOMES = (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NEVER_SENT)
-# These say nothing about the endpoint: any endpoint's response may be corrupted on the way.
+# These say nothing about the endpoint: nothing was sent to it, or its response was malformed, and any endpoint's response may be
+# corrupted in transit.
 UNINFORMATIVE_OUTCOMES = (AttemptOutcome.NEVER_SENT, AttemptOutcome.UNKNOWN)
 # The latency of these also depends on the request's kind.
 REQUEST_KIND_OUTCOMES = (AttemptOutcome.SERVED, AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED)
@@ -74,7 +75,10 @@
             tracker.attempt_sent(self, not is_at_fault)
 
     def is_overtaken(self) -> bool:
-        """Return whether the last three attempts served there were all sent later: only this one's connection is dead."""
+        """Return whether the last three attempts served by the endpoint were all sent after this one.
+
+        Then this one's connection is probably dead.
+        """
         served = self.endpoint.last_served_sent_at
         return len(served) == served.maxlen and min(served) > self.sent_at
 
--- a/sloeferry/policy/retry_policy.py
+++ b/sloeferry/policy/retry_policy.py
@@ -68,6 +68,7 @@
             return
         request_class = request.request_class
         if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
+            # A review could not replace the attempt: rule 2 forbids another one while this one may have run.
             return
         review_at = now + self._latency.review_after_ms(expected_ms, self._rules.may_hedge)
         if self._attribution.is_loss_likely(request_class, endpoint):
--- a/sloeferry/policy/safety_rules.py
+++ b/sloeferry/policy/safety_rules.py
@@ -15,9 +15,10 @@
 from sloeferry.policy.requests import Attempt, AttemptState, Request
 from sloeferry.policy.timers import Timers
 
-# Of the latency objective: an attempt answered within it is never overdue, whatever latency was expected.
+# An attempt is not overdue before this ratio of the latency objective, regardless of the expected latency.
 MIN_OVERDUE_RATIO = 0.125
-LATENESS_MULTIPLE = 4  # of the host's timer lateness, which must not count against the endpoint
+# Multiple of the host's timer lateness that is added, since that lateness must not count against the endpoint.
+LATENESS_MULTIPLE = 4
 OVERDUE_TICKS = 2
 
 
--- a/sloeferry/policy/success_rate.py
+++ b/sloeferry/policy/success_rate.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from sloeferry.policy.requests import Attempt
 
-RATE_SMOOTHING_ATTEMPTS = 8  # attempts; weight of the exponential moving average
+RATE_SMOOTHING_ATTEMPTS = 8  # attempts over which the success rate is averaged
 
 
 class SuccessRateTracker:
@@ -20,7 +20,7 @@
         self.rate = 1.0  # exponential moving average
         self.last_recorded_at = -inf  # ms
         self.open_attempts: dict[Attempt, bool] = {}
-        self.attempts_to_count: dict[Attempt, bool] = {}  # open attempts that will count, oldest first
+        self.attempts_to_count: dict[Attempt, bool] = {}  # open attempts that are not counted yet, oldest first
         self.is_at_fault = False  # late at all endpoints, therefore limited to one attempt at a time
         self.was_last_late = False
         self.relative_rate = 1.0  # relative to the best rate in its group
--- a/tests/network/test_exchange.py
+++ b/tests/network/test_exchange.py
@@ -229,8 +229,8 @@
     check_scenario(scenario, "exchange_network_partition", InstrumentedHarness({"b": response()}, deadline_ms=400))
 
 
-class UnsettledHarness(InstrumentedHarness):
-    """A proxy whose connections to backends never settle without the test's doing: the wait for duplicates is endless."""
+class EndlessDuplicateWaitHarness(InstrumentedHarness):
+    """A proxy whose wait for duplicate responses lasts until the test ends it."""
 
     DUPLICATE_WAIT_SECONDS = NEVER_SECONDS
 
@@ -238,11 +238,11 @@
 def test_duplicate_response(check_scenario: ScenarioChecker):
     """A backend sends a duplicate response just after the first.
 
-    The next request waits until the connection has settled, or it would get the duplicate as its response.  This holds for the
+    The next request waits until no duplicate is due; otherwise it would get the duplicate as its response.  This holds for the
     first duplicate that a process sees, too.  An attempt that is cancelled during the wait leaves the connection in the pool.
     """
 
-    async def scenario(harness: UnsettledHarness) -> None:
+    async def scenario(harness: EndlessDuplicateWaitHarness) -> None:
         backends = harness.backends
         await harness.request("safe", X_Call_Id="c1")
         [connection] = harness.pool.idle["b"]
@@ -265,4 +265,6 @@
         harness.record(f"kept: {len(harness.pool.idle['b'])}")
         client.close()
 
-    check_scenario(scenario, "exchange_duplicate_response", UnsettledHarness({"b": lambda number: response(f"answer {number}")}))
+    check_scenario(
+        scenario, "exchange_duplicate_response", EndlessDuplicateWaitHarness({"b": lambda number: response(f"answer {number}")})
+    )
