--- a/sloeferry/decision_log/decision_log.py
+++ b/sloeferry/decision_log/decision_log.py
@@ -123,7 +123,7 @@
 
     # Methods of ExtensionPoint: the log receives the events and never influences a decision
 
-    def rejection_delay_ms(
+    def retry_after_if_rejected_ms(
         self, now: float, request_class: Any, tenant_index: int, is_retry: bool, has_waited: bool
     ) -> float | None:
         """Return None: the log never rejects a request."""
--- a/sloeferry/network/exchange.py
+++ b/sloeferry/network/exchange.py
@@ -40,12 +40,12 @@
 
     endpoint_id: str
     deadline: float
-    may_begin: Callable[[], bool]  # called right before the first byte is written
-    make_request: Callable[[], bytes]  # called once the connection is established
-    on_first_byte: Callable[[], None] | None = None  # called right before the first byte is written
+    may_begin: Callable[[], bool]  # called once the connection is established, before `make_request`
+    make_request: Callable[[], bytes]  # called after `may_begin` has returned True
+    on_first_byte: Callable[[], None] | None = None  # called after `make_request`, immediately before the first byte
     body: RequestBodyStream | None = None  # a body of which `make_request` contains only the first part
     attempt_number: int = 0
-    needs_settled: bool = False  # see `ConnectionPool.acquire`
+    must_have_been_idle: bool = False  # see `ConnectionPool.acquire`
     dial_deadline: float = 0.0  # until then, dials that fail with a local error are retried
 
 
@@ -91,7 +91,7 @@
     async def _begin(self) -> bool:
         """Connect, and return whether the request may be written."""
         plan = self._plan
-        connection = await self._pool.acquire(plan.endpoint_id, plan.needs_settled, plan.dial_deadline)
+        connection = await self._pool.acquire(plan.endpoint_id, plan.must_have_been_idle, plan.dial_deadline)
         if isinstance(connection, AttemptEnd):
             self._end = connection
             return False
--- a/sloeferry/policy/admission.py
+++ b/sloeferry/policy/admission.py
@@ -23,7 +23,7 @@
 
 
 class AdmissionController:
-    """Holds requests for a short time and sends those of the highest weight first."""
+    """Holds requests for a short time and sends those of the highest weight per millisecond of work first."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self._arrivals = models.arrivals
         self._load_refresher = load_refresher
         reporting = models.reporting
-        self._has_health_check_reports = bool(reporting.health_checks_per_request) or reporting.comes_with_health_checks
+        self._has_health_check_reports = bool(reporting.health_checks_per_request) or reporting.reports_only_with_health_checks
         self._max_lateness_ms = models.check_timeout_ms / 2
         self.held: list[Request] = []
         self._is_review_scheduled = False
@@ -58,7 +58,8 @@
     def review(self, now: float) -> None:
         """Send the requests that are likely to be answered in time, the highest weight per millisecond of work first.
 
-        Requests that were held for too long, or that exceed the expected capacity, are given up.
+        A request is given up if it was held for too long, exceeds the expected capacity, has a class or tenant that is at fault
+        and may not send another attempt yet, or would no longer be answered in time even by an idle endpoint.
         """
         still_held: list[Request] = []
         misses = searches = 0
@@ -125,8 +126,8 @@
         """Give up the last requests beyond what the endpoints complete while a request may be held, by Little's law."""
         in_flight = sum(endpoint.own_in_flight for endpoint in self._table.active.values()) if still_held else 0
         while len(still_held) > 1:
-            last = still_held[-1].request_class
-            if len(still_held) <= 1 + in_flight * last.objective_ms / 4 / last.typical_latency_ms():
+            last_class = still_held[-1].request_class
+            if len(still_held) <= 1 + in_flight * last_class.objective_ms / 4 / last_class.typical_latency_ms():
                 return
             self._requests.give_up(still_held.pop())
 
--- a/sloeferry/policy/endpoint_selection.py
+++ b/sloeferry/policy/endpoint_selection.py
@@ -26,6 +26,8 @@
 # and more than this multiple of its latency at an idle endpoint: sending it there would only add to the overload.
 OVERLOAD_LATENCY_RATIO, OVERLOAD_SLOWDOWN = 0.55, 1.5
 LONG_WORK_RATIO = 0.3  # of the latency objective
+# Rate of failed connects above which an endpoint without an open connection ranks worse: its rank is scaled by the inverse of the
+# probability that a connect succeeds, which is assumed to be at least the second value.
 HIGH_UNREACHABLE_RATE, MIN_CONNECT_PROBABILITY = 0.1, 0.05
 # Ratio of the mean request weight that each queue position costs the requests behind it.
 QUEUE_POSITION_COST = 0.1
@@ -101,7 +103,7 @@
         saved_cost = QUEUE_POSITION_COST * saved_positions if self._is_report_age_unknown and saved_positions < inf else 0.0
         return (self._cross_zone_cost - saved_cost) * self._classes.mean_weight
 
-    def must_send_without_reports(self) -> bool:
+    def may_send_uninformed(self) -> bool:
         """Return whether requests arrive too fast for health checks and too few are in flight to bring load reports."""
         return self._arrivals.is_faster_than_health_checks() and self.load.may_send_without_reports(self.candidates.all)
 
@@ -110,7 +112,7 @@
 
         Requests that trigger health checks skip them, unless only the requests themselves can bring load reports.
         """
-        return not self.must_send_without_reports() and self.checks_load_per_request
+        return not self.may_send_uninformed() and self.checks_load_per_request
 
 
 class _Search:
