--- a/sloeferry/rehearsal/simulation.py
+++ b/sloeferry/rehearsal/simulation.py
@@ -199,8 +199,8 @@
 ) -> dict[str, Any]:
     """Run a scenario in virtual time and return its record; `progress` is called once per virtual second.
 
-    `seed` determines the requests and faults.  `environment_seed` changes only the random numbers of the network, discovery and
-    the proxies.
+    The record depends on the arguments alone.  Another `environment_seed` keeps the requests and faults, and changes only the
+    random numbers of the network, discovery and the proxies.
     """
     log = LogCounter(show_line)
     with tempfile.TemporaryDirectory(prefix="rehearsal-") as folder:
