--- a/sloeferry/policy/endpoint_polling.py
+++ b/sloeferry/policy/endpoint_polling.py
@@ -7,18 +7,19 @@
 from random import Random
 
 from sloeferry.config.settings import Settings
-from sloeferry.policy.endpoint_staleness import SHORT_WATCH_MS, ListStaleness, StalenessLimits
+from sloeferry.policy.endpoint_staleness import MAX_GAPLESS_MS, ListStaleness, StalenessLimits
 from sloeferry.policy.fleet import FleetShare
 from sloeferry.policy.interface import ListScope, PolicyHost
 from sloeferry.policy.timers import Timers
 
-# The backoff is a part of the longest time allowed between two polls, or of this time if that is shorter.
+# The mean backoff is `BACKOFF_BASE_RATIO` of the poll limit (the longest time allowed between two polls), which counts as at most
+# `MAX_BACKOFF_BASE_MS`, and doubles with each failure.
 MAX_BACKOFF_BASE_MS = 10000.0
-BACKOFF_BASE_RATIO = 1 / 16  # of that time
+BACKOFF_BASE_RATIO = 1 / 16
 MAX_BACKOFF_DOUBLINGS = 3
-# Longest mean backoff, as a part of the time after which a change counts as notified.  Including the longest wait for an
-# answer before and after it (discovery takes less than a quarter of MAX_BACKOFF_BASE_MS), a continuing outage is detected
-# within that time.
+# Longest mean backoff, as a ratio of the notification limit.  A continuing outage is then detected within the notification limit,
+# even with the longest wait for an answer before and after the backoff: discovery takes less than a quarter of
+# `MAX_BACKOFF_BASE_MS` to answer.
 MAX_BACKOFF_NOTICE_RATIO = 2 / 9
 
 
@@ -71,12 +72,12 @@
             self._failures, self._watch_list_at = 0, self._watch_list_at or now
             self.staleness.poll_succeeded(now)
             return
-        self.staleness.poll_unanswered(now)
+        self.staleness.list_unavailable(now)
         watch_lasted_ms = now - self._watch_list_at if self._watch_list_at is not None else 0.0
         self._watch_list_at = None
-        if scope is ListScope.WATCH_ENDED and watch_lasted_ms >= SHORT_WATCH_MS:
+        if scope is ListScope.WATCH_ENDED and watch_lasted_ms >= MAX_GAPLESS_MS:
             # The list may have changed meanwhile, and a poll soon shows whether discovery is reachable.
-            self._timers.schedule(now + self._rng.random() * SHORT_WATCH_MS / 2, self._poll)
+            self._timers.schedule(now + self._rng.random() * MAX_GAPLESS_MS / 2, self._poll)
             return
         self._failures = min(self._failures + 1, MAX_BACKOFF_DOUBLINGS)
         self._timers.schedule(now + self._backoff_ms() * (0.5 + self._rng.random()), self._poll)
