--- a/sloeferry/fault_testing/event_recorder.py
+++ b/sloeferry/fault_testing/event_recorder.py
@@ -19,26 +19,26 @@
 from sloeferry.fault_testing.recorded_events import Event
 from sloeferry.rehearsal.arrivals import PlannedRequest, plan_requests
 from sloeferry.rehearsal.scenario_tables import RequestClass
-from sloeferry.stand_ins.effect_log import EffectLog, RecentWork
 from sloeferry.stand_ins.http_messages import make_request_body
 from sloeferry.stand_ins.rules import Rule
+from sloeferry.stand_ins.run_observer import RecentWork, RunObserver
 from sloeferry.stand_ins.wire_protocol import STATUS_OK, RequestKind, RequestOutcome, outcome_of_status
 
 LAG_CHECK_SECONDS = 0.02  # interval of the event-loop lag check
 BUFFER_BYTES = 1 << 18
 # A request id is the number of the call in hexadecimal, followed by the number of the client's try.
 ID_CHARACTERS = 16
-CALL_NUMBER_CHARACTERS = 12
+REQUEST_NUMBER_CHARACTERS = 12
 
 RecordedEvent = list[Any]  # loop time, event name, fields
 
 
-def call_number(request_id: str | bytes) -> int:
+def request_number(request_id: str | bytes) -> int:
     """Return the number of the call that a request belongs to; raises ValueError if the id holds no number."""
-    return int(request_id[:CALL_NUMBER_CHARACTERS], 16)
+    return int(request_id[:REQUEST_NUMBER_CHARACTERS], 16)
 
 
-class EventRecorder(EffectLog):
+class EventRecorder(RunObserver):
     """A recorder that writes the events of one process to a file; `clock` returns its loop time in seconds."""
 
     def __init__(self, plan: Plan, seed: int, path: pathlib.Path | str, clock: Callable[[], float]):
@@ -73,7 +73,7 @@
     def planned_request(self, request_id: bytes) -> PlannedRequest | None:
         """Return the call that a request belongs to; None if the id is not one of this run."""
         try:
-            number = call_number(request_id) if len(request_id) == ID_CHARACTERS else -1
+            number = request_number(request_id) if len(request_id) == ID_CHARACTERS else -1
         except ValueError:
             return None
         return self.planned_requests[number] if 0 <= number < len(self.planned_requests) else None
@@ -140,7 +140,7 @@
             and self.request_class(request_id)
             and body != make_request_body(request_id, self.body_bytes(request_id))
         ):
-            self.violation(
+            self.rule_violated(
                 Rule.PROTOCOL,
                 now,
                 f"{backend_id} received a body of {len(body)} bytes, which is not {request_id.decode()}'s body",
@@ -172,7 +172,7 @@
             [(at, work, request_id.decode()) for at, work, request_id in recent],
         )
 
-    def violation(self, rule: str, now: float, text: str) -> None:
+    def rule_violated(self, rule: str, now: float, text: str) -> None:
         """Record a rule violation that a stand-in detected."""
         self.note(now, Event.RULE_VIOLATED, rule, text)
 
--- a/sloeferry/fault_testing/fault_actions.py
+++ b/sloeferry/fault_testing/fault_actions.py
@@ -32,7 +32,7 @@
         self.fault = fault
         self.targets = fleet.fault_targets[number]
         self.loop = fleet.loop
-        self.recorder = fleet.judge
+        self.recorder = fleet.observer
 
     def inject(self) -> None:
         """Record the fault, apply it, and record its end."""
@@ -182,8 +182,8 @@
 
     def apply(self) -> None:
         """Stop discovery and schedule its return."""
-        for place in self.fleet.listeners:
-            self.recorder.note(self.loop.time(), Event.DISCOVERY_UNREACHABLE, place.name, self.ends_at())
+        for listener in self.fleet.listeners:
+            self.recorder.note(self.loop.time(), Event.DISCOVERY_UNREACHABLE, listener.name, self.ends_at())
         discovery = self.fleet.discovery
         discovery.stop()
         self.loop.call_later(self.fault.lasts_seconds, lambda: self.loop.create_task(discovery.restart()))
--- a/sloeferry/fault_testing/fleet_audit.py
+++ b/sloeferry/fault_testing/fleet_audit.py
@@ -10,9 +10,11 @@
 from sloeferry.stand_ins.wire_protocol import ADMIN_PORT_OFFSET
 
 
-async def audit_running_fleet(places: list[ProxyListener], discovery: StandInDiscovery) -> dict[str, Any]:
+async def audit_running_fleet(listeners: list[ProxyListener], discovery: StandInDiscovery) -> dict[str, Any]:
     """Query all proxies at their admin addresses, and return the audit against discovery's revision after the last answer."""
-    proxies = tuple(ProxyAddress(place.name, (place.address[0], place.address[1] + ADMIN_PORT_OFFSET)) for place in places)
+    proxies = tuple(
+        ProxyAddress(listener.name, (listener.address[0], listener.address[1] + ADMIN_PORT_OFFSET)) for listener in listeners
+    )
     fleet = FleetConfig(proxies, None)
     answers = await query_fleet(fleet)
     answers = FleetAnswers(answers.proxies, {"revision": discovery.backend_list.revision})
--- a/sloeferry/fault_testing/plan_run.py
+++ b/sloeferry/fault_testing/plan_run.py
@@ -44,7 +44,7 @@
         tune_garbage_collection()
         began_at = self._loop.time() + START_DELAY_SECONDS
         self._fleet.begin(began_at)
-        self._fleet.judge.monitor_loop_lag(self._loop, "driver")
+        self._fleet.observer.monitor_loop_lag(self._loop, "driver")
         await self._measure(began_at)
         self.figures["began"] = began_at
 
@@ -97,7 +97,7 @@
     finally:
         await fleet.end()
         ports.lock.close()
-    return RunResult(fleet.record_paths(), fleet.fault_targets, run.figures, fleet.tool_errors)
+    return RunResult(fleet.record_paths(), fleet.fault_targets, run.figures, fleet.process_errors)
 
 
 def run_processes(options: RunOptions, folder: pathlib.Path, proxy_tree: str | None = None) -> RunResult:
@@ -132,7 +132,7 @@
         proxy_tree = plant(planted_fault, name) if planted_fault else None
         try:
             result = run_processes(options, folder, proxy_tree)
-            result.tool_errors += logged_errors(folder)
+            result.process_errors += logged_errors(folder)
             return judge_run(options.plan, options.seed, result)
         finally:
             if keep_logs:
--- a/sloeferry/fault_testing/process_fleet.py
+++ b/sloeferry/fault_testing/process_fleet.py
@@ -52,16 +52,16 @@
         self.environment = host
         self.loop = host.loop
         self.port = port
-        self.tool_errors: list[str] = []  # errors of the driver and the workers
+        self.process_errors: list[str] = []  # errors of the driver and the workers
         self.objective_ratios: dict[int, float] = {}  # proxy -> factor of the plan's latency objective
-        self.judge = EventRecorder(plan, options.seed, pathlib.Path(host.folder, "driver.jsonl"), self.loop.time)
+        self.observer = EventRecorder(plan, options.seed, pathlib.Path(host.folder, "driver.jsonl"), self.loop.time)
         self.listeners: list[ProxyListener] = plan_listeners(plan, port)
         targets = TargetSelection(plan, port, host.rng)
         self.fault_targets = targets.targets_by_fault
         self._links = targets.links
         self._links_open = asyncio.Event()
         addresses = self.discovery_addresses()
-        self.discovery = StandInDiscovery(self.loop, plan.discovery, addresses, self.judge, host.rng("roster"))
+        self.discovery = StandInDiscovery(self.loop, plan.discovery, addresses, self.observer, host.rng("roster"))
         host.operator_file.write_text(OPERATOR_SETTINGS)
         self._options = options
         self._backend_workers = self._create_workers(WorkerRole.BACKENDS, plan.rig.nodes)
@@ -76,7 +76,9 @@
 
     def _create_workers(self, role: WorkerRole, count: int) -> list[WorkerProcess]:
         options = self._options
-        places = [(place.name, self._address_for_clients(number), place.zone) for number, place in enumerate(self.listeners)]
+        listeners = [
+            (listener.name, self._address_for_clients(number), listener.zone) for number, listener in enumerate(self.listeners)
+        ]
         return [
             WorkerProcess(
                 self.environment,
@@ -89,7 +91,7 @@
                     seed=options.seed,
                     record_path=str(pathlib.Path(self.environment.folder, f"{role}-{number}.jsonl")),
                     client_workers=self.plan.rig.callers,
-                    places=places,
+                    places=listeners,
                 ),
                 self._on_report,
             )
@@ -102,17 +104,17 @@
 
     def record_paths(self) -> list[str]:
         """Return the paths of all processes' records, the driver's first."""
-        return [str(self.judge.path), *(str(worker.record_path) for worker in self._all_workers)]
+        return [str(self.observer.path), *(str(worker.record_path) for worker in self._all_workers)]
 
     # Reports of workers, and commands to them
 
     def _on_report(self, report: WorkerReport) -> None:
         if report.kind is ReportKind.FAILED:
-            self.tool_errors.append(report.value)
+            self.process_errors.append(report.value)
         elif report.kind is ReportKind.BACKEND_STARTED:
-            self._backends_by_number[report.value].has_started()
+            self._backends_by_number[report.value].start_reported()
         elif report.kind is ReportKind.BACKEND_IDLE:
-            self._backends_by_number[report.value].has_become_idle()
+            self._backends_by_number[report.value].idle_reported()
         elif report.kind is ReportKind.LINKS_OPEN:
             self._links_open.set()
 
@@ -122,7 +124,7 @@
 
     def has_open_requests(self) -> bool:
         """Return True while any worker of clients reports open calls, or has not reported yet."""
-        return any(worker.open_calls != 0 for worker in self._client_workers)
+        return any(worker.open_requests != 0 for worker in self._client_workers)
 
     # Interface of a rehearsal's fleet for scenario faults, proxies and stand-ins
 
@@ -179,13 +181,13 @@
     def _target(self, link: RelayedLink) -> Address:
         if link.backend is not None:
             return self.backends[link.backend].address
-        place = self.listeners[link.proxy]
-        return place.address if link.between == "callers" else self.discovery.addresses[place.name]
+        listener = self.listeners[link.proxy]
+        return listener.address if link.between == "callers" else self.discovery.addresses[listener.name]
 
     def begin(self, now: float) -> None:
         """Start clients and schedule scenario faults, process faults and the audit, relative to that loop time."""
-        self.judge.began_at = now
-        self.judge.note(now, Event.RUN_BEGAN)
+        self.observer.began_at = now
+        self.observer.note(now, Event.RUN_BEGAN)
         for worker in self._client_workers:
             worker.command("begin", now)
         FaultInjector(self).schedule(now)
@@ -195,9 +197,9 @@
             self.loop.call_at(now + self.plan.rig.audit_s, lambda: self.loop.create_task(self._audit()))
 
     async def _audit(self) -> None:
-        self.judge.note(self.loop.time(), Event.AUDIT_BEGAN, self.discovery.backend_list.revision)
+        self.observer.note(self.loop.time(), Event.AUDIT_BEGAN, self.discovery.backend_list.revision)
         result = await audit_running_fleet(self.listeners, self.discovery)
-        self.judge.note(self.loop.time(), Event.AUDIT_ENDED, result)
+        self.observer.note(self.loop.time(), Event.AUDIT_ENDED, result)
 
     async def end(self) -> None:
         """End all processes, and close the records."""
@@ -209,4 +211,4 @@
         until = self.loop.time() + SHUTDOWN_TIMEOUT_SECONDS
         while any(proxy.process for proxy in self.proxies) and self.loop.time() < until:
             await asyncio.sleep(POLL_SECONDS)
-        self.judge.close()
+        self.observer.close()
--- a/sloeferry/fault_testing/record_judge.py
+++ b/sloeferry/fault_testing/record_judge.py
@@ -30,18 +30,18 @@
         self.discovery_unreachable = ProxySpans()
         self.raced_idle_close: set[bytes] = set()  # requests that may have raced an idle close
 
-    def violation(self, rule: str, now: float, text: str) -> None:
+    def rule_violated(self, rule: str, now: float, text: str) -> None:
         """Count a broken rule, and keep it for display with its evidence."""
-        super().violation(rule, now, text)
+        super().rule_violated(rule, now, text)
         self.violation_log.append(Violation(rule, now, text))
 
     def _was_cut_off(self, client_try: ClientTry, now: float) -> bool:
         """Return True if the link between a request's client and its proxy had a fault between its sending and `now`."""
         return self.clients_cut_off.overlaps(client_try.proxy, client_try.sent_at, now)
 
-    def was_proxy_stopped(self, client_try: ClientTry) -> bool:
+    def could_not_answer_in_time(self, client_try: ClientTry) -> bool:
         """Return True if the proxy was stopped or its client link had a fault, so that it could not answer."""
-        return super().was_proxy_stopped(client_try) or self._was_cut_off(client_try, client_try.deadline)
+        return super().could_not_answer_in_time(client_try) or self._was_cut_off(client_try, client_try.deadline)
 
     def attempt_received(self, backend_id: str, zone: str, request_id: bytes, sent_at: float) -> None:
         """Judge an attempt at a backend.
@@ -74,5 +74,5 @@
         if assumed_at is None:
             return None
         assumption_delay_seconds = self.scenario.discovery.deemed_notified_seconds
-        reachable_at = self.discovery_unreachable.end_after(proxy, assumed_at - assumption_delay_seconds)
+        reachable_at = self.discovery_unreachable.end_of_spans_at(proxy, assumed_at - assumption_delay_seconds)
         return assumed_at if reachable_at is None else reachable_at + assumption_delay_seconds
--- a/sloeferry/fault_testing/record_replay.py
+++ b/sloeferry/fault_testing/record_replay.py
@@ -8,12 +8,12 @@
 from typing import NamedTuple
 
 from sloeferry.fault_testing.audit_check import AuditCheck, WrittenList
-from sloeferry.fault_testing.event_recorder import RecordedEvent, call_number
+from sloeferry.fault_testing.event_recorder import RecordedEvent, request_number
 from sloeferry.fault_testing.record_judge import RecordJudge
 from sloeferry.fault_testing.recorded_events import Event
 from sloeferry.rehearsal.proxy_fleet import make_backend_id
 from sloeferry.rehearsal.proxy_spans import NOTIFICATION_GRACE_SECONDS, ProxySpans
-from sloeferry.stand_ins.effect_log import RecentWork
+from sloeferry.stand_ins.run_observer import RecentWork
 from sloeferry.stand_ins.wire_protocol import RequestOutcome
 
 
@@ -62,7 +62,7 @@
 
     def _request_began(self, at: float, request_id: str, proxy: str, deadline: float) -> None:
         self._judge.request_started(
-            request_id.encode(), self._judge.planned_requests[call_number(request_id)], proxy, at, deadline
+            request_id.encode(), self._judge.planned_requests[request_number(request_id)], proxy, at, deadline
         )
 
     def _request_sent(self, at: float, request_id: str, deadline: float) -> None:
@@ -77,7 +77,7 @@
         self._judge.raced_idle_close.add(request_id.encode())
 
     def _response_missing(self, at: float, request_id: str, reason: str) -> None:
-        self._missing_outcomes[call_number(request_id)] = self._judge.response_missing(request_id.encode(), at, reason)
+        self._missing_outcomes[request_number(request_id)] = self._judge.response_missing(request_id.encode(), at, reason)
 
     def _call_ended(self, at: float, number: int, outcome: str, first_sent_at: float, try_count: int) -> None:
         planned = self._judge.planned_requests[number]
@@ -143,12 +143,12 @@
         self._judge.backend_started(backend, at, started_at_ms)
 
     def _rule_violated(self, at: float, rule: str, text: str) -> None:
-        self._judge.violation(rule, at, text)
+        self._judge.rule_violated(rule, at, text)
 
     # Events of discovery
 
     def _endpoint_notified(self, at: float, proxy: str, endpoint: str, state: str, started_at_ms: int) -> None:
-        until = self._lists_held.end_after(proxy, at)
+        until = self._lists_held.end_of_spans_at(proxy, at)
         if until is None:
             self._judge.proxy_notified(proxy, endpoint, state, at, started_at_ms)
             return
--- a/sloeferry/fault_testing/shared_balancer.py
+++ b/sloeferry/fault_testing/shared_balancer.py
@@ -29,9 +29,9 @@
         self,
         loop: asyncio.AbstractEventLoop,
         settings: BalancerSettings,
-        places: list[ProxyListener],
+        listeners: list[ProxyListener],
         on_change: Callable[[str, bool], None],
     ):
-        super().__init__(loop, settings, places)
+        super().__init__(loop, settings, listeners)
         self.alive = ObservedLiveness(self.alive, on_change)
-        self.poll_seconds = max(MIN_POLL_INTERVAL_SECONDS, len(places) / MAX_POLLS_PER_SECOND)
+        self.poll_seconds = max(MIN_POLL_INTERVAL_SECONDS, len(listeners) / MAX_POLLS_PER_SECOND)
--- a/sloeferry/fault_testing/verdict.py
+++ b/sloeferry/fault_testing/verdict.py
@@ -37,7 +37,7 @@
     record_paths: Sequence[pathlib.Path | str]
     targets: list[FaultTargets] = field(default_factory=list)  # by number of the fault
     figures: dict[str, Any] = field(default_factory=dict)  # of the processes, copied into the run's record
-    tool_errors: list[str] = field(default_factory=list)  # of the driver and the workers, and errors that proxies logged
+    process_errors: list[str] = field(default_factory=list)  # of the driver and the workers, and errors that proxies logged
 
 
 def judge_run(plan: Plan, seed: int, result: RunResult) -> dict[str, Any]:
@@ -52,7 +52,7 @@
         replay.replay(event)
     for planned in judge.planned_requests:
         if not planned.outcome:
-            judge.violation(Rule.ONE_ANSWER, last_at, f"call {planned.number} has no recorded end")
+            judge.rule_violated(Rule.ONE_ANSWER, last_at, f"call {planned.number} has no recorded end")
     record = make_record(judge)
     failures = _failures(plan, replay, record, result)
     max_lag_ms = {role: round(ms, 1) for role, ms in sorted(replay.max_lag_ms.items())}
@@ -94,7 +94,7 @@
     failures += replay.stale_attempts[:MAX_SHOWN_STALE_ATTEMPTS]
     if plan.rig.audit_s and replay.audit.result is None:
         failures.append("the audit did not end before the run")
-    failures += [f"internal error of the rig: {error}" for error in result.tool_errors]
+    failures += [f"internal error of the rig: {error}" for error in result.process_errors]
     proxies = plan.proxies.count
     ready = result.figures.get("ready", proxies)
     if ready < proxies:
--- a/sloeferry/fault_testing/worker_processes.py
+++ b/sloeferry/fault_testing/worker_processes.py
@@ -25,7 +25,7 @@
     def __init__(self, host: ProcessHost, config: WorkerConfig, on_report: Callable[[WorkerReport], None]):
         self.config = config
         self.record_path = pathlib.Path(config.record_path)
-        self.open_calls: int | None = None  # None: not reported yet
+        self.open_requests: int | None = None  # None: not reported yet
         self._host = host
         self._on_report = on_report
         self._process: asyncio.subprocess.Process | None = None
@@ -64,8 +64,8 @@
             report = msgspec.json.decode(line, type=WorkerReport)
             if report.kind is ReportKind.READY:
                 self._ready.set()
-            elif report.kind is ReportKind.OPEN_CALLS:
-                self.open_calls = report.value
+            elif report.kind is ReportKind.OPEN_REQUESTS:
+                self.open_requests = report.value
             elif report.kind is ReportKind.FAILED:
                 self._on_report(WorkerReport(report.kind, f"{self.role}: {report.value}"))
             else:
@@ -116,7 +116,7 @@
         self._command("start", is_warm)
         await self._started
 
-    def has_started(self) -> None:
+    def start_reported(self) -> None:
         """Handle the report that the backend listens."""
         self._started.set_result(None)
 
@@ -132,7 +132,7 @@
             self._command("drain")
         return not self._is_idle
 
-    def has_become_idle(self) -> None:
+    def idle_reported(self) -> None:
         """Handle the report that the draining backend is idle."""
         self._is_idle = True
 
--- a/sloeferry/fault_testing/worker_roles.py
+++ b/sloeferry/fault_testing/worker_roles.py
@@ -17,7 +17,7 @@
 from sloeferry.stand_ins.deduplication import DeduplicationStores
 
 DRAIN_CHECK_SECONDS = 0.02
-OPEN_CALLS_REPORT_SECONDS = 0.1
+OPEN_REQUESTS_REPORT_SECONDS = 0.1
 
 
 def send_report(kind: ReportKind, value: Any = None) -> None:
@@ -102,31 +102,31 @@
 
     def __init__(self, *arguments: Any):
         super().__init__(*arguments)
-        places = [ProxyListener(name, tuple(address), zone) for name, address, zone in self._config.places]
-        self._balancer = ConnectionBalancer(self._loop, self._plan.balancer, places)
+        listeners = [ProxyListener(name, tuple(address), zone) for name, address, zone in self._config.places]
+        self._balancer = ConnectionBalancer(self._loop, self._plan.balancer, listeners)
         self._clients = [self._create_clients(index, zone) for index, zone in enumerate(self._plan.network.zones)]
 
     def _create_clients(self, index: int, zone: str) -> StandInClients:
         zone_count = len(self._plan.network.zones)
         config = self._config
-        calls = [
-            call
-            for call in self._recorder.planned_requests
-            if call.client % zone_count == index and call.client // zone_count % config.client_workers == config.number
+        own_requests = [
+            planned
+            for planned in self._recorder.planned_requests
+            if planned.client % zone_count == index and planned.client // zone_count % config.client_workers == config.number
         ]
         rng = Random(f"{config.seed}/callers-{zone}-{config.number}")
-        return StandInClients(self._loop, self._plan, zone, calls, self._balancer, self._recorder, rng)
+        return StandInClients(self._loop, self._plan, zone, own_requests, self._balancer, self._recorder, rng)
 
     async def begin(self, now: float) -> None:
         """Begin the run at that loop time, which is the same clock in all processes of a machine."""
         self._recorder.began_at = now
         for clients in self._clients:
             clients.schedule_requests(now)
-        self._loop.call_at(now + self._plan.seconds, self._report_open_calls)
+        self._loop.call_at(now + self._plan.seconds, self._report_open_requests)
 
-    def _report_open_calls(self) -> None:
-        send_report(ReportKind.OPEN_CALLS, sum(clients.open_request_count for clients in self._clients))
-        self._loop.call_later(OPEN_CALLS_REPORT_SECONDS, self._report_open_calls)
+    def _report_open_requests(self) -> None:
+        send_report(ReportKind.OPEN_REQUESTS, sum(clients.open_request_count for clients in self._clients))
+        self._loop.call_later(OPEN_REQUESTS_REPORT_SECONDS, self._report_open_requests)
 
     async def set_alive(self, proxy: str, is_alive: bool) -> None:
         """Set whether new connections may be assigned to that proxy."""
--- a/sloeferry/load_testing/saturation.py
+++ b/sloeferry/load_testing/saturation.py
@@ -81,10 +81,10 @@
         deployment_now = with_workers_for(deployment, rate)
         for pair in range(pairs):
             pair_plan = replace(constant_load(plan, rate, seconds), seed=plan.seed + pair)
-            row.now.append(run_load(pair_plan, deployment_now))
-            report_line(format_line(factor, row.now[-1], "now"))
+            row.current.append(run_load(pair_plan, deployment_now))
+            report_line(format_line(factor, row.current[-1], "now"))
             if earlier_tree:
-                row.then.append(run_load(pair_plan, replace(deployment_now, source_tree=earlier_tree)))
-                report_line(format_line(factor, row.then[-1], "then"))
+                row.earlier.append(run_load(pair_plan, replace(deployment_now, source_tree=earlier_tree)))
+                report_line(format_line(factor, row.earlier[-1], "then"))
         rows.append(row)
     return rows
--- a/sloeferry/load_testing/stand_in_process.py
+++ b/sloeferry/load_testing/stand_in_process.py
@@ -20,7 +20,7 @@
 from sloeferry.load_testing.proxy_config import MACHINE_KIND, ZONE
 from sloeferry.stand_ins.backends import StandInBackend
 from sloeferry.stand_ins.discovery import StandInDiscovery
-from sloeferry.stand_ins.effect_log import EffectLog
+from sloeferry.stand_ins.run_observer import RunObserver
 from sloeferry.stand_ins.wire_protocol import BackendState, RequestKind
 
 WORK_SIGMA = 0.5  # of the logarithm of the service time
@@ -51,7 +51,7 @@
         return cls(**document | {"backends": backends, "discovery": (host, port), "faults": faults})
 
 
-class RequestCounter(EffectLog):
+class RequestCounter(RunObserver):
     """Effect log for requests of a single class; counts the attempts that executed a request again."""
 
     def __init__(self, task: StandInTask):
@@ -104,7 +104,7 @@
 
 
 def _build_backend(loop: asyncio.AbstractEventLoop, task: StandInTask, index: int, counter: RequestCounter) -> StandInBackend:
-    kind = SimpleNamespace(
+    settings = SimpleNamespace(
         machine_kind=MACHINE_KIND,
         cores=task.cores,
         queue_per_core=task.queue / task.cores,
@@ -118,7 +118,7 @@
         congestion=None,
     )
     rng = Random(f"{task.seed} {index}")
-    return StandInBackend(loop, kind, f"b{index}", task.backends[index], ZONE, counter, {}, None, rng)
+    return StandInBackend(loop, settings, f"b{index}", task.backends[index], ZONE, counter, {}, None, rng)
 
 
 def _schedule_fault(loop: asyncio.AbstractEventLoop, fault: BackendFault, backend: StandInBackend) -> None:
--- a/sloeferry/load_testing/step_report.py
+++ b/sloeferry/load_testing/step_report.py
@@ -14,8 +14,8 @@
     """Runs at one multiple of saturation."""
 
     factor: float
-    now: list[LoadFigures]
-    then: list[LoadFigures]  # with the earlier revision
+    current: list[LoadFigures]
+    earlier: list[LoadFigures]  # of the earlier revision
 
 
 class RatioSpread(NamedTuple):
@@ -42,7 +42,7 @@
 
 def goodput_to_best_ratios(rows: Sequence[StepRuns]) -> dict[float, float]:
     """Return, by factor, the ratio of goodput to the best goodput: the part that remains under overload."""
-    goodputs = [median(figures.in_time_per_second for figures in row.now) for row in rows]
+    goodputs = [median(figures.in_time_per_second for figures in row.current) for row in rows]
     best = max(*goodputs, 1e-9)
     return {row.factor: goodput / best for row, goodput in zip(rows, goodputs, strict=True)}
 
@@ -51,8 +51,8 @@
     """Return, by factor, the spread of the ratios between pairs, without factors that have no pair to divide."""
     spreads = {}
     for row in rows:
-        pairs = [(metric(now), metric(then)) for now, then in zip(row.now, row.then, strict=False)]
-        ratios = sorted(now / then for now, then in pairs if now is not None and then)
+        pairs = [(metric(current), metric(earlier)) for current, earlier in zip(row.current, row.earlier, strict=False)]
+        ratios = sorted(current / earlier for current, earlier in pairs if current is not None and earlier)
         if ratios:
             spreads[row.factor] = RatioSpread(ratios[0], median(ratios), ratios[-1])
     return spreads
@@ -124,7 +124,7 @@
             "held": self._goodput_ratios(),
             "cpu": self.cpu_ratios(),
             "goodput": self.goodput_ratios(),
-            "rows": [(row.factor, _records(row.now), _records(row.then)) for row in self.rows],
+            "rows": [(row.factor, _records(row.current), _records(row.earlier)) for row in self.rows],
         }
 
 
--- a/sloeferry/rehearsal/arrivals.py
+++ b/sloeferry/rehearsal/arrivals.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from sloeferry.rehearsal.scenario import Scenario
-from sloeferry.rehearsal.scenario_faults import FailingRequests, HeavyRequests, RequestFault, TenantDelay
+from sloeferry.rehearsal.scenario_faults import FailingRequests, HeavyRequests, RequestFault, TenantExtraWork
 from sloeferry.rehearsal.scenario_tables import RequestClass
 from sloeferry.stand_ins.wire_protocol import RequestOutcome
 
@@ -133,7 +133,7 @@
                 continue
             if isinstance(fault, HeavyRequests):
                 work_ms *= fault.times
-            elif isinstance(fault, TenantDelay):
+            elif isinstance(fault, TenantExtraWork):
                 work_ms += fault.delay_ms
             else:
                 always_fails = True
--- a/sloeferry/rehearsal/backend_faults.py
+++ b/sloeferry/rehearsal/backend_faults.py
@@ -159,7 +159,7 @@
         fleet = self._fleet
         self._loop.create_task(backend.start())
         started_at = fleet.environment.unix_time()
-        fleet.judge.backend_started(backend.backend_id, self._loop.time(), round(started_at * 1000))
+        fleet.observer.backend_started(backend.backend_id, self._loop.time(), round(started_at * 1000))
         delay_seconds = fleet.scenario.discovery.start_delay_seconds
         fleet.discovery.publish_later(backend, BackendState.READY, delay_seconds, started_at)
 
--- a/sloeferry/rehearsal/judge.py
+++ b/sloeferry/rehearsal/judge.py
@@ -12,9 +12,9 @@
 from sloeferry.rehearsal.proxy_spans import ProxySpans
 from sloeferry.rehearsal.scenario import Scenario
 from sloeferry.rehearsal.scenario_tables import RequestClass
-from sloeferry.stand_ins.effect_log import EffectLog, RecentWork
 from sloeferry.stand_ins.http_messages import make_request_body
 from sloeferry.stand_ins.rules import Rule
+from sloeferry.stand_ins.run_observer import RecentWork, RunObserver
 from sloeferry.stand_ins.wire_protocol import REJECTED_STATUSES, STATUS_OK, RequestKind, RequestOutcome, outcome_of_status
 
 MAX_VIOLATION_TEXTS = 20
@@ -42,7 +42,7 @@
     return request_id.decode("latin-1")
 
 
-class Judge(EffectLog):
+class Judge(RunObserver):
     """Counts what stand-ins report, and records each violation of a rule."""
 
     def __init__(self, scenario: Scenario, planned_requests: Sequence[PlannedRequest]):
@@ -68,14 +68,14 @@
         self.congested_backends: set[str] = set()
         self._drain_grace_seconds = obligations.drain_grace_ms / 1000
 
-    def violation(self, rule: str, now: float, text: str) -> None:
+    def rule_violated(self, rule: str, now: float, text: str) -> None:
         """Count a violation of a rule, and keep its text if it is one of the first."""
         self.violation_counts[rule] += 1
         if len(self.violation_texts) < MAX_VIOLATION_TEXTS:
             label = f"rule {rule}" if rule.isdigit() else rule
             self.violation_texts.append(f"{now - self.began_at:9.4f} {label}: {text}")
 
-    # Queries of backends (EffectLog)
+    # Queries of backends (RunObserver)
 
     def request_class(self, request_id: bytes | None) -> RequestClass | None:
         """Return the class of a request; None for an id that no client has used."""
@@ -123,16 +123,16 @@
         client_try, request_class = self.tries[request_id], self.request_class(request_id)
         name = format_request_id(request_id)
         if client_try.answered_at:
-            self.violation(Rule.ONE_ANSWER, now, f"{name} was answered twice")
+            self.rule_violated(Rule.ONE_ANSWER, now, f"{name} was answered twice")
         client_try.answered_at = now
         client_try.status = status
-        if now > client_try.deadline + self.slack_seconds and not self.was_proxy_stopped(client_try):
+        if now > client_try.deadline + self.slack_seconds and not self.could_not_answer_in_time(client_try):
             late_ms = 1000 * (now - client_try.deadline)
-            self.violation(Rule.ONE_ANSWER, now, f"{name} was answered {late_ms:.0f} ms past its expiry")
+            self.rule_violated(Rule.ONE_ANSWER, now, f"{name} was answered {late_ms:.0f} ms past its expiry")
         if status == STATUS_OK:
             never_ran = not client_try.run_count and request_class.kind != RequestKind.DEDUPLICATED
             if never_ran or body != request_id.ljust(request_class.response_bytes):
-                self.violation(Rule.ONE_ANSWER, now, f"{name} was served a response that no node sent for it")
+                self.rule_violated(Rule.ONE_ANSWER, now, f"{name} was served a response that no node sent for it")
         elif status in REJECTED_STATUSES and client_try.run_count:
             self._check_rejected_and_ran(request_id, now, request_class)
         return outcome_of_status(status)
@@ -153,9 +153,11 @@
         client_try = self.tries[request_id]
         if self.was_proxy_killed(client_try):
             return RequestOutcome.PROXY_KILLED
-        if self.was_proxy_stopped(client_try):
+        if self.could_not_answer_in_time(client_try):
             return RequestOutcome.PROXY_STOPPED
-        self.violation(Rule.ONE_ANSWER, now, f"{format_request_id(request_id)} got no answer from {client_try.proxy}: {reason}")
+        self.rule_violated(
+            Rule.ONE_ANSWER, now, f"{format_request_id(request_id)} got no answer from {client_try.proxy}: {reason}"
+        )
         return RequestOutcome.UNANSWERED
 
     def request_ended(self, planned: PlannedRequest, outcome: RequestOutcome, now: float) -> None:
@@ -167,7 +169,7 @@
         """Return whether the proxy was killed while it had the request."""
         return self.killed_at.get(client_try.proxy, -1.0) >= client_try.sent_at - self.slack_seconds
 
-    def was_proxy_stopped(self, client_try: ClientTry) -> bool:
+    def could_not_answer_in_time(self, client_try: ClientTry) -> bool:
         """Return whether the proxy's machine was paused at the request's deadline, or for half of the time until then.
 
         Such a proxy cannot answer in time.
@@ -179,13 +181,13 @@
         overlaps = (min(span.until, deadline) - max(span.since, sent_at) for span in spans)
         return sum(max(0.0, overlap) for overlap in overlaps) >= (deadline - sent_at) / 2
 
-    # Reports of backends (EffectLog)
+    # Reports of backends (RunObserver)
 
     def body_received(self, backend_id: str, request_id: bytes | None, body: bytes, now: float) -> None:
         """Check that a request's body is the one that its client sent."""
         if self.request_class(request_id) and body != make_request_body(request_id, self.body_bytes(request_id)):
             text = f"{backend_id} got {len(body)} bytes as the body of {format_request_id(request_id)}, not those its client sent"
-            self.violation(Rule.PROTOCOL, now, text)
+            self.rule_violated(Rule.PROTOCOL, now, text)
 
     def attempt_received(self, backend_id: str, zone: str, request_id: bytes, sent_at: float) -> None:
         """Check an attempt against rules 1 and 3; its first byte arrived at `sent_at`."""
@@ -194,17 +196,19 @@
         self.attempt_count += 1
         sent = f"{format_request_id(request_id)} was sent to {backend_id}"
         if sent_at > client_try.deadline + self.slack_seconds:
-            self.violation(Rule.ONE_ANSWER, sent_at, f"{sent} {1000 * (sent_at - client_try.deadline):.0f} ms past its expiry")
+            self.rule_violated(
+                Rule.ONE_ANSWER, sent_at, f"{sent} {1000 * (sent_at - client_try.deadline):.0f} ms past its expiry"
+            )
         if client_try.answered_at and sent_at > client_try.answered_at + self.slack_seconds:
-            self.violation(Rule.ONE_ANSWER, sent_at, f"{sent} after its answer")
+            self.rule_violated(Rule.ONE_ANSWER, sent_at, f"{sent} after its answer")
         self.cross_zone_count += self.proxy_zones[client_try.proxy] != zone
-        notified_at = self.end_notified_at(client_try.proxy, backend_id)
+        notified_at = self.end_known_at(client_try.proxy, backend_id)
         if notified_at is not None and sent_at > notified_at + self._drain_grace_seconds + self.slack_seconds:
-            self.violation(
+            self.rule_violated(
                 Rule.NO_SEND_AFTER_DRAIN, sent_at, f"{sent} {1000 * (sent_at - notified_at):.0f} ms after its proxy was told"
             )
 
-    def end_notified_at(self, proxy: str, backend_id: str) -> float | None:
+    def end_known_at(self, proxy: str, backend_id: str) -> float | None:
         """Return the time from which a proxy knows, or counts as knowing, that a backend takes no new requests.
 
         None if the backend takes requests.
@@ -223,7 +227,7 @@
         if client_try.run_count > 1:
             self.repeated_run_count += 1
             if request_class.kind != RequestKind.IDEMPOTENT:
-                self.violation(
+                self.rule_violated(
                     Rule.NO_REPEATED_EFFECT,
                     now,
                     f"{format_request_id(request_id)}, {request_class.kind}, ran again, on {backend_id}",
@@ -235,7 +239,7 @@
         is_deduplicated = request_class.kind == RequestKind.DEDUPLICATED
         is_known_everywhere = is_deduplicated and request_class.deduplication_group == "all"
         if request_class.kind != RequestKind.IDEMPOTENT and not is_known_everywhere:
-            self.violation(
+            self.rule_violated(
                 Rule.NO_REPEATED_EFFECT, now, f"{format_request_id(request_id)}, {request_class.kind}, was declined and has run"
             )
 
@@ -261,7 +265,9 @@
         informed_work_ms = sum(work.work_ms for work in recent if self._knew_start(backend_id, work))
         numerator, denominator = INFORMED_WORK_RATIO
         if informed_work_ms >= sum(work.work_ms for work in recent) * numerator / denominator:
-            self.violation(Rule.NO_OVERLOAD_IN_WARM_UP, now, f"{backend_id} fell over at {capacity_ratio:.2f} of its capacity")
+            self.rule_violated(
+                Rule.NO_OVERLOAD_IN_WARM_UP, now, f"{backend_id} fell over at {capacity_ratio:.2f} of its capacity"
+            )
 
     def _knew_start(self, backend_id: str, work: RecentWork) -> bool:
         return self.notifications.knew_start(self.tries[work.request_id].proxy, backend_id, work.received_at)
@@ -290,5 +296,5 @@
 
     def proxy_crashed(self, proxy: str, now: float, reason: str) -> None:
         """Record the violation that a proxy process ended by itself."""
-        self.violation(Rule.CRASH, now, f"{proxy} ended: {reason}")
+        self.rule_violated(Rule.CRASH, now, f"{proxy} ended: {reason}")
         self.proxy_killed(proxy, now)
--- a/sloeferry/rehearsal/live.py
+++ b/sloeferry/rehearsal/live.py
@@ -117,7 +117,7 @@
             self.start()
             return
         self._report_end_to_balancer()
-        self.fleet.judge.proxy_crashed(self.name, self._loop.time(), f"exit {exit_code}")
+        self.fleet.observer.proxy_crashed(self.name, self._loop.time(), f"exit {exit_code}")
 
     async def _create_process(self) -> asyncio.subprocess.Process:
         arguments, environ, working_directory = self.environment.command(self)
@@ -144,7 +144,7 @@
         """Kill the process and report the kill to the judge and the connection balancer."""
         if self.process and not self._was_killed:
             self._was_killed = True
-            self.fleet.judge.proxy_killed(self.name, self._loop.time())
+            self.fleet.observer.proxy_killed(self.name, self._loop.time())
             self.send_signal()
             self._report_end_to_balancer()
 
@@ -164,7 +164,7 @@
         """Stop the process with SIGSTOP for a time, and report this to the judge."""
         if self.process:
             now = self._loop.time()
-            self.fleet.judge.proxy_stopped(self.name, now, now + seconds)
+            self.fleet.observer.proxy_stopped(self.name, now, now + seconds)
             os.killpg(self.process.pid, signal.SIGSTOP)
             self._loop.call_later(seconds, self.send_signal, signal.SIGCONT)
 
--- a/sloeferry/rehearsal/proxy_faults.py
+++ b/sloeferry/rehearsal/proxy_faults.py
@@ -87,12 +87,12 @@
             idle = [connection for pool in clients.pools.values() for connection in pool if connection.proxy == proxy.name]
             if idle:
                 self._violation(f"{proxy.name} is quiesced, and still has {len(idle)} idle connections of clients")
-        last_request_at = self._fleet.judge.last_request_at(proxy.name)
+        last_request_at = self._fleet.observer.last_request_at(proxy.name)
         if last_request_at > self._loop.time() - QUIESCE_SECONDS / 2 or not has_quiesced:
             self._violation(f"{proxy.name} did not accept POST /admin/quiesce, or still takes requests")
 
     def _violation(self, text: str) -> None:
-        self._fleet.judge.violation(Rule.DRAIN, self._loop.time(), text)
+        self._fleet.observer.rule_violated(Rule.QUIESCE, self._loop.time(), text)
 
     async def _call_admin(self, proxy: "ProxyHandle", name: bytes) -> bool:
         """Send a request to a proxy's admin address, and return whether its status is 2xx."""
--- a/sloeferry/rehearsal/proxy_fleet.py
+++ b/sloeferry/rehearsal/proxy_fleet.py
@@ -87,9 +87,9 @@
         self.environment = environment
         self.loop = environment.loop
         self.port = port
-        self.judge = Judge(scenario, plan_requests(scenario, environment.rng("arrivals")))
+        self.observer = Judge(scenario, plan_requests(scenario, environment.rng("arrivals")))
         self.listeners = plan_listeners(scenario, port)
-        self.judge.proxy_zones = {listener.name: listener.zone for listener in self.listeners}
+        self.observer.proxy_zones = {listener.name: listener.zone for listener in self.listeners}
         self._deduplication_stores = DeduplicationStores()
         self._backend_count = 0
         zones = scenario.network.zones
@@ -97,7 +97,7 @@
             environment.event_loop_for("roster", (loopback_address(DISCOVERY_BLOCK, 0), 0), zones[0]),
             scenario.discovery,
             self.discovery_addresses(),
-            self.judge,
+            self.observer,
             environment.rng("roster"),
         )
         self.backends = [self.make_backend(settings, zone) for settings, zone in plan_backends(scenario)]
@@ -113,10 +113,10 @@
 
     def _make_clients(self, index: int, zone: str) -> StandInClients:
         zone_count = len(self.scenario.network.zones)
-        planned = [request for request in self.judge.planned_requests if request.client % zone_count == index]
+        planned = [request for request in self.observer.planned_requests if request.client % zone_count == index]
         loop = self.environment.event_loop_for(f"callers-{zone}", (loopback_address(CLIENTS_BLOCK, index), 0), None)
         rng = self.environment.rng(f"callers-{zone}")
-        return StandInClients(loop, self.scenario, zone, planned, self.balancer, self.judge, rng)
+        return StandInClients(loop, self.scenario, zone, planned, self.balancer, self.observer, rng)
 
     def make_backend(self, settings: Backends, zone: str) -> StandInBackend:
         """Return another backend, not started."""
@@ -130,7 +130,7 @@
             backend_id,
             address,
             zone,
-            self.judge,
+            self.observer,
             self._deduplication_stores.for_zone(zone),
             self.scenario.obligations,
             self.environment.rng(f"node-{index}"),
@@ -212,7 +212,7 @@
 
     def begin(self, now: float) -> None:
         """Start the clients' load and the faults at that time of the event loop."""
-        self.judge.began_at = now
+        self.observer.began_at = now
         for clients in self.clients:
             clients.schedule_requests(now)
         FaultInjector(self).schedule(now)
@@ -224,8 +224,8 @@
     def record(self, now: float) -> dict[str, Any]:
         """Return the record of the run; requests without an outcome count as violations."""
         for request in [request for clients in self.clients for request in clients.planned_requests if not request.outcome]:
-            self.judge.violation(Rule.ONE_ANSWER, now, f"txn {request.number} had no end")
-        return make_record(self.judge)
+            self.observer.rule_violated(Rule.ONE_ANSWER, now, f"txn {request.number} had no end")
+        return make_record(self.observer)
 
     def last_request_timeout_seconds(self) -> float:
         """Return how long the last request may take, all its attempts included."""
--- a/sloeferry/rehearsal/proxy_spans.py
+++ b/sloeferry/rehearsal/proxy_spans.py
@@ -36,6 +36,6 @@
         """Return whether a span overlaps the time from `since` to `until`."""
         return any(span.since <= until and span.until >= since for span in self._spans[proxy])
 
-    def end_after(self, proxy: str, at: float) -> float | None:
+    def end_of_spans_at(self, proxy: str, at: float) -> float | None:
         """Return the latest end of the spans that contain the time `at`; None if there is none."""
         return max((span.until for span in self._spans[proxy] if span.since <= at < span.until), default=None)
--- a/sloeferry/rehearsal/report.py
+++ b/sloeferry/rehearsal/report.py
@@ -48,7 +48,7 @@
     began_at = time.monotonic()
 
     def show_progress(seconds: float, fleet: ProxyFleet) -> None:
-        ended = sum(1 for request in fleet.judge.planned_requests if request.outcome)
+        ended = sum(1 for request in fleet.observer.planned_requests if request.outcome)
         elapsed = time.monotonic() - began_at
         click.echo(f"\r{label}: {seconds:5.1f} s of the run in {elapsed:.0f} s, {ended} txns ended ", nl=False, err=True)
 
--- a/sloeferry/rehearsal/scenario.py
+++ b/sloeferry/rehearsal/scenario.py
@@ -13,7 +13,7 @@
 from msgspec import Meta, field
 
 from sloeferry.errors import UsageError
-from sloeferry.rehearsal.scenario_faults import HeavyRequests, LossyZoneLink, ScenarioFault, TenantDelay
+from sloeferry.rehearsal.scenario_faults import HeavyRequests, LossyZoneLink, ScenarioFault, TenantExtraWork
 from sloeferry.rehearsal.scenario_tables import (
     Backends,
     BalancerSettings,
@@ -191,7 +191,7 @@
             self._fail(f"{key}.at", "comes after the end")
         if isinstance(fault, HeavyRequests) and fault.class_name not in self._class_names:
             self._fail(f"{key}.scheme", f"{fault.class_name!r} is not the name of a scheme")
-        if isinstance(fault, TenantDelay) and fault.tenant_name not in self._tenant_names:
+        if isinstance(fault, TenantExtraWork) and fault.tenant_name not in self._tenant_names:
             self._fail(f"{key}.customer", f"{fault.tenant_name!r} is no customer")
         if isinstance(fault, LossyZoneLink) and not fault.zone:
             self._fail(f"{key}.zone", "missing: the way to which zone?")
--- a/sloeferry/rehearsal/scenario_faults.py
+++ b/sloeferry/rehearsal/scenario_faults.py
@@ -119,7 +119,7 @@
     """A part of all requests fails at once at every backend, without costing work or counting for service."""
 
 
-class TenantDelay(LastingFault, tag="waits"):
+class TenantExtraWork(LastingFault, tag="waits"):
     """A part of one tenant's requests occupies a place longer, at every backend."""
 
     tenant_name: str = field(default="", name="customer")
@@ -170,7 +170,7 @@
     extra_delay_seconds: Positive = field(default=5.0, name="more_s")
 
 
-RequestFault = HeavyRequests | FailingRequests | TenantDelay  # faults that are applied when requests are generated
+RequestFault = HeavyRequests | FailingRequests | TenantExtraWork  # faults that are applied when requests are generated
 ScenarioFault = (
     BackendStalls
     | NoisyNeighbour
--- a/sloeferry/rehearsal/simulated_process.py
+++ b/sloeferry/rehearsal/simulated_process.py
@@ -43,7 +43,7 @@
         self._timer_count = 0
         self._is_running = False
         self._cpu_seconds = 0.0  # spent in this iteration
-        self._idle_at = 0.0
+        self._busy_until = 0.0
         self._next_iteration: ScheduledCall | None = None
         self._tasks: dict[asyncio.Task, None] = {}
         self._signal_handlers: dict[int, partial] = {}
@@ -128,7 +128,7 @@
 
     def _wake(self, when: float) -> None:
         """Schedule the next iteration for `when`, or for the time at which the process is free if that is later."""
-        when = max(when, self._idle_at, self.scheduler.now)
+        when = max(when, self._busy_until, self.scheduler.now)
         if self._next_iteration is not None:
             if self._next_iteration.at <= when:
                 return
@@ -138,8 +138,8 @@
     def _run_iteration(self) -> None:
         scheduler = self.scheduler
         self._next_iteration = None
-        if scheduler.now < self._idle_at:  # the process was paused after this iteration had been scheduled
-            self._wake(self._idle_at)
+        if scheduler.now < self._busy_until:  # the process was paused after this iteration had been scheduled
+            self._wake(self._busy_until)
             return
         self._is_running = True
         self._cpu_seconds = 0.0
@@ -151,12 +151,12 @@
             events._set_running_loop(None)
             scheduler.current = None
             self._is_running = False
-            self._idle_at = max(self._idle_at, scheduler.now + self._cpu_seconds)
+            self._busy_until = max(self._busy_until, scheduler.now + self._cpu_seconds)
             self._cpu_seconds = 0.0
         if self.is_dead:
             return
         if self._ready or self._incoming:
-            self._wake(self._idle_at)
+            self._wake(self._busy_until)
         elif self._timers:
             self._wake(self._timers[0][0])
 
@@ -192,11 +192,11 @@
 
     def pause(self, seconds: float) -> None:
         """Give the process no CPU time for `seconds`; it isn't notified, as with SIGSTOP."""
-        self._idle_at = max(self._idle_at, self.scheduler.now + seconds)
+        self._busy_until = max(self._busy_until, self.scheduler.now + seconds)
         if self._next_iteration is not None:
             self.scheduler.cancel(self._next_iteration)
             self._next_iteration = None
-            self._wake(self._idle_at)
+            self._wake(self._busy_until)
 
     # End of the process
 
--- a/sloeferry/rehearsal/simulated_socket.py
+++ b/sloeferry/rehearsal/simulated_socket.py
@@ -44,7 +44,7 @@
         self.local_address: Address | None = None
         self.remote_address: Address | None = None
         self.inbox: deque[bytes] = deque()
-        self.unread_bytes = 0  # sent from this end and not read by the peer
+        self.bytes_unread_by_peer = 0  # sent from this end and not read by the peer
         self.last_arrival_at = 0.0  # arrival time of the last segment sent, seconds
         self.is_established = False
         self.is_closed = False
@@ -141,10 +141,10 @@
             raise os_error(errno.ENOTCONN)
         if self._has_sent_end:
             raise os_error(errno.EPIPE)
-        count = min(len(data), WINDOW_BYTES - self.unread_bytes)
+        count = min(len(data), WINDOW_BYTES - self.bytes_unread_by_peer)
         if count <= 0:
             raise WOULD_BLOCK
-        self.unread_bytes += count
+        self.bytes_unread_by_peer += count
         self._send_in_segments(bytes(data[:count]))
         return count
 
@@ -280,7 +280,7 @@
         """Open the peer's send window by the number of bytes read."""
         if self.peer is None:
             return
-        self.peer.unread_bytes -= count
+        self.peer.bytes_unread_by_peer -= count
         if self.peer.waiters.is_waiting_to_write():
             self.network.scheduler.call_later(self.network.same_zone_seconds, self.peer.waiters.notify_writable)
 
--- a/sloeferry/rehearsal/simulation.py
+++ b/sloeferry/rehearsal/simulation.py
@@ -105,7 +105,7 @@
             self._scheduler.call_later(RESTART_DELAY_SECONDS, self.start)
         else:
             self._report_end_to_balancer()
-            self.fleet.judge.proxy_crashed(self.name, self._scheduler.now, process.exit_reason)
+            self.fleet.observer.proxy_crashed(self.name, self._scheduler.now, process.exit_reason)
 
     def _report_end_to_balancer(self) -> None:
         self.fleet.balancer.proxy_ended(self.name, self.fleet.scenario.balancer.failure_notice_seconds)
@@ -114,7 +114,7 @@
         """Kill the process and report the kill to the judge and the connection balancer."""
         if self.process.is_dead:
             return
-        self.fleet.judge.proxy_killed(self.name, self._scheduler.now)
+        self.fleet.observer.proxy_killed(self.name, self._scheduler.now)
         self.process.kill()
         self._report_end_to_balancer()
 
@@ -136,7 +136,7 @@
     def pause(self, seconds: float) -> None:
         """Give the process no CPU time for a time, and report this to the judge."""
         now = self._scheduler.now
-        self.fleet.judge.proxy_stopped(self.name, now, now + seconds)
+        self.fleet.observer.proxy_stopped(self.name, now, now + seconds)
         self.process.pause(seconds)
 
     def limit_cpu(self, share: float) -> None:
--- a/sloeferry/stand_ins/backend_connection.py
+++ b/sloeferry/stand_ins/backend_connection.py
@@ -56,7 +56,7 @@
             self._request_began_at = None
             if backend.is_up:
                 request_id = message.fields.get(wire_protocol.REQUEST_ID)
-                backend.effect_log.body_received(backend.backend_id, request_id, message.body, backend.loop.time())
+                backend.observer.body_received(backend.backend_id, request_id, message.body, backend.loop.time())
                 self._is_busy = True
                 backend.request_received(self, message, began_at)
 
--- a/sloeferry/stand_ins/backends.py
+++ b/sloeferry/stand_ins/backends.py
@@ -11,9 +11,9 @@
 from sloeferry.stand_ins.backend_connection import BackendConnection
 from sloeferry.stand_ins.congestion import CongestionModel
 from sloeferry.stand_ins.deduplication import DeduplicationStore
-from sloeferry.stand_ins.effect_log import EffectLog
 from sloeferry.stand_ins.http_messages import Message
 from sloeferry.stand_ins.request_handler import LinkFault, RequestHandler
+from sloeferry.stand_ins.run_observer import RunObserver
 from sloeferry.stand_ins.warm_up import WarmUpModel
 from sloeferry.stand_ins.work_queue import Job, WorkQueue
 
@@ -43,7 +43,7 @@
         backend_id: str,
         address: tuple[str, int],
         zone: str,
-        effect_log: EffectLog,
+        observer: RunObserver,
         deduplication_stores: Mapping[str, DeduplicationStore],
         obligations: "Obligations | None",
         rng: Random,
@@ -54,7 +54,7 @@
         self.backend_id = backend_id
         self.address = address
         self.zone = zone
-        self.effect_log = effect_log
+        self.observer = observer
         self.connections: dict[BackendConnection, None] = {}  # an ordered set
         self.is_up = False
         self.is_draining = False
@@ -174,7 +174,7 @@
         if not self._congestion.should_toggle(now, len(self.work.waiting), self.in_flight()):
             return
         if not self._congestion.is_active:
-            self.effect_log.congestion_began(self.backend_id)
+            self.observer.congestion_began(self.backend_id)
         self.work.record_progress()
         self._congestion.toggle(now)
         self.work.schedule()
@@ -199,18 +199,18 @@
         """Update the load report if the last one has expired."""
         self._requests.load_report()
 
-    def should_run(self, job: Job) -> bool:
+    def run_or_reject(self, job: Job) -> bool:
         """Return whether to run a request that has waited; reject it if expired requests are dropped and it has expired."""
         if not self.settings.drops_expired:
             return True
-        if job.connection.is_gone or self.effect_log.is_expired(job.request_id, self.loop.time()):
+        if job.connection.is_gone or self.observer.is_expired(job.request_id, self.loop.time()):
             self._requests.reject(job.connection)
             return False
         return True
 
     def job_began(self, job: Job) -> None:
         """Log that a request begins to run."""
-        self.effect_log.request_ran(self.backend_id, job.request_id, self.loop.time())
+        self.observer.request_ran(self.backend_id, job.request_id, self.loop.time())
 
     def job_done(self, job: Job) -> None:
         """Answer a request that is done, and the repeats that have waited for it."""
@@ -218,4 +218,4 @@
 
     def work_done(self, work_ms: float) -> None:
         """Log an amount of work done."""
-        self.effect_log.work_done(work_ms)
+        self.observer.work_done(work_ms)
--- a/sloeferry/stand_ins/clients.py
+++ b/sloeferry/stand_ins/clients.py
@@ -13,8 +13,8 @@
 from sloeferry.stand_ins.client_connection import ClientConnection, NoResponse, Response
 from sloeferry.stand_ins.client_requests import make_request, make_request_id
 from sloeferry.stand_ins.connection_balancer import CONNECT_TIMEOUT_SECONDS, ConnectionBalancer, ProxyListener
-from sloeferry.stand_ins.effect_log import ClientLog
 from sloeferry.stand_ins.rules import Rule
+from sloeferry.stand_ins.run_observer import ClientLog
 from sloeferry.stand_ins.wire_protocol import RequestKind, RequestOutcome
 
 if TYPE_CHECKING:
@@ -140,7 +140,7 @@
             return None
 
     def _unexpected_response(self, connection: ClientConnection) -> None:
-        self._log.violation(Rule.ONE_ANSWER, self._loop.time(), f"{connection.proxy} sent a response without a request")
+        self._log.rule_violated(Rule.ONE_ANSWER, self._loop.time(), f"{connection.proxy} sent a response without a request")
 
     async def _exchange(
         self, connection: ClientConnection, planned: "PlannedRequest", try_number: int, timeout_seconds: float
@@ -196,5 +196,5 @@
         try:
             return TryResult(outcome, float(retry_after))
         except ValueError:
-            self._log.violation(Rule.PROTOCOL, now, f"Retry-After: {retry_after!r}")
+            self._log.rule_violated(Rule.PROTOCOL, now, f"Retry-After: {retry_after!r}")
             return TryResult(outcome)
--- a/sloeferry/stand_ins/discovery.py
+++ b/sloeferry/stand_ins/discovery.py
@@ -11,8 +11,8 @@
 
 from sloeferry.stand_ins.backend_list import BackendEntry, BackendList, ListDocument, ListView, make_backend_entry, with_addresses
 from sloeferry.stand_ins.call_failures import CallFailure, inject_failure
-from sloeferry.stand_ins.effect_log import EffectLog
 from sloeferry.stand_ins.http_messages import Message, MessageReader, make_response
+from sloeferry.stand_ins.run_observer import RunObserver
 from sloeferry.stand_ins.wire_protocol import ENDPOINTS_PATH, BackendState
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
         loop: asyncio.AbstractEventLoop,
         settings: "DiscoverySettings",
         addresses: Mapping[str, tuple[str, int]],
-        effect_log: EffectLog,
+        observer: RunObserver,
         rng: Random,
     ):
         self.loop = loop
@@ -43,7 +43,7 @@
         self.failures: dict[str, CallFailure] = {}  # by proxy: the way in which each of its calls fails
         self.extra_delay_seconds = 0.0  # added to the delay after which a change is listed
         self._settings = settings
-        self._effect_log = effect_log
+        self._observer = observer
         self._rng = rng
         self._servers: dict[str, asyncio.AbstractServer] = {}  # by proxy
         self._busy_until = 0.0
@@ -116,7 +116,7 @@
         entry = make_backend_entry(backend_id, backend.address, backend.zone, backend.settings.machine_kind, state, started_at_ms)
         now = self.loop.time()
         self.backend_list.publish(entry, now)
-        self._effect_log.state_published(backend_id, state, now)
+        self._observer.state_published(backend_id, state, now)
         for watch in list(self.watches):
             view = self._views.get(watch.proxy)
             delay_seconds = view.delay_seconds if view else 0.0
@@ -164,15 +164,15 @@
         now = self.loop.time()
         sent = self._sent_entries.setdefault(proxy, {})
         self._sent_revision[proxy] = document["revision"]
-        self._effect_log.list_sent(proxy, document["revision"], now)
+        self._observer.list_sent(proxy, document["revision"], now)
         if document["complete"]:
             listed = {entry["id"] for entry in document["members"]}
             for backend_id in [backend_id for backend_id in sent if backend_id not in listed]:
                 del sent[backend_id]
-                self._effect_log.proxy_notified(proxy, backend_id, BackendState.GONE, now)
+                self._observer.proxy_notified(proxy, backend_id, BackendState.GONE, now)
         for entry in document["members"]:
             backend_id = entry["id"]
-            self._effect_log.proxy_notified(proxy, backend_id, entry["phase"], now, entry["up_since_ms"])
+            self._observer.proxy_notified(proxy, backend_id, entry["phase"], now, entry["up_since_ms"])
             sent[backend_id] = entry
             if entry["phase"] == BackendState.GONE:
                 del sent[backend_id]
--- a/sloeferry/stand_ins/request_handler.py
+++ b/sloeferry/stand_ins/request_handler.py
@@ -10,9 +10,9 @@
 
 from sloeferry.stand_ins import wire_protocol
 from sloeferry.stand_ins.deduplication import DeduplicationStore
-from sloeferry.stand_ins.effect_log import RecentWork
 from sloeferry.stand_ins.http_messages import Message, make_response
 from sloeferry.stand_ins.rules import Rule
+from sloeferry.stand_ins.run_observer import RecentWork
 from sloeferry.stand_ins.wire_protocol import RequestKind
 from sloeferry.stand_ins.work_queue import Job
 
@@ -43,7 +43,7 @@
 
     def __init__(self, backend: "StandInBackend", deduplication_stores: Mapping[str, DeduplicationStore], rng: Random):
         self._backend = backend
-        self._effect_log = backend.effect_log
+        self._observer = backend.observer
         self._settings = backend.settings
         self._deduplication_stores = deduplication_stores
         self._rng = rng
@@ -56,11 +56,11 @@
         """Process a complete request whose first byte was received at `began_at`, in seconds; apply the fault of its link."""
         backend = self._backend
         request_id = message.fields.get(wire_protocol.REQUEST_ID)
-        if request_id is not None and self._effect_log.request_class(request_id):
-            self._effect_log.attempt_received(backend.backend_id, backend.zone, request_id, began_at)
+        if request_id is not None and self._observer.request_class(request_id):
+            self._observer.attempt_received(backend.backend_id, backend.zone, request_id, began_at)
             if wire_protocol.ACTED_ON in message.fields:
                 versions = message.fields[wire_protocol.ACTED_ON]
-                self._effect_log.acted_on_received(backend.backend_id, request_id, versions, backend.loop.time())
+                self._observer.acted_on_received(backend.backend_id, request_id, versions, backend.loop.time())
             fault = self._link_fault(request_id)
             if fault.loss_odds and self._rng.random() < fault.loss_odds / 2:
                 return
@@ -74,42 +74,42 @@
         backend = self._backend
         path = message.first_line.split(b" ")[1]
         if path in (wire_protocol.LOAD_PATH, wire_protocol.HEALTH_PATH):
-            self._effect_log.health_check_received(backend.backend_id, HEALTH_CHECK_WORK_MS)
+            self._observer.health_check_received(backend.backend_id, HEALTH_CHECK_WORK_MS)
             connection.respond(make_response(200, self.load_report() if path == wire_protocol.LOAD_PATH else b""))
             return
         request_id = message.fields.get(wire_protocol.REQUEST_ID, b"")
-        request_class = self._effect_log.request_class(request_id)
+        request_class = self._observer.request_class(request_id)
         if request_class is None:
             text = f"{backend.backend_id} received a request with an unknown id: {request_id!r}"
-            self._effect_log.violation(Rule.PROTOCOL, backend.loop.time(), text)
+            self._observer.rule_violated(Rule.PROTOCOL, backend.loop.time(), text)
             connection.respond(make_response(400))
             return
         # An error response does not tell whether the request ran: half of the errors are sent at once, half after all the work.
-        if self._effect_log.always_fails(request_id) or backend.error_odds and self._rng.random() < backend.error_odds / 2:
+        if self._observer.always_fails(request_id) or backend.error_odds and self._rng.random() < backend.error_odds / 2:
             connection.respond(make_response(500, b"", self._report_header()))
             return
-        work_ms = self._effect_log.work_ms(request_id)
+        work_ms = self._observer.work_ms(request_id)
         if self._crash_if_overloaded(request_id, min(work_ms, MAX_WORK_MULTIPLE * request_class.work_ms)):
             return
         if self._backend.in_flight() >= self._settings.cores * (1 + self._settings.queue_per_core):
             self.reject(connection)
             return
         job = Job(request_id, work_ms, connection)
-        if not self._is_repeat(job, message, request_class, received_at):
+        if not self._answer_if_repeat(job, message, request_class, received_at):
             backend.work.add(job)
 
     def _crash_if_overloaded(self, request_id: bytes, work_ms: float) -> bool:
         """Crash the backend for good if it gets more work in its warm-up than it can do; return whether it crashed."""
         backend = self._backend
         now = backend.loop.time()
-        if not backend.warm_up.is_overloaded(RecentWork(now, work_ms, request_id)):
+        if not backend.warm_up.add_work(RecentWork(now, work_ms, request_id)):
             return False
         capacity_ratio = backend.warm_up.capacity_ratio(now)
-        self._effect_log.backend_overloaded(backend.backend_id, now, capacity_ratio, backend.warm_up.recent_work())
+        self._observer.backend_overloaded(backend.backend_id, now, capacity_ratio, backend.warm_up.recent_work())
         backend.crash()
         return True
 
-    def _is_repeat(self, job: Job, message: Message, request_class: "RequestClass", received_at: float) -> bool:
+    def _answer_if_repeat(self, job: Job, message: Message, request_class: "RequestClass", received_at: float) -> bool:
         """Return whether the idempotency key is known; a repeat is answered together with the first request of its key."""
         if request_class.kind != RequestKind.DEDUPLICATED:
             return False
@@ -141,7 +141,7 @@
         link_faults = self._backend.link_faults
         if not link_faults:
             return NO_LINK_FAULT
-        return link_faults.get(self._effect_log.proxy_of(request_id), NO_LINK_FAULT)
+        return link_faults.get(self._observer.proxy_of(request_id), NO_LINK_FAULT)
 
     def _respond(self, connection: "BackendConnection", request_id: bytes) -> None:
         fault = self._link_fault(request_id)
@@ -160,7 +160,7 @@
             connection.truncate(TRUNCATED_RESPONSE)
             return
         self._backend.served_count += 1
-        body = request_id.ljust(self._effect_log.response_bytes(request_id))
+        body = request_id.ljust(self._observer.response_bytes(request_id))
         connection.respond(make_response(200, body, self._report_header()))
 
     def _report_header(self) -> bytes:
--- a/sloeferry/stand_ins/rules.py
+++ b/sloeferry/stand_ins/rules.py
@@ -11,5 +11,5 @@
     NO_SEND_AFTER_DRAIN = "3"  # no new request to a backend later than the drain grace after the proxy was notified
     NO_OVERLOAD_IN_WARM_UP = "4"  # all proxies together do not overload a backend in its warm-up
     PROTOCOL = "protocol"
-    DRAIN = "drain"  # a proxy that operators drain makes its clients reconnect elsewhere, and serves again on resume
+    QUIESCE = "drain"  # a proxy that operators drain makes its clients reconnect elsewhere, and serves again on resume
     CRASH = "crash"  # no proxy process ends unexpectedly
--- a/sloeferry/stand_ins/effect_log.py
+++ b/sloeferry/stand_ins/run_observer.py
@@ -1,6 +1,6 @@
 """Interfaces through which stand-ins look up planned requests and report events to the recorder or judge of a run.
 
-Backends and discovery use `EffectLog`, whose default implementation knows no requests and records nothing.  Clients use
+Backends and discovery use `RunObserver`, whose default implementation knows no requests and records nothing.  Clients use
 `ClientLog`.
 """
 
@@ -21,7 +21,7 @@
     request_id: bytes
 
 
-class EffectLog:
+class RunObserver:
     """Base class for recorders of what backends and discovery do; times are seconds of the stand-in's event loop."""
 
     # Properties of requests, looked up by backends
@@ -75,7 +75,7 @@
     def backend_overloaded(self, backend_id: str, now: float, capacity_ratio: float, recent: Sequence[RecentWork]) -> None:
         """Record that a backend received more work in its warm-up than it can do; `recent` is the work of the overload window."""
 
-    def violation(self, rule: str, now: float, text: str) -> None:
+    def rule_violated(self, rule: str, now: float, text: str) -> None:
         """Record that a rule was broken."""
 
     # Events of discovery
@@ -91,7 +91,7 @@
 
 
 class ClientLog(Protocol):
-    """The interface through which clients look up requests and report events; times are as for `EffectLog`."""
+    """The interface through which clients look up requests and report events; times are as for `RunObserver`."""
 
     slack_seconds: float  # tolerance of time limits
 
@@ -116,5 +116,5 @@
     def request_ended(self, planned: "PlannedRequest", outcome: RequestOutcome, now: float) -> None:
         """Record that a client is done with a request, including all retries."""
 
-    def violation(self, rule: str, now: float, text: str) -> None:
+    def rule_violated(self, rule: str, now: float, text: str) -> None:
         """Record that a rule was broken."""
--- a/sloeferry/stand_ins/warm_up.py
+++ b/sloeferry/stand_ins/warm_up.py
@@ -3,7 +3,7 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from sloeferry.stand_ins.effect_log import RecentWork
+from sloeferry.stand_ins.run_observer import RecentWork
 
 if TYPE_CHECKING:
     from sloeferry.rehearsal.scenario_tables import Backends, Obligations
@@ -38,7 +38,7 @@
         """Return the work received in the overload window."""
         return list(self._recent)
 
-    def is_overloaded(self, work: RecentWork) -> bool:
+    def add_work(self, work: RecentWork) -> bool:
         """Add received work from any proxy; return whether the work of the overload window is more than the backend can do."""
         now = work.received_at
         capacity_ratio = self.capacity_ratio(now)
--- a/sloeferry/stand_ins/work_queue.py
+++ b/sloeferry/stand_ins/work_queue.py
@@ -32,7 +32,7 @@
     def work_rate(self) -> float:
         """Return the work (ms) that one core does in a millisecond."""
 
-    def should_run(self, job: Job) -> bool:
+    def run_or_reject(self, job: Job) -> bool:
         """Return whether to run a request that has waited; if not, the host has answered it."""
 
     def job_began(self, job: Job) -> None:
@@ -110,7 +110,7 @@
             self._host.job_done(job)
         while self.waiting and len(self.running) < self._cores:
             job = self.waiting.popleft()
-            if self._host.should_run(job):
+            if self._host.run_or_reject(job):
                 self._run(job)
         self.schedule()
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,7 +22,7 @@
 from sloeferry.fleet.fleet_query import FleetAnswers, ProxyAnswer
 from sloeferry.stand_ins import platform, processes
 from sloeferry.stand_ins.discovery import StandInDiscovery
-from sloeferry.stand_ins.effect_log import EffectLog
+from sloeferry.stand_ins.run_observer import RunObserver
 from tests.support.golden import LineRecorder, compare
 
 ROOT = pathlib.Path(__file__).parents[1]
@@ -87,7 +87,11 @@
         self.ports, self.admin_ports = ports[:count], ports[count : 2 * count]
         self.discovery_addresses = {name: ("127.0.0.1", ports[2 * count + index]) for index, name in enumerate(self.NAMES)}
         stand_in_discovery = StandInDiscovery(
-            loop, types.SimpleNamespace(call_ms=0.0, notification_spread_ms=0.0), self.discovery_addresses, EffectLog(), Random(1)
+            loop,
+            types.SimpleNamespace(call_ms=0.0, notification_spread_ms=0.0),
+            self.discovery_addresses,
+            RunObserver(),
+            Random(1),
         )
         backends = [
             types.SimpleNamespace(
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -196,7 +196,7 @@
                     await asyncio.sleep(0.01)
             buffer = bytearray(max(buffer_bytes, 512))
             while count := await hosts.server.sock_recv_into(sock, buffer):
-                max_unread_bytes = max(max_unread_bytes, sock.peer.unread_bytes)
+                max_unread_bytes = max(max_unread_bytes, sock.peer.bytes_unread_by_peer)
                 received.extend(buffer[:count])
 
         listener = hosts.listener()
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -349,7 +349,7 @@
         fleet = types.SimpleNamespace(
             fault_targets=[FaultTargets([8], [f"{between}/8"])],
             loop=types.SimpleNamespace(time=lambda: 5.0, call_later=lambda *_: None),
-            judge=types.SimpleNamespace(note=lambda at, event, *_: events.append(event), proxy_stopped=lambda *_: None),
+            observer=types.SimpleNamespace(note=lambda at, event, *_: events.append(event), proxy_stopped=lambda *_: None),
             relay=types.SimpleNamespace(command=lambda *arguments: events.append(arguments[0])),
         )
         LinkAction(fleet, 0, CutLink(at_seconds=1.0, between=between)).inject()
