--- a/sloeferry/fault_testing/event_recorder.py
+++ b/sloeferry/fault_testing/event_recorder.py
@@ -3,6 +3,8 @@
 A recorder takes the place of a rehearsal's judge: stand-ins query it for the cost of a request and report events to it.
 Every process can compute the cost, since the requests of a run depend only on plan and seed.  The verdict is derived
 afterwards from the records of all processes.
+
+A request is a `PlannedRequest`; each time its client sends it is a try, with an id of its own.
 """
 
 import asyncio
@@ -26,7 +28,7 @@
 
 LAG_CHECK_SECONDS = 0.02  # interval of the event-loop lag check
 BUFFER_BYTES = 1 << 18
-# A request id is the number of the call in hexadecimal, followed by the number of the client's try.
+# A request id is the number of the request in hexadecimal, followed by the number of the try.
 ID_CHARACTERS = 16
 REQUEST_NUMBER_CHARACTERS = 12
 
@@ -34,7 +36,7 @@
 
 
 def request_number(request_id: str | bytes) -> int:
-    """Return the number of the call that a request belongs to; raises ValueError if the id holds no number."""
+    """Return the number of the request that an id belongs to; raises ValueError if the id holds no number."""
     return int(request_id[:REQUEST_NUMBER_CHARACTERS], 16)
 
 
@@ -71,7 +73,7 @@
     # Queries of stand-ins
 
     def planned_request(self, request_id: bytes) -> PlannedRequest | None:
-        """Return the call that a request belongs to; None if the id is not one of this run."""
+        """Return the request that an id belongs to; None if the id is not one of this run."""
         try:
             number = request_number(request_id) if len(request_id) == ID_CHARACTERS else -1
         except ValueError:
@@ -99,11 +101,11 @@
     # Reports of clients
 
     def request_started(self, request_id: bytes, planned: PlannedRequest, proxy: str, now: float, deadline: float) -> None:
-        """Record that a client starts to write a request."""
+        """Record that a client starts to write a try."""
         self.note(now, Event.REQUEST_BEGAN, request_id.decode(), proxy, deadline)
 
     def request_written(self, request_id: bytes, now: float, deadline: float) -> None:
-        """Record that a client has written the last byte of a request."""
+        """Record that a client has written the last byte of a try."""
         self.note(now, Event.REQUEST_SENT, request_id.decode(), deadline)
 
     def response_received(self, request_id: bytes, now: float, status: int, body: bytes) -> RequestOutcome:
@@ -115,18 +117,18 @@
     def may_send_again(self, request_id: bytes) -> bool:
         """Record a possible race with the close of an idle connection, and return False.
 
-        Only the joined records show whether the request raced the close, so the client does not send it again.
+        Only the joined records show whether the try raced the close, so the client does not send the request again.
         """
         self.note(self._clock(), Event.IDLE_CLOSE_RACED, request_id.decode())
         return False
 
     def response_missing(self, request_id: bytes, now: float, reason: str) -> RequestOutcome:
-        """Record that a request got no response, and return its outcome."""
+        """Record that a try got no response, and return its outcome."""
         self.note(now, Event.RESPONSE_MISSING, request_id.decode(), reason)
         return RequestOutcome.UNANSWERED
 
     def request_ended(self, planned: PlannedRequest, outcome: RequestOutcome, now: float) -> None:
-        """Record the end of a call, after all tries of its client."""
+        """Record the end of a request, after all its tries."""
         planned.outcome = outcome
         planned.ended_at = now
         self.note(now, Event.CALL_ENDED, planned.number, outcome, planned.first_sent_at, planned.try_count)
--- a/sloeferry/fault_testing/fault_actions.py
+++ b/sloeferry/fault_testing/fault_actions.py
@@ -65,7 +65,7 @@
 
 
 class LinkAction(FaultAction):
-    """A fault of links, which the relay process applies."""
+    """Injects a fault of links, which the relay process applies."""
 
     def inject(self) -> None:
         """Record the fault and the exemptions that follow from it, and send the condition to the relay."""
@@ -89,7 +89,7 @@
 
 
 class KillAction(FaultAction):
-    """A fault that kills proxies, and starts each again when it ends."""
+    """Kills the target proxies, and starts each again when the fault ends."""
 
     def apply(self) -> None:
         """Kill all target proxies, and schedule their starts one after the other."""
@@ -104,7 +104,7 @@
 
 
 class ClockStepAction(KillAction):
-    """A fault that sets the wall clock of proxies off, from their next process on.
+    """Sets the wall clock of the target proxies off, from their next process on.
 
     The system clock is shared with all other processes and is never set.
     """
@@ -115,7 +115,7 @@
 
 
 class FailingSystemCallsAction(KillAction):
-    """A fault that makes system calls fail intermittently, from the next process on."""
+    """Makes system calls of the target proxies fail intermittently, from their next process on."""
 
     def prepare_next_process(self, number: int) -> None:
         """Make system calls of the next process fail."""
@@ -123,7 +123,7 @@
 
 
 class StopAction(FaultAction):
-    """A fault that sends SIGSTOP, and SIGCONT when it ends."""
+    """Sends SIGSTOP to the target proxies, and SIGCONT when the fault ends."""
 
     def apply(self) -> None:
         """Pause all target proxies at once."""
@@ -132,7 +132,7 @@
 
 
 class TerminationAction(FaultAction):
-    """A fault that sends SIGTERM to proxies, spread evenly over its duration."""
+    """Sends SIGTERM to the target proxies, spread evenly over the fault's duration."""
 
     def apply(self) -> None:
         """Schedule the restarts of the target proxies one after the other."""
@@ -142,7 +142,7 @@
 
 
 class ReloadAction(FaultAction):
-    """A fault that writes new settings, possibly corrupted, and sends SIGHUP to most proxies."""
+    """Writes new settings, possibly corrupted, and sends SIGHUP to most target proxies."""
 
     def apply(self) -> None:
         """Write all settings at once; a process that may still be reading them at startup gets no corrupt file or signal."""
@@ -178,7 +178,7 @@
 
 
 class DiscoveryDowntimeAction(FaultAction):
-    """A fault that takes discovery down for all proxies, whichever its targets are."""
+    """Takes discovery down for all proxies, whichever the fault's targets are."""
 
     def apply(self) -> None:
         """Stop discovery and schedule its return."""
@@ -190,7 +190,7 @@
 
 
 class DiscoveryLagAction(FaultAction):
-    """A fault that withholds list changes from some proxies."""
+    """Withholds list changes from the target proxies."""
 
     def apply(self) -> None:
         """Freeze the list at its present revision for the target proxies."""
@@ -201,7 +201,7 @@
 
 
 class OlderReplicaAction(FaultAction):
-    """A fault where an outdated replica of discovery answers some proxies."""
+    """Makes an outdated replica of discovery answer the target proxies."""
 
     def apply(self) -> None:
         """Show the target proxies an older list, and end their watches so that they reconnect."""
@@ -214,7 +214,7 @@
 
 
 class RevisionResetAction(FaultAction):
-    """A fault that restarts the revisions of discovery, for all proxies."""
+    """Restarts the revisions of discovery, for all proxies."""
 
     def apply(self) -> None:
         """Reset the revisions once; there is nothing to undo."""
@@ -222,7 +222,7 @@
 
 
 class FailingDiscoveryAction(FaultAction):
-    """A fault that makes discovery fail the calls of some proxies."""
+    """Makes discovery fail the calls of the target proxies."""
 
     def apply(self) -> None:
         """Make each call fail until the fault ends."""
--- a/sloeferry/fault_testing/placement.py
+++ b/sloeferry/fault_testing/placement.py
@@ -116,4 +116,4 @@
             return ReservedPorts(socket.create_server((loopback_address(DISCOVERY_BLOCK, LOCK_ADDRESS_NUMBER), port)), port)
         except OSError:
             continue
-    raise ScenarioError("no free ports for this run: eight other runs are in progress")
+    raise ScenarioError("no free ports for this run: other runs or programs use every block of ports")
--- a/sloeferry/fault_testing/plan_run.py
+++ b/sloeferry/fault_testing/plan_run.py
@@ -38,7 +38,7 @@
         self._loop = fleet.loop
 
     async def run(self) -> None:
-        """Run the plan from the first process start to the end of the last call."""
+        """Run the plan from the first process start to the end of the last request."""
         await self._fleet.start_stand_ins()
         await self._start_proxies()
         tune_garbage_collection()
--- a/sloeferry/fault_testing/process_fleet.py
+++ b/sloeferry/fault_testing/process_fleet.py
@@ -123,7 +123,7 @@
             worker.command("set_alive", proxy, is_alive)
 
     def has_open_requests(self) -> bool:
-        """Return True while any worker of clients reports open calls, or has not reported yet."""
+        """Return True while any worker of clients reports open requests, or has not reported yet."""
         return any(worker.open_requests != 0 for worker in self._client_workers)
 
     # Interface of a rehearsal's fleet for scenario faults, proxies and stand-ins
--- a/sloeferry/fault_testing/record_judge.py
+++ b/sloeferry/fault_testing/record_judge.py
@@ -40,7 +40,7 @@
         return self.clients_cut_off.overlaps(client_try.proxy, client_try.sent_at, now)
 
     def could_not_answer_in_time(self, client_try: ClientTry) -> bool:
-        """Return True if the proxy was stopped or its client link had a fault, so that it could not answer."""
+        """Return True if a pause of the proxy, or a fault of its client link before the deadline, exempts it from answering."""
         return super().could_not_answer_in_time(client_try) or self._was_cut_off(client_try, client_try.deadline)
 
     def attempt_received(self, backend_id: str, zone: str, request_id: bytes, sent_at: float) -> None:
@@ -66,13 +66,13 @@
         return super().response_missing(request_id, now, reason)
 
     def end_deemed_at(self, proxy: str, backend_id: str) -> float | None:
-        """Return when a proxy counts as notified that a backend drains or has ended; None if the backend is ready.
+        """Return the time from which a proxy is deemed notified that a backend drains or has ended; None if the backend is ready.
 
         While discovery is unreachable for a proxy, the delay starts only when it is reachable again.
         """
-        assumed_at = super().end_deemed_at(proxy, backend_id)
-        if assumed_at is None:
+        deemed_at = super().end_deemed_at(proxy, backend_id)
+        if deemed_at is None:
             return None
-        assumption_delay_seconds = self.scenario.discovery.deemed_notified_seconds
-        reachable_at = self.discovery_unreachable.end_of_spans_at(proxy, assumed_at - assumption_delay_seconds)
-        return assumed_at if reachable_at is None else reachable_at + assumption_delay_seconds
+        delay_seconds = self.scenario.discovery.deemed_notified_seconds
+        reachable_at = self.discovery_unreachable.end_of_spans_at(proxy, deemed_at - delay_seconds)
+        return deemed_at if reachable_at is None else reachable_at + delay_seconds
--- a/sloeferry/fault_testing/record_replay.py
+++ b/sloeferry/fault_testing/record_replay.py
@@ -1,7 +1,7 @@
 """Replay of the records of several processes to one judge, in the order in which they were recorded.
 
 An event counts at the time at which a process observed it; all processes share the monotonic clock of one machine.
-Durations decide nothing here, except where a rule itself sets a limit.
+Events are judged in their recorded order.  Time limits are those of the rules, and NOTIFICATION_GRACE_SECONDS.
 """
 
 from collections import defaultdict
@@ -39,7 +39,7 @@
         self._lists_held = ProxySpans()
         self._stopped = ProxySpans()
         self._held_notifications: list[HeldNotification] = []
-        self._missing_outcomes: dict[int, str] = {}  # by number of the call, if it had no response
+        self._missing_outcomes: dict[int, str] = {}  # by number of the request, if it had no response
         self._list_history: defaultdict[str, list[WrittenList]] = defaultdict(list)  # by proxy
 
     def replay(self, event: RecordedEvent) -> None:
@@ -120,7 +120,7 @@
         self._judge.request_ran(backend, request_id.encode(), at)
 
     def _attempt_versions(self, at: float, backend: str, request_id: str, versions: str) -> None:
-        """Note an attempt that acted on an older list than its proxy was notified of NOTICE_SECONDS before."""
+        """Record an attempt on an older list than its proxy was sent more than NOTIFICATION_GRACE_SECONDS earlier."""
         proxy = self._judge.tries[request_id.encode()].proxy
         incarnation, _, revision = versions.partition("list=")[2].partition(":")[0].partition(".")
         delivered = (written.revision for written in self._list_history[proxy] if written.at < at - NOTIFICATION_GRACE_SECONDS)
--- a/sloeferry/fault_testing/recorded_events.py
+++ b/sloeferry/fault_testing/recorded_events.py
@@ -18,7 +18,7 @@
     RESPONSE_RECEIVED = "answered"  # id, status, true unless a 200 has another request's body
     IDLE_CLOSE_RACED = "crossed"  # id
     RESPONSE_MISSING = "lost"  # id, reason
-    CALL_ENDED = "ended"  # number of the call, outcome, time of its first request, number of its requests
+    CALL_ENDED = "ended"  # number of the request, outcome, time of its first try, number of its tries
 
     # Backends
     ATTEMPT_RECEIVED = "posted"  # backend, zone, id, arrival time of its first byte
--- a/sloeferry/fault_testing/verdict.py
+++ b/sloeferry/fault_testing/verdict.py
@@ -52,7 +52,7 @@
         replay.replay(event)
     for planned in judge.planned_requests:
         if not planned.outcome:
-            judge.rule_violated(Rule.ONE_ANSWER, last_at, f"call {planned.number} has no recorded end")
+            judge.rule_violated(Rule.ONE_ANSWER, last_at, f"request {planned.number} has no recorded end")
     record = make_record(judge)
     failures = _failures(plan, replay, record, result)
     max_lag_ms = {role: round(ms, 1) for role, ms in sorted(replay.max_lag_ms.items())}
@@ -94,7 +94,7 @@
     failures += replay.stale_attempts[:MAX_SHOWN_STALE_ATTEMPTS]
     if plan.rig.audit_s and replay.audit.result is None:
         failures.append("the audit did not end before the run")
-    failures += [f"internal error of the rig: {error}" for error in result.process_errors]
+    failures += [f"error in a process of the run: {error}" for error in result.process_errors]
     proxies = plan.proxies.count
     ready = result.figures.get("ready", proxies)
     if ready < proxies:
--- a/sloeferry/fault_testing/worker_processes.py
+++ b/sloeferry/fault_testing/worker_processes.py
@@ -126,7 +126,10 @@
         self._command("crash")
 
     def in_flight(self) -> bool:
-        """Return True while the draining backend has requests; the first call makes it report when it is idle."""
+        """Return True while the draining backend has requests, where a stand-in backend returns their number.
+
+        The first call makes the worker report when the backend is idle.
+        """
         if not self._is_drain_asked:
             self._is_drain_asked = True
             self._command("drain")
--- a/sloeferry/fault_testing/worker_protocol.py
+++ b/sloeferry/fault_testing/worker_protocol.py
@@ -37,7 +37,7 @@
 
     READY = "ready"  # none: the worker accepts commands
     FAILED = "failed"  # text: an internal error of the worker
-    OPEN_REQUESTS = "open-calls"  # number of calls that have not ended
+    OPEN_REQUESTS = "open-calls"  # number of requests that have not ended
     BACKEND_STARTED = "backend-started"  # number of the backend
     BACKEND_IDLE = "backend-idle"  # number of the backend, which drains and has no requests left
     LINKS_OPEN = "links-open"  # none
--- a/sloeferry/fleet/audit_record.py
+++ b/sloeferry/fleet/audit_record.py
@@ -126,7 +126,7 @@
         return sum(row.acts_after_bound for row in self.rows)
 
     def queried_count(self) -> int:
-        """Return the number of proxies that were queried before an interruption."""
+        """Return the number of proxies that were queried, which is less than all if the audit was interrupted."""
         return sum(row.cause != NoAnswerKind.NOT_ASKED.value for row in self.rows)
 
     def stragglers(self) -> list[ProxyRow]:
--- a/sloeferry/fleet/bring_up.py
+++ b/sloeferry/fleet/bring_up.py
@@ -1,7 +1,7 @@
 """Makes outdated proxies poll the endpoint list, or reread their file, at a limited rate over the whole fleet.
 
 A proxy with an outdated list is requested to poll the complete list, one with outdated settings to reread its file.  The calls
-are sent one after the other, at fixed intervals and in random order, so that discovery gets no more calls per second than that,
+are sent one after the other, at fixed intervals and in random order, so that discovery gets at most one poll per interval,
 however many proxies are outdated.  Proxies that remain outdated are reported; replacing their processes is left to the operators.
 """
 
--- a/sloeferry/fleet/cli.py
+++ b/sloeferry/fleet/cli.py
@@ -17,7 +17,11 @@
 MAX_SINCE_SECONDS = 86400.0 * 366  # a longer time is rejected as a mistake
 
 fleet_option = click.option(
-    "--fleet", "path", required=True, metavar="FILE", help="TOML file: a [[proxy]] with name and at for each proxy; discovery."
+    "--fleet",
+    "path",
+    required=True,
+    metavar="FILE",
+    help="TOML file with a table [[proxy]] (keys `name` and `at`) per proxy, and optionally the key `discovery`.",
 )
 
 
@@ -97,7 +101,7 @@
 @click.option("--seed", type=click.IntRange(0), default=0, help="Seed of the order of the calls.")
 @click.option("--json", "as_json", is_flag=True)
 def bring_up_command(path: str, pace_seconds: float, patience_seconds: float, seed: int, as_json: bool) -> None:
-    """Make stragglers poll the list, or reread their file.  Exit status as of an audit afterwards."""
+    """Make stragglers poll the list, or reread their file.  The exit status is that of an audit made afterwards."""
 
     def print_progress(text: str) -> None:
         click.echo(text, err=True)
@@ -112,5 +116,6 @@
 _add_audit_command(
     "audit",
     False,
-    "Show stragglers and causes.  Exit 0: all current, 1: stragglers or acts after the bound, 3: only unknown ones.",
+    "Show stragglers and causes.  Exit 0: all current, 1: stragglers or acts after the bound, "
+    "3: no stragglers, but unknown proxies.",
 )
--- a/sloeferry/fleet/documents.py
+++ b/sloeferry/fleet/documents.py
@@ -9,9 +9,9 @@
     generation: int  # counted separately by each process
     digest: str
     by: str  # their source: start or SIGHUP
-    heard_ms: float
+    heard_ms: float  # age: ms since the proxy received it
     acts: int  # requests accepted under them
-    last_ms: float | None  # since the last of these requests; None if there was none
+    last_ms: float | None  # ms since the last of these requests; None if there was none
 
 
 class ListEntry(TypedDict):
@@ -21,9 +21,9 @@
     revision: int
     digest: str
     by: str  # its source: a previous process, or a discovery and its address
-    heard_ms: float
+    heard_ms: float  # age: ms since the proxy received it
     acts: int  # attempts sent under it
-    last_ms: float | None
+    last_ms: float | None  # ms since the last of these attempts; None if there was none
 
 
 class Refusal(TypedDict):
--- a/sloeferry/load_testing/client_connection.py
+++ b/sloeferry/load_testing/client_connection.py
@@ -1,4 +1,4 @@
-"""Client connection of the open-loop load: sends one request at a time and parses whole responses."""
+"""Connects a client of the open-loop load to a proxy: sends one request at a time and parses whole responses."""
 
 import asyncio
 from typing import NamedTuple, Protocol, cast
@@ -14,7 +14,7 @@
 
 
 class Response(NamedTuple):
-    """Complete response: status, and head with body."""
+    """A complete response: status, and head with body."""
 
     status: int
     data: bytes
@@ -32,7 +32,7 @@
 
 
 class OpenLoopRequest:
-    """Request of a client with all of its attempts; times are in seconds of the monotonic clock."""
+    """A request of a client with all of its attempts; times are in seconds of the monotonic clock."""
 
     __slots__ = ("arrival", "due_at", "expires_at", "sent_at", "attempts", "connection", "is_over", "outcome")
 
@@ -61,7 +61,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """Connection of a client; `request` is the request in flight on it."""
+    """A connection of a client; `request` is the request in flight on it."""
 
     transport: asyncio.Transport  # set by connection_made
 
--- a/sloeferry/load_testing/closed_loop_clients.py
+++ b/sloeferry/load_testing/closed_loop_clients.py
@@ -1,4 +1,4 @@
-"""Closed-loop clients: each keeps a connection and sends its next request when the previous one has ended."""
+"""Runs closed-loop clients: each keeps a connection and sends its next request when the previous one has ended."""
 
 import asyncio
 import re
@@ -16,7 +16,7 @@
 
 
 class RequestEnd(NamedTuple):
-    """Result and end time of a request; `result` is the status, or the reason why there is none."""
+    """The result and end time of a request; `result` is the status, or the reason why there is none."""
 
     ended_at: float
     result: str
@@ -24,7 +24,7 @@
 
 
 class ClientFigures(NamedTuple):
-    """Figures of an interval; latencies cover served requests and are 0 if there are none."""
+    """The figures of an interval; latencies cover served requests and are 0 if there are none."""
 
     counts: dict[str, int]  # by result
     median_ms: float
@@ -40,7 +40,7 @@
 
 
 class ClosedLoopClients:
-    """Clients of one proxy, with the result of each request."""
+    """The clients of one proxy, with the result of each request."""
 
     def __init__(self, port: int, client_count: int, pause_seconds: float = 0.0):
         self._port = port
--- a/sloeferry/load_testing/deployment.py
+++ b/sloeferry/load_testing/deployment.py
@@ -1,4 +1,4 @@
-"""Deployment that a load plan runs on: proxies, stand-in backends, client processes and injected faults."""
+"""The deployment that a load plan runs on: proxies, stand-in backends, client processes and injected faults."""
 
 import os
 import pathlib
@@ -14,14 +14,14 @@
 
 
 class BackendFaultKind(StrEnum):
-    """Behaviour of a faulty backend."""
+    """The behaviour of a faulty backend."""
 
     SILENT = "silent"  # accepts requests but never responds
     ERRORS = "errs"  # fails every request immediately
 
 
 class BackendFault(NamedTuple):
-    """Fault of one backend during an interval of the run."""
+    """A fault of one backend during an interval of the run."""
 
     backend_index: int
     kind: BackendFaultKind
@@ -30,14 +30,14 @@
 
 
 class CpuShareChange(NamedTuple):
-    """Change of the proxies' share of a CPU core at a time of the run."""
+    """A change of the proxies' share of a CPU core at a time of the run."""
 
     at_seconds: float
     cpu_share: float
 
 
 class Stall(NamedTuple):
-    """Pause of all proxies at a time of the run."""
+    """A pause of all proxies at a time of the run."""
 
     at_seconds: float
     duration_seconds: float
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """Processes and resources of a run.
+    """The processes and resources of a run.
 
     `cpu_share` None: not throttled; `target`: host:port of a running proxy to use instead of starting one.
     """
@@ -70,7 +70,7 @@
 
 
 class CoreAssignment(NamedTuple):
-    """CPU cores of the processes; None: any core."""
+    """The CPU cores of the processes; None: any core."""
 
     proxies: list[int] | list[None]
     others: set[int] | None
--- a/sloeferry/load_testing/figures.py
+++ b/sloeferry/load_testing/figures.py
@@ -43,7 +43,7 @@
     counts: OutcomeCounts
     max_client_delay_ms: float  # largest delay of a request in the client process
     proxies: ProxyFigures | None  # None: the tool did not start the proxy
-    backends: dict[str, int] | None = None  # requests `served`; attempts that executed a request again: `twice`
+    backends: dict[str, int] | None = None  # counts under `served` (requests) and `twice` (attempts that ran a request again)
 
     @property
     def in_time_per_second(self) -> float:
--- a/sloeferry/load_testing/load_run.py
+++ b/sloeferry/load_testing/load_run.py
@@ -1,4 +1,4 @@
-"""Run of a load plan: starts stand-ins, proxies and clients, and collects the figures."""
+"""Runs a load plan: starts stand-ins, proxies and clients, and collects the figures."""
 
 import json
 import os
@@ -39,7 +39,7 @@
 
 
 class DisruptionKind(StrEnum):
-    """Kind of disruption.  Disruptions at the same time are applied in alphabetical order of their values."""
+    """The kind of a disruption.  Disruptions at the same time are applied in alphabetical order of their values."""
 
     RESTART = "restart"
     CPU_SHARE = "share"
@@ -47,7 +47,7 @@
 
 
 class Disruption(NamedTuple):
-    """Disruption of all proxies; `value` is the share of a CPU core, or the stall's duration in seconds."""
+    """A disruption of all proxies; `value` is the share of a CPU core, or the stall's duration in seconds."""
 
     at_seconds: float
     kind: DisruptionKind
@@ -68,7 +68,7 @@
 
 
 class LoadRun:
-    """Processes of one run."""
+    """The processes of one run."""
 
     def __init__(self, plan: LoadPlan, deployment: Deployment, folder: str):
         self._plan = plan
--- a/sloeferry/load_testing/plan.py
+++ b/sloeferry/load_testing/plan.py
@@ -22,14 +22,14 @@
 
 
 class CurvePiece(NamedTuple):
-    """Interval of constant load."""
+    """An interval of constant load."""
 
     seconds: float
     rate_per_second: float
 
 
 class TenantShare(NamedTuple):
-    """Tenant and its share of all requests."""
+    """A tenant and its share of all requests."""
 
     name: str
     share: float
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class RequestClassLoad:
-    """Request class as clients use it; `share` is its share of all requests."""
+    """A request class as clients use it; `share` is its share of all requests."""
 
     name: str
     has_idempotency_key: bool
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class ClientProfile:
-    """Behaviour of clients.
+    """The behaviour of clients.
 
     `patience_ratio`: smallest and largest ratio of the class's deadline that a request is given; `retry_after_ratio`: ratio
     of rejections whose Retry-After is honoured; `new_connection_ratio`: ratio of requests that use a new connection;
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True)
 class LoadPlan:
-    """Load of one run: its curve, request classes, tenants and client behaviour."""
+    """The load of one run: its curve, request classes, tenants and client behaviour."""
 
     curve: tuple[CurvePiece, ...]
     seed: int = 1
@@ -134,7 +134,7 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """Request to send, `at_seconds` after the start of the run."""
+    """A request to send, `at_seconds` after the start of the run."""
 
     at_seconds: float
     number: int
--- a/sloeferry/load_testing/proxy_config.py
+++ b/sloeferry/load_testing/proxy_config.py
@@ -14,7 +14,7 @@
 ZONE = "a"
 MACHINE_KIND = "m"
 WARM_UP_SECONDS = 23.0
-WARM_UP_INITIAL_RATIO = 0.12  # of its full speed: speed of a backend that has just started
+WARM_UP_INITIAL_RATIO = 0.12  # ratio of its full capacity that a backend has when it starts
 
 
 def proxy_settings(plan: LoadPlan, ordinal: int, proxy_count: int) -> dict[str, Any]:
--- a/sloeferry/load_testing/proxy_process.py
+++ b/sloeferry/load_testing/proxy_process.py
@@ -109,7 +109,9 @@
             sleep(START_POLL_INTERVAL_SECONDS)
         self.end()
         log_tail = self.log.read_text()[-LOG_TAIL_CHARACTERS:]
-        raise LoadPlanError(f"proxy {self.name}: not ready within {START_TIMEOUT_SECONDS:.0f} s; end of its log: {log_tail}")
+        raise LoadPlanError(
+            f"proxy {self.name}: not ready within {START_TIMEOUT_SECONDS:.0f} s, or its process ended; end of its log: {log_tail}"
+        )
 
     def _is_ready(self) -> bool:
         try:
--- a/sloeferry/load_testing/step_report.py
+++ b/sloeferry/load_testing/step_report.py
@@ -48,7 +48,10 @@
 
 
 def ratios_to_earlier_revision(rows: Sequence[StepRuns], metric: Metric) -> dict[float, RatioSpread]:
-    """Return, by factor, the spread of the ratios between pairs, without factors that have no pair to divide."""
+    """Return, by factor, the spread of the ratios between pairs of runs.
+
+    Factors without a pair of runs to compare are left out.
+    """
     spreads = {}
     for row in rows:
         pairs = [(metric(current), metric(earlier)) for current, earlier in zip(row.current, row.earlier, strict=False)]
--- a/sloeferry/rehearsal/__init__.py
+++ b/sloeferry/rehearsal/__init__.py
@@ -1,4 +1,4 @@
-"""Rehearsals run a fleet of proxies in one process, in virtual time and on a simulated network.
+"""Rehearsals run a fleet of proxies against stand-ins: in virtual time on a simulated network, or live with real processes.
 
 The proxy imports nothing from this package.
 """
--- a/sloeferry/rehearsal/judge.py
+++ b/sloeferry/rehearsal/judge.py
@@ -18,8 +18,8 @@
 from sloeferry.stand_ins.wire_protocol import REJECTED_STATUSES, STATUS_OK, RequestKind, RequestOutcome, outcome_of_status
 
 MAX_VIOLATION_TEXTS = 20
-# Rule 4 is violated only if this part (numerator, denominator) of the work that overloaded a backend came from proxies that
-# could know that it was warming up.
+# Rule 4 is violated only if at least this ratio (numerator, denominator) of the work that overloaded a backend came from
+# proxies that could know that it was warming up.
 INFORMED_WORK_RATIO = (2, 3)
 
 
@@ -170,10 +170,7 @@
         return self.killed_at.get(client_try.proxy, -1.0) >= client_try.sent_at - self.slack_seconds
 
     def could_not_answer_in_time(self, client_try: ClientTry) -> bool:
-        """Return whether the proxy's machine was paused at the request's deadline, or for half of the time until then.
-
-        Such a proxy cannot answer in time.
-        """
+        """Return whether the proxy's machine was paused at the request's deadline, or for half of the time until then."""
         sent_at, deadline = client_try.sent_at, client_try.deadline
         spans = self.stopped_spans.spans_of(client_try.proxy)
         if any(span.since <= deadline <= span.until + self.slack_seconds for span in spans):
@@ -221,7 +218,7 @@
         return self.notifications.end_deemed_at(backend_id)
 
     def request_ran(self, backend_id: str, request_id: bytes, now: float) -> None:
-        """Check against rule 2 that a backend may run a request."""
+        """Check that only an idempotent request runs again, and that no rejected request runs (rule 2)."""
         client_try, request_class = self.tries[request_id], self.request_class(request_id)
         client_try.run_count += 1
         if client_try.run_count > 1:
@@ -236,6 +233,7 @@
             self._check_rejected_and_ran(request_id, now, request_class)
 
     def _check_rejected_and_ran(self, request_id: bytes, now: float, request_class: RequestClass) -> None:
+        """Check that a rejected request that has run is idempotent, or deduplicated over all backends (rule 2)."""
         is_deduplicated = request_class.kind == RequestKind.DEDUPLICATED
         is_known_everywhere = is_deduplicated and request_class.deduplication_group == "all"
         if request_class.kind != RequestKind.IDEMPOTENT and not is_known_everywhere:
@@ -259,7 +257,8 @@
     def backend_overloaded(self, backend_id: str, now: float, capacity_ratio: float, recent: Sequence[RecentWork]) -> None:
         """Count a backend that was overloaded while it warmed up, and check rule 4.
 
-        The rule is violated only if most of the work came from proxies that could know of the backend's start.
+        The rule is violated only if at least INFORMED_WORK_RATIO of the work came from proxies that could know of the backend's
+        start.
         """
         self.pushed_over_count += 1
         informed_work_ms = sum(work.work_ms for work in recent if self._knew_start(backend_id, work))
--- a/sloeferry/rehearsal/network.py
+++ b/sloeferry/rehearsal/network.py
@@ -11,9 +11,8 @@
 from sloeferry.rehearsal.simulated_transport import SimulatedServer, SimulatedTransport
 from sloeferry.rehearsal.virtual_time import Scheduler
 
-CONNECT_RETRY_SECONDS = (
-    1.0  # before the first retry of a connect that found a full backlog; doubled at most MAX_RETRY_DOUBLINGS times
-)
+# Delay before the first retry of a connect that found a full backlog; it doubles for at most MAX_RETRY_DOUBLINGS retries.
+CONNECT_RETRY_SECONDS = 1.0
 MAX_RETRY_DOUBLINGS = 5
 FIRST_DESCRIPTOR = 101
 FIRST_EPHEMERAL_PORT, EPHEMERAL_PORT_COUNT = 32768, 28000
--- a/sloeferry/rehearsal/notifications.py
+++ b/sloeferry/rehearsal/notifications.py
@@ -26,7 +26,11 @@
 
 
 class Notifications:
-    """Records notifications; all proxies count as notified of a change `deemed_notified_seconds` after it was published."""
+    """Records the changes of which each proxy was notified.
+
+    A proxy is deemed notified, or counts as notified, of a change `deemed_notified_seconds` after it was published, even if no
+    notification has reached it.
+    """
 
     def __init__(self, deemed_notified_seconds: float):
         self._deemed_notified_seconds = deemed_notified_seconds
@@ -53,7 +57,7 @@
             self._end_deemed_at.setdefault(backend_id, now + self._deemed_notified_seconds)
 
     def backend_started(self, backend_id: str, now: float, started_at_ms: int) -> None:
-        """Record a cold start, and discard an end of the backend of which proxies only count as notified."""
+        """Record a cold start, and forget when proxies count as notified of the backend's previous end."""
         self._end_deemed_at.pop(backend_id, None)
         self._cold_starts[backend_id] = ColdStart(now, started_at_ms)
 
--- a/sloeferry/rehearsal/proxy_faults.py
+++ b/sloeferry/rehearsal/proxy_faults.py
@@ -66,7 +66,10 @@
             self._loop.create_task(self._quiesce_and_resume(proxy, fault.lasts))
 
     async def _quiesce_and_resume(self, proxy: "ProxyHandle", seconds: float) -> None:
-        """Quiesce a proxy and resume it, and record a violation where operators or clients observe a wrong response to it."""
+        """Quiesce a proxy and resume it.
+
+        Record a violation if the proxy refuses a call, keeps clients while quiesced, or is not ready after resume.
+        """
         balancer = self._fleet.balancer
         has_quiesced = await self._call_admin(proxy, b"quiesce")
         quiesced_at = self._loop.time()
--- a/sloeferry/rehearsal/report.py
+++ b/sloeferry/rehearsal/report.py
@@ -26,7 +26,7 @@
         _format_rules(record["rules"]),
     ]
     lines += [f"    {text}" for text in record["breaches"]]
-    lines += [f"  fault in a process: {text}" for text in record["faults"]]
+    lines += [f"  error in a process: {text}" for text in record["faults"]]
     return "\n".join(lines)
 
 
--- a/sloeferry/rehearsal/scenario_faults.py
+++ b/sloeferry/rehearsal/scenario_faults.py
@@ -120,7 +120,7 @@
 
 
 class TenantExtraWork(LastingFault, tag="waits"):
-    """A part of one tenant's requests occupies a place longer, at every backend."""
+    """A part of one tenant's requests costs `delay_ms` more work at every backend."""
 
     tenant_name: str = field(default="", name="customer")
     delay_ms: Positive = field(default=500.0, name="ms")
--- a/sloeferry/rehearsal/scenario_tables.py
+++ b/sloeferry/rehearsal/scenario_tables.py
@@ -108,12 +108,10 @@
     max_retries: Annotated[int, Meta(ge=0, le=10)] = field(default=1, name="retries")
     backoff_ms: NonNegative = 60.0
     honours_retry_after_ratio: Ratio = field(default=1.0, name="honour")  # of the requests
-    patience_range: tuple[Ratio, Ratio] = field(
-        default=(0.7, 1.0), name="patience"
-    )  # of the deadline, after which a client gives up a try
-    leaves_early_ratio: Ratio = field(
-        default=0.0, name="impatient"
-    )  # of the requests; their clients disconnect at half of their patience
+    # A client gives up a try after a ratio of the deadline in this range.
+    patience_range: tuple[Ratio, Ratio] = field(default=(0.7, 1.0), name="patience")
+    # Ratio of the requests whose clients disconnect at half of their patience.
+    leaves_early_ratio: Ratio = field(default=0.0, name="impatient")
     slow_byte_ms: NonNegative = field(default=0.0, name="drip_ms")  # between the bytes of one request in eight
     chunked_body_ratio: Ratio = field(default=0.0, name="chunks")  # of the bodies; these have a trailer too
     idle_timeout_seconds: Positive = field(default=20.0, name="idle_s")
@@ -124,11 +122,9 @@
     """The protocol of discovery, and the delays of its endpoint list."""
 
     mode: Literal["subscribe", "automatic"] = "subscribe"
-    start_delay_seconds: NonNegative = field(default=0.8, name="add_s")  # until the list has a start
-    end_delay_seconds: NonNegative = field(default=2.5, name="notice_s")  # until the list has an end
-    silence_delay_seconds: NonNegative = field(
-        default=8.0, name="silent_s"
-    )  # until the list has a backend that is cut off as gone
+    start_delay_seconds: NonNegative = field(default=0.8, name="add_s")  # from a backend's start until the list shows it
+    end_delay_seconds: NonNegative = field(default=2.5, name="notice_s")  # from its drain or crash until the list shows it
+    silence_delay_seconds: NonNegative = field(default=8.0, name="silent_s")  # from a cut-off until the list shows it as gone
     notification_spread_ms: NonNegative = field(default=60.0, name="spread_ms")
     call_ms: NonNegative = 2.0
     max_list_age_seconds: Positive = field(default=10.0, name="patience_s")
@@ -161,7 +157,10 @@
 
 
 class Costs(Table):
-    """The cost that each unit deducts from service, which is at most 1."""
+    """Costs that are deducted from service: per unit of wasted work, late answer, zone crossing and health check.
+
+    Service is at most 1.
+    """
 
     wasted_work: NonNegative = field(default=0.073, name="waste")
     late_answer: NonNegative = field(default=0.05, name="late")
--- a/sloeferry/stand_ins/backend_list.py
+++ b/sloeferry/stand_ins/backend_list.py
@@ -49,8 +49,8 @@
     def __init__(self):
         self.revision = 0
         self._entries: dict[str, BackendEntry] = {}
-        self._changes: list[ListChange] = []  # since revisions were last reset, without the entries listed at the reset
-        self._history: list[ListChange] = []
+        self._changes: list[ListChange] = []  # published after the last reset of revisions
+        self._history: list[ListChange] = []  # these, and the list as of the reset (revision 1)
 
     def started_at_ms(self, backend_id: str) -> int:
         """Return the start time (Unix time, ms) that a backend is listed with; 0 if it was never listed."""
--- a/sloeferry/stand_ins/backends.py
+++ b/sloeferry/stand_ins/backends.py
@@ -200,7 +200,7 @@
         self._requests.load_report()
 
     def run_or_reject(self, job: Job) -> bool:
-        """Return whether to run a request that has waited; reject it if expired requests are dropped and it has expired."""
+        """Return whether a waiting request may run; reject it if it has expired and expired requests are dropped."""
         if not self.settings.drops_expired:
             return True
         if job.connection.is_gone or self.observer.is_expired(job.request_id, self.loop.time()):
--- a/sloeferry/stand_ins/call_failures.py
+++ b/sloeferry/stand_ins/call_failures.py
@@ -24,7 +24,7 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Return whether discovery counts as reachable: if so, its changes count as notified in time."""
+        """Return whether the delay `deemed_s`, after which a proxy counts as notified, also runs while calls fail this way."""
         return self not in (CallFailure.LATE_REFUSED, CallFailure.UNREACHABLE)
 
 
--- a/sloeferry/stand_ins/platform.py
+++ b/sloeferry/stand_ins/platform.py
@@ -33,7 +33,7 @@
     poll_within_seconds: float = 10.0
 
     def as_settings(self) -> dict[str, float]:
-        """Return them in the platform's format."""
+        """Return the limits as the platform's `obligations` table."""
         return {
             "drain_grace": self.drain_grace_ms * US_PER_MS,
             "cold": self.slow_start_seconds * US_PER_SECOND,
--- a/sloeferry/stand_ins/request_handler.py
+++ b/sloeferry/stand_ins/request_handler.py
@@ -99,7 +99,7 @@
             backend.work.add(job)
 
     def _crash_if_overloaded(self, request_id: bytes, work_ms: float) -> bool:
-        """Crash the backend for good if it gets more work in its warm-up than it can do; return whether it crashed."""
+        """Crash the backend, without scheduling a restart, if its warm-up gets too much work; return whether it crashed."""
         backend = self._backend
         now = backend.loop.time()
         if not backend.warm_up.add_work(RecentWork(now, work_ms, request_id)):
@@ -110,7 +110,7 @@
         return True
 
     def _answer_if_repeat(self, job: Job, message: Message, request_class: "RequestClass", received_at: float) -> bool:
-        """Return whether the idempotency key is known; a repeat is answered together with the first request of its key."""
+        """Answer a repeat of a known idempotency key, or let it wait for the first request; return whether it is one."""
         if request_class.kind != RequestKind.DEDUPLICATED:
             return False
         # The window is measured at the time of arrival, so that a stall of the backend does not make a repeat too late.
--- a/sloeferry/stand_ins/rules.py
+++ b/sloeferry/stand_ins/rules.py
@@ -7,9 +7,11 @@
     """A numbered rule of the platform, or a further check of the test tools."""
 
     ONE_ANSWER = "1"  # each accepted request gets exactly one response, its own, by its deadline; no attempt is sent afterwards
-    NO_REPEATED_EFFECT = "2"  # no request runs twice that must not; no rejected request has run
+    # Only idempotent requests run again, and no rejected request has run unless it is idempotent or deduplicated over all
+    # backends.
+    NO_REPEATED_EFFECT = "2"
     NO_SEND_AFTER_DRAIN = "3"  # no new request to a backend later than the drain grace after the proxy was notified
     NO_OVERLOAD_IN_WARM_UP = "4"  # all proxies together do not overload a backend in its warm-up
-    PROTOCOL = "protocol"
-    QUIESCE = "drain"  # a proxy that operators drain makes its clients reconnect elsewhere, and serves again on resume
+    PROTOCOL = "protocol"  # messages are well-formed, and bodies arrive unchanged
+    QUIESCE = "drain"  # a quiesced proxy makes its clients reconnect elsewhere, and serves again after resume
     CRASH = "crash"  # no proxy process ends unexpectedly
--- a/sloeferry/stand_ins/run_observer.py
+++ b/sloeferry/stand_ins/run_observer.py
@@ -22,7 +22,7 @@
 
 
 class RunObserver:
-    """Base class for recorders of what backends and discovery do; times are seconds of the stand-in's event loop."""
+    """The default observer of a run: it knows no requests and records nothing; times are seconds of the stand-in's event loop."""
 
     # Properties of requests, looked up by backends
 
--- a/sloeferry/stand_ins/warm_up.py
+++ b/sloeferry/stand_ins/warm_up.py
@@ -1,4 +1,4 @@
-"""Models the warm-up of a stand-in backend, and detects its overload meanwhile (rule 4)."""
+"""Models the warm-up of a stand-in backend, and detects its overload during the warm-up (rule 4)."""
 
 from collections import deque
 from typing import TYPE_CHECKING
@@ -39,7 +39,7 @@
         return list(self._recent)
 
     def add_work(self, work: RecentWork) -> bool:
-        """Add received work from any proxy; return whether the work of the overload window is more than the backend can do."""
+        """Add received work from any proxy; return whether the work of the overload window overloads the backend."""
         now = work.received_at
         capacity_ratio = self.capacity_ratio(now)
         if capacity_ratio == 1.0:
--- a/sloeferry/stand_ins/work_queue.py
+++ b/sloeferry/stand_ins/work_queue.py
@@ -33,7 +33,7 @@
         """Return the work (ms) that one core does in a millisecond."""
 
     def run_or_reject(self, job: Job) -> bool:
-        """Return whether to run a request that has waited; if not, the host has answered it."""
+        """Return whether a waiting request may run; reject it if not."""
 
     def job_began(self, job: Job) -> None:
         """Handle that a request begins to run."""
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -73,7 +73,7 @@
         self.assertAlmostEqual(whole.weight_in_time, merged.weight_in_time)
         self.assertEqual(whole.served_times.get_total_count(), merged.served_times.get_total_count())
 
-    def test_recovery_seconds(self):
+    def test_recovery_lasts_until_the_last_degraded_second(self):
         counts = OutcomeCounts()
         for second, is_in_time in enumerate((1, 1, 0, 0, 1, 1)):
             counts.count(second, Outcome.IN_TIME if is_in_time else Outcome.LATE)
@@ -83,7 +83,7 @@
         counts.count(6, Outcome.LOST)
         self.assertIsNone(counts.recovery_seconds(2.0))
 
-    def test_ratios_of_step_runs(self):
+    def test_factors_without_a_baseline_have_no_ratio(self):
         rows = [
             StepRuns(1.0, [figures(in_time=100, cpu_us=50)], [figures(in_time=50, cpu_us=100)]),
             StepRuns(4.0, [figures(in_time=90, cpu_us=30)], [figures(in_time=0, cpu_us=60)]),
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -105,7 +105,7 @@
 class SimulatedNetworkBehaviour(unittest.TestCase):
     """Sockets, epoll and timers of simulated processes."""
 
-    def test_connection_failures(self):
+    def test_failed_connections_raise_the_errors_of_a_kernel(self):
         """Connections are refused, find the backlog full, race with a close, are reset and are cut off, as in the golden file."""
         hosts = TwoHosts()
 
@@ -385,7 +385,7 @@
         )
         self.assertTrue(txns["left"] and txns["declined"] and txns["settled"] > txns["asked"] / 2, txns)
 
-    def test_scenario_without_backends_and_clients(self):
+    def test_scenario_without_backends_and_clients_can_be_run(self):
         """A scenario without backends and clients can be run, keeps the rules, and its record can be written and read."""
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "r.json"
@@ -416,7 +416,7 @@
         self.assertEqual([w["asked"] for w in one["windows"]], [w["asked"] for w in other["windows"]])
         self.assertNotEqual(one["world"], other["world"])
 
-    def test_answers_timeouts_and_drains_at_the_same_time(self):
+    def test_simultaneous_answers_timeouts_and_drains_violate_no_rule(self):
         """Responses, timeouts and drains within one millisecond violate no rule.
 
         Each request has one answer, no request that must not be repeated runs twice, and nothing is sent after an answer.
@@ -474,7 +474,7 @@
                 ({}, []),
             )
 
-    def test_request_unread_during_a_pause_counts_as_new(self):
+    def test_request_unread_during_a_pause_has_waited_since(self):
         """A request that was unread while the proxy was paused has waited since then.
 
         Without `StallAccounting._charge_stall` it counts as new, and is sent to a backend past its expiry.
@@ -486,7 +486,7 @@
         self.assertIn("1", rules, texts)
         self.assertIn("past its expiry", texts[0])
 
-    def test_connection_from_the_backlog_counts_as_new(self):
+    def test_connection_from_the_backlog_has_waited_since(self):
         """A connection that is accepted late, in a burst, has waited since the backlog was not empty.
 
         Without `Listener.backlogged_since_ms` its request counts as new, and is answered past its expiry.
@@ -502,7 +502,7 @@
             rules, texts = self.violations(scenario)
         self.assertIn("1", rules, texts)
 
-    def test_connection_from_the_backlog_of_a_pause_counts_as_new(self):
+    def test_connection_left_in_the_backlog_after_a_pause_has_waited_since(self):
         """A connection that is still in the backlog after a pause has waited as long as those accepted first.
 
         Without `Listener.stalled_backlog_count` its request counts as new, and is sent to a backend a second past its expiry.
@@ -524,7 +524,7 @@
         self.assertIn("1", rules, texts)
         self.assertIn("past its expiry", texts[0])
 
-    def test_requests_of_disconnected_clients_are_forwarded(self):
+    def test_no_request_is_sent_long_after_its_client_disconnected(self):
         """No request is sent to a backend later than 0.3 s after its client has disconnected, many of them during a pause.
 
         Without `has_client_left` some are.
@@ -563,7 +563,7 @@
             rules, texts = self.violations(at_once, 3, "round-robin")
         self.assertIn("4", rules, texts)
 
-    def test_draining_proxy_keeps_its_clients(self):
+    def test_quiesced_proxy_that_keeps_its_clients_violates_the_drain_rule(self):
         """A quiesced proxy that keeps its clients, and only reports that it is not ready, violates the drain rule alone."""
         scenario = scenarios.read_scenario("quiesce")
         self.assertEqual(self.violations(scenario), ({}, []))
@@ -573,7 +573,7 @@
         ):
             self.assertEqual(set(self.violations(scenario)[0]), {"drain"})
 
-    def test_trailer_is_taken_for_a_header(self):
+    def test_trailer_taken_for_a_header_lowers_service(self):
         """Trailer fields of a chunked body that are taken for headers and counted into the body length lower service.
 
         Guards against a fault that the proxy once had.
@@ -590,7 +590,7 @@
         with mock.patch.object(MessageFraming, "on_header", on_header):  # backends wait for bytes that never arrive
             self.assertLess(simulation.simulate(scenario, 2, "design")["service"]["worst_scheme"], 0.8)
 
-    def test_streamed_body_is_taken_for_a_new_request(self):
+    def test_streamed_body_taken_for_a_new_request_violates_a_rule(self):
         """A streamed body that is taken for a new request at its last byte violates a rule.
 
         Guards against a fault that the proxy once had.
@@ -606,7 +606,7 @@
             rules, texts = self.violations(scenario)
         self.assertTrue(rules, texts)
 
-    def test_request_is_answered_twice(self):
+    def test_second_response_violates_rule_1(self):
         """A second response to every 50th write of the proxy violates rule 1."""
         send, count = ClientConnection.send, [0]
 
@@ -618,7 +618,7 @@
             rules, texts = self.violations()
         self.assertIn("1", rules, texts)
 
-    def test_request_is_never_answered(self):
+    def test_missing_response_violates_rule_1(self):
         """Dropping every 50th write of the proxy to a client violates rule 1."""
         send, count = ClientConnection.send, [0]
 
@@ -631,7 +631,7 @@
             rules, texts = self.violations()
         self.assertIn("1", rules, texts)
 
-    def test_response_body_is_replaced(self):
+    def test_replaced_response_body_violates_rule_1(self):
         """A response with a body that no backend sent violates rule 1."""
         original_response = writer.response
 
@@ -642,7 +642,7 @@
             rules, texts = self.violations()
         self.assertIn("1", rules, texts)
 
-    def test_request_that_may_have_run_is_sent_again(self):
+    def test_repeat_of_a_request_that_may_have_run_violates_rule_2(self):
         """Sending a once-only request again that may have run violates rule 2."""
 
         def may_always_attempt(rules, request, now, instead_of=None):
@@ -655,13 +655,13 @@
             rules, texts = self.violations()
         self.assertIn("2", rules, texts)
 
-    def test_repeat_is_sent_outside_the_deduplication_group(self):
+    def test_repeat_outside_the_deduplication_group_violates_rule_2(self):
         """Sending a deduplicated request that may have run to a backend outside its deduplication group violates rule 2."""
         with mock.patch.object(SafetyRules, "would_deduplicate", lambda *_: True):
             rules, texts = self.violations(mixed_faults_scenario(replacements=self.MOSTLY_DEDUPLICATED))
         self.assertIn("2", rules, texts)
 
-    def test_request_that_may_have_run_is_rejected(self):
+    def test_rejection_of_a_request_that_may_have_run_violates_rule_2(self):
         """Rejecting requests that may have run violates rule 2."""
 
         def reject_always(rules, request, retry_after_ms=0.0):
@@ -672,19 +672,19 @@
             rules, texts = self.violations(mixed_faults_scenario(replacements=self.LONG_STALLS))
         self.assertIn("2", rules, texts)
 
-    def test_request_is_sent_to_a_draining_backend(self):
+    def test_request_to_a_draining_backend_violates_rule_3(self):
         """Taking a draining backend for a ready one violates rule 3."""
         with mock.patch.dict(protocol.ENDPOINT_STATES, leaving=EndpointState.READY):
             rules, texts = self.violations()
         self.assertIn("3", rules, texts)
 
-    def test_backend_in_warm_up_is_overloaded(self):
+    def test_overload_in_warm_up_violates_rule_4(self):
         """Sending without slow start to backends that warm up violates rule 4."""
         with mock.patch.object(SlowStart, "may_send", lambda *_: True):
             rules, texts = self.violations(mixed_faults_scenario(replacements=self.COLD_UNDER_LOAD), policy="round-robin")
         self.assertIn("4", rules, texts)
 
-    def test_proxy_process_ends_by_itself(self):
+    def test_proxy_process_that_ends_by_itself_is_a_crash(self):
         """A proxy process that ends is a crash, whether by the end of a permanent task or by `sys.exit`."""
         for method, exit_code in (("sweep", 3), ("check_loop_and_requests", None)):
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -137,16 +137,16 @@
     """Verdicts on hand-written records of a few requests."""
 
     def judge_events(self, *events):
-        """Return the run's record for these events; calls without an end among them get one."""
+        """Return the run's record for these events; requests without an end among them get one."""
         plan = plans.parse_plan(SMALL_PLAN, "small")
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, "all.jsonl")
             recorder = EventRecorder(plan, 1, path, lambda: 0.0)
-            call_count = len(recorder.planned_requests)
+            request_count = len(recorder.planned_requests)
             recorder.note(10.0, "begin")
             for event in events:
                 recorder.note(*event)
-            for number in range(call_count):  # calls that the test does not end
+            for number in range(request_count):  # requests that the test does not end
                 if not any(event[1] == "ended" and event[2] == number for event in events):
                     recorder.note(13.0, "ended", number, "untaken", 10.0, 1)
             recorder.close()
